--- a/roadpulley/cli/check.py
+++ b/roadpulley/cli/check.py
@@ -20,7 +20,6 @@
 from . import frame
 from .frame import argument
 
-MOST_POLICY_LINES = 1_200  # that are not blank, all policy files together
 SCENARIO_KEYS = {"fault", "load", "node", "counter", "discovery", "gateways", "nodes", "seconds", "about"}
 FLEET_KEYS = {"voters", "fleet"}
 DEPLOY_KEYS = {"run", "sim", "policy", "build"}
@@ -96,13 +95,7 @@
     if not isinstance(packages, list) or not all(isinstance(p, str) for p in packages):
         raise Bad("packages", f"is {packages!r}", "give a list of Debian packages")
     top.done()
-    lines = 0
     for key, names in (("policy", policy), ("node", node)):
         for number, name in enumerate(names):
             if not (root / name).exists():
                 raise Bad(f"{key}[{number}]", f"is {name!r}, which is not there", f"give a path below {root}")
-            if key == "policy":
-                text = (root / name).read_text()
-                lines += sum(1 for line in text.splitlines() if line.strip())
-    if lines > MOST_POLICY_LINES:
-        raise Bad("policy", f"holds {lines} lines", f"keep to {MOST_POLICY_LINES}")
