--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -225,7 +225,7 @@
         for action in self.nodes[n].handle(self.now, event):
             if isinstance(action, api.SetTimer):
                 self.at(action.delay, partial(self.later, n, self.nodes[n], api.TimerFired(action.token)))
-            elif isinstance(action, api.Count):
+            elif isinstance(action, api.AddToCounter):
                 self.count(n, action)
             elif isinstance(action, api.Send):
                 self.send_on(n, action)
--- a/benchmarks/quota_error.py
+++ b/benchmarks/quota_error.py
@@ -140,7 +140,7 @@
             Gateway(
                 api.Settings(
                     n, self.gateways, "a", (KIND,), PLANS, rules, 3, may_count=True, max_retry_after=2_000,
-                    count_wait=WAIT_MS, most_units=MOST, offers=api.Offers(settles=True),
+                    count_wait=WAIT_MS, most_units=MOST, offers=api.Capabilities(settles=True),
                 ),
                 self.seed * 100 + n,
             )
@@ -235,7 +235,7 @@
         for action in self.nodes[n].handle(self.now, event):
             if isinstance(action, api.SetTimer):
                 self.at(action.delay, partial(self.give, n, api.TimerFired(action.token)))
-            elif isinstance(action, api.Count):
+            elif isinstance(action, api.AddToCounter):
                 self.count(n, action)
             elif isinstance(action, api.Send):
                 self.sent(n, action)
@@ -272,11 +272,11 @@
 
     # ---- the counter ----
 
-    def count(self, n: int, call: api.Count) -> None:
+    def count(self, n: int, call: api.AddToCounter) -> None:
         self.calls += 1
         self.at(LINK_MS, partial(self.reach, n, call, self.now))
 
-    def reach(self, n: int, call: api.Count, since: float) -> None:
+    def reach(self, n: int, call: api.AddToCounter, since: float) -> None:
         part = zlib.crc32(call.name.encode()) % PARTS
         if self.free[part] > self.now + LINE_MS:
             self.unheard += 1
@@ -291,7 +291,7 @@
             broken = self.free[part] + LINK_MS - since < WAIT_MS  # a spoilt answer: its connection is closed
             self.at(LINK_MS if broken else since + WAIT_MS - self.now, partial(self.give, n, silent))
 
-    def add_up(self, n: int, call: api.Count, since: float, heard: bool) -> None:
+    def add_up(self, n: int, call: api.AddToCounter, since: float, heard: bool) -> None:
         total, until = self.numbers.get(call.name, (0.0, 0.0))
         if until <= self.now:
             total, until = 0.0, self.now + call.expire_in
--- a/mintford/handover.py
+++ b/mintford/handover.py
@@ -8,24 +8,24 @@
 from .quotas import Quotas
 
 
-def take_part(quotas: Quotas, fleet: Fleet, now: float, part: float) -> api.Estate:
+def take_part(quotas: Quotas, fleet: Fleet, now: float, part: float) -> api.HandoverState:
     """From now on this process has such a part of its gateway; gives what it holds no more."""
     given, kept = [], min(1.0, part / (quotas.part or part or 1.0))
     for c in quotas.customers.values():
         quotas.fill(now, c)
-        lease = {name: getattr(c, name) for name in api.LEASE}
+        lease = {name: getattr(c, name) for name in api.LEASE_FIELDS}
         lease["store"] += c.unsaid  # this process will tell that, and the other read it; but not at its end
         held = max(0.0, c.tokens), c.ceiling.own, c.ceiling.unused
         amounts = (*(amount * (1 - kept) for amount in held), 0.0 if part else c.unsaid)
-        given.append(api.Holding(c.key, c.named, round(1 / c.even), lease, *amounts))
+        given.append(api.CustomerSnapshot(c.key, c.named, round(1 / c.even), lease, *amounts))
         c.tokens, c.unsaid = c.tokens - amounts[0], c.unsaid - amounts[3]
         c.ceiling.take_part(part, kept)
     quotas.part = part
-    seen = (api.Seen(b.id, b.started, b.marks) for b in fleet.backends.values() if b.marks)
-    return api.Estate(quotas.since, tuple(given), tuple(seen), fleet.typical, fleet.recent)
+    seen = (api.BackendSnapshot(b.id, b.started, b.marks) for b in fleet.backends.values() if b.marks)
+    return api.HandoverState(quotas.since, tuple(given), tuple(seen), fleet.typical, fleet.recent)
 
 
-def inherit(quotas: Quotas, fleet: Fleet, now: float, estate: api.Estate) -> None:
+def inherit(quotas: Quotas, fleet: Fleet, now: float, estate: api.HandoverState) -> None:
     """Go on from what the other process held; of a customer that is known here, the amounts alone."""
     # Danger: who is not named was not met since then: its ceiling has filled since then, and for no longer.
     quotas.since = estate.since
--- a/mintford/interface.py
+++ b/mintford/interface.py
@@ -19,7 +19,7 @@
     UNSAFE = "side_effect"
 
 
-class Group(Enum):
+class DedupScope(Enum):
     """The backends that drop the repeats of a keyed request."""
 
     ALL = "all"
@@ -62,7 +62,7 @@
     deadline: float
     importance: float = 1.0
     effect: Effect = Effect.UNSAFE
-    group: Group = Group.ALL
+    group: DedupScope = DedupScope.ALL
     repeat_window: float = 0.0
 
 
@@ -90,7 +90,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Offers:
+class Capabilities:
     """What a deployment tells and charges beyond its rules; what it does not offer costs nothing here.
 
     Prices are points of the result, for one each time per first try; 0 means free.
@@ -126,7 +126,7 @@
     count_wait: float = 0.0
     most_units: float = 1.0
     rights: float = 0.0  # the part of each hard ceiling that is spent by rights, not split evenly; 0: none
-    offers: Offers = field(default_factory=lambda: Offers())
+    offers: Capabilities = field(default_factory=lambda: Capabilities())
 
 
 @dataclass(frozen=True, slots=True)
@@ -169,14 +169,14 @@
 
 
 @dataclass(slots=True)
-class AnswerBegan:
+class ResponseStarted:
     request: str
     attempt: int
     backend: int
 
 
 @dataclass(slots=True)
-class RequestLapsed:
+class RequestAbandoned:
     request: str
 
 
@@ -188,8 +188,8 @@
 
 
 @dataclass(slots=True)
-class Granted:
-    """The answer to `Spend`: a right was held for the request, and is spent for it now; or there is none."""
+class RightsDecided:
+    """The answer to `SpendRights`: whether the rights were available and have been spent for the request."""
 
     request: str
     paid: bool
@@ -201,7 +201,7 @@
 
 
 @dataclass(slots=True)
-class LoopLagged:
+class LoopLagMeasured:
     """How far this gateway's own loop is behind: what has come in waits this long until it is read."""
 
     lag: float
@@ -215,20 +215,20 @@
 
 
 # What a process knows of a customer's store; the names are those of mintford.quotas.Customer.
-LEASE = (
+LEASE_FIELDS = (
     "store", "part", "lease_end", "read_at", "heard", "mine", "others", "left", "tail", "ended", "totals",
     "unsure", "asked", "asked_at", "wants_told", "telling", "wanted", "wants",
 )  # fmt: skip
 
 
 @dataclass(slots=True)
-class Holding:
+class CustomerSnapshot:
     """What one process of a gateway held for a customer: what it knew, and the amounts that it gives."""
 
     customer: str
     plan: str
     spread: int
-    lease: dict[str, Any]  # by the names in LEASE
+    lease: dict[str, Any]  # by the names in LEASE_FIELDS
     tokens: float  # of the lease
     own: float  # of the gateway's own part of the ceiling
     unused: float  # of its shared part: what this gateway may still take
@@ -236,7 +236,7 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class BackendSnapshot:
     """What one process has seen of a backend: levels of its marks, and when they were set."""
 
     backend: int
@@ -245,32 +245,32 @@
 
 
 @dataclass(slots=True)
-class Estate:
+class HandoverState:
     """What one process of a gateway gives the other."""
 
     since: float  # whoever is not named has not been met since then
-    customers: tuple[Holding, ...]
-    backends: tuple[Seen, ...]
+    customers: tuple[CustomerSnapshot, ...]
+    backends: tuple[BackendSnapshot, ...]
     typical: float
     recent: float
 
 
 @dataclass(slots=True)
-class PartChanged:
-    """From now on this process stands for such a part of its gateway; a HandOver tells what it gives up."""
+class GatewayShareChanged:
+    """This process now serves this share of its gateway; `SendHandover` carries the state it gives up."""
 
     part: float
 
 
 @dataclass(slots=True)
-class Inherited:
+class HandoverReceived:
     """The other process of this gateway has given this."""
 
-    estate: Estate
+    estate: HandoverState
 
 
 @dataclass(slots=True)
-class DoorChanged:
+class AdmissionChanged:
     """Whether new requests are taken; those that are open go on either way."""
 
     open: bool
@@ -299,7 +299,7 @@
 
 
 @dataclass(slots=True)
-class Hearsay:
+class PeerVerdictsChanged:
     """What other gateways of the fleet found failing, all of it: by backend, its start, how likely it fails
     (0 to 1) and when that was seen, by this gateway's clock. Backends that are not named fare well there."""
 
@@ -307,7 +307,7 @@
 
 
 @dataclass(slots=True)
-class PeerSpoke:
+class PeerMessageReceived:
     sender: int
     payload: bytes
 
@@ -316,20 +316,20 @@
     BackendsChanged
     | RequestArrived
     | AttemptEnded
-    | AnswerBegan
-    | RequestLapsed
+    | ResponseStarted
+    | RequestAbandoned
     | CounterReplied
-    | Granted
+    | RightsDecided
     | TimerFired
-    | LoopLagged
-    | DoorChanged
-    | PartChanged
-    | Inherited
+    | LoopLagMeasured
+    | AdmissionChanged
+    | GatewayShareChanged
+    | HandoverReceived
     | SettingsChanged
     | PlanChanged
     | OrdersChanged
-    | Hearsay
-    | PeerSpoke
+    | PeerVerdictsChanged
+    | PeerMessageReceived
 )
 
 
@@ -372,7 +372,7 @@
 
 
 @dataclass(slots=True)
-class Count:
+class AddToCounter:
     """Add to a named number on the counter service (0 reads it); the reply carries the total."""
 
     name: str
@@ -381,9 +381,11 @@
 
 
 @dataclass(slots=True)
-class Spend:
-    """Spend rights, all or none, for a request that waits for `Granted`: units of its customer's ceiling, and
-    one request of each limit of operators."""
+class SpendRights:
+    """Spend rights for a request that waits for `RightsDecided`, all of them or none.
+
+    They cover units of the customer's ceiling and one request of each limit set by operators.
+    """
 
     request: str
     plan: str  # "": no right to a ceiling is needed
@@ -393,16 +395,18 @@
 
 
 @dataclass(slots=True)
-class FollowList:
+class SubscribeBackends:
     enable: bool = True
 
 
 @dataclass(slots=True)
-class HandOver:
+class SendHandover:
     """What this process holds no more, for the other one of its gateway."""
 
-    estate: Estate
+    estate: HandoverState
 
 
-Action = Send | Cancel | Refuse | Fail | SetTimer | Count | Spend | FollowList | HandOver
+Action = (
+    Send | Cancel | Refuse | Fail | SetTimer | AddToCounter | SpendRights | SubscribeBackends | SendHandover
+)
 Actions = list[Action]
--- a/mintford/load.py
+++ b/mintford/load.py
@@ -160,7 +160,7 @@
             b.hearsay, b.answered_at = 0.0, now
         b.slow, b.bad, b.faded_at = slow, max(b.hearsay, self.mark(now, b, "all")), now
 
-    def heard(self, event: api.Hearsay) -> None:
+    def heard(self, event: api.PeerVerdictsChanged) -> None:
         """What other gateways found failing, as a prior of the marks here."""
         for b in self.backends.values():
             started, level, seen_at = event.backends.get(b.id, (0.0, 0.0, 0.0))
--- a/mintford/quotas.py
+++ b/mintford/quotas.py
@@ -255,7 +255,7 @@
     def count(self, c: Customer, call: Call, out: api.Actions) -> None:
         name = f"{'w' if call.kind is Kind.WANTS else 's'}{call.period}:{c.digest}"
         self.calls.setdefault(name, deque()).append(call)
-        out.append(api.Count(name, call.amount, 4 * WANTS_MS if call.kind is Kind.WANTS else NAME_MS))
+        out.append(api.AddToCounter(name, call.amount, 4 * WANTS_MS if call.kind is Kind.WANTS else NAME_MS))
 
     def counted(self, now: float, event: api.CounterReplied) -> tuple[str, bool]:
         """Take in a reply; gives the id of the request that has waited for it, "" for none.
--- a/mintford/reading.py
+++ b/mintford/reading.py
@@ -55,7 +55,7 @@
         deadline=float(raw["deadline"]),
         importance=float(raw.get("importance") or 0),
         effect=api.Effect(raw["effect"]),
-        group=api.Group(raw.get("group") or "all"),
+        group=api.DedupScope(raw.get("group") or "all"),
         repeat_window=float(raw.get("repeatWindow") or 0),
     )
 
@@ -74,12 +74,12 @@
     )
 
 
-def read_offers(raw: dict[str, Any]) -> api.Offers:
+def read_offers(raw: dict[str, Any]) -> api.Capabilities:
     caps, info, prices = raw.get("caps") or {}, raw.get("familyInfo") or {}, raw.get("prices") or {}
     telemetry, habits = raw.get("telemetry") or {}, raw.get("clientHabits") or {}
     how = str(telemetry.get("how") or "none")
     names = () if how == "none" else tuple(telemetry.get("names") or ())
-    return api.Offers(
+    return api.Capabilities(
         reports=how if names else "none",
         fields=tuple(FIELDS[name] for name in names if name in FIELDS),
         probes=bool(caps.get("probes")),
--- a/mintford/rules.py
+++ b/mintford/rules.py
@@ -42,18 +42,20 @@
             api.CounterReplied: lambda now, event, out: self.go_on(
                 now, out, *self.quotas.counted(now, event)
             ),
-            api.Granted: self.on_granted,
+            api.RightsDecided: self.on_granted,
             api.OrdersChanged: self.on_orders,
-            api.Hearsay: lambda _, event, __: self.fleet.heard(event),
+            api.PeerVerdictsChanged: lambda _, event, __: self.fleet.heard(event),
             api.BackendsChanged: self.on_list,
-            api.AnswerBegan: self.on_began,
-            api.LoopLagged: lambda _, event, __: self.own.lagged(event.lag),
-            api.DoorChanged: lambda _, event, __: setattr(self, "door_open", event.open),
+            api.ResponseStarted: self.on_began,
+            api.LoopLagMeasured: lambda _, event, __: self.own.lagged(event.lag),
+            api.AdmissionChanged: lambda _, event, __: setattr(self, "door_open", event.open),
             api.SettingsChanged: self.on_settings,
-            api.PartChanged: self.on_part,
-            api.Inherited: lambda now, event, _: handover.inherit(self.quotas, self.fleet, now, event.estate),
+            api.GatewayShareChanged: self.on_part,
+            api.HandoverReceived: lambda now, event, _: handover.inherit(
+                self.quotas, self.fleet, now, event.estate
+            ),
             api.PlanChanged: lambda now, event, _: changes.take_in(self.quotas, now, event),
-            api.RequestLapsed: lambda _, event, __: self.attempts.requests.pop(event.request, None),
+            api.RequestAbandoned: lambda _, event, __: self.attempts.requests.pop(event.request, None),
         }  # peers' messages change no decision
 
     @property
@@ -67,7 +69,7 @@
             self.created = self.fleet.answered_at = now
             self.quotas.begin(now)
             if self.settings.must_ask_for_list:
-                out.append(api.FollowList())
+                out.append(api.SubscribeBackends())
         if handler := self.handlers.get(type(event)):
             handler(now, event, out)
         return out
@@ -104,14 +106,14 @@
         self.shedding.retune()
         self.fleet.retune(now, event.settings)
 
-    def on_part(self, now: float, event: api.PartChanged, out: api.Actions) -> None:
-        out.append(api.HandOver(handover.take_part(self.quotas, self.fleet, now, event.part)))
+    def on_part(self, now: float, event: api.GatewayShareChanged, out: api.Actions) -> None:
+        out.append(api.SendHandover(handover.take_part(self.quotas, self.fleet, now, event.part)))
 
     def on_orders(self, now: float, event: api.OrdersChanged, out: api.Actions) -> None:
         self.orders.now, self.fleet.kept_off = event, event.kept_off
         self.fleet.listed(now, api.BackendsChanged(api.ListScope.CHANGES, ()))
 
-    def on_granted(self, now: float, event: api.Granted, out: api.Actions) -> None:
+    def on_granted(self, now: float, event: api.RightsDecided, out: api.Actions) -> None:
         if request := self.attempts.requests.get(event.request):
             self.orders.answered(request, event.paid)
         self.go_on(now, out, event.request, False)
@@ -124,11 +126,11 @@
 
     def on_timer(self, now: float, event: api.TimerFired, out: api.Actions) -> None:
         if event.token == "follow":
-            return out.append(api.FollowList())
+            return out.append(api.SubscribeBackends())
         for request in self.attempts.due(now, event.token):
             self.check(now, request, out)
 
-    def on_began(self, now: float, event: api.AnswerBegan, out: api.Actions) -> None:
+    def on_began(self, now: float, event: api.ResponseStarted, out: api.Actions) -> None:
         """The first bytes of a value are on their way: no other attempt, and no other end of the request."""
         # Danger: how long the rest takes is also the client's doing, and says nothing of the backend.
         attempt = self.attempts.out.get((event.request, event.attempt))
@@ -199,7 +201,7 @@
         if (owed := self.orders.owed(request, backend)) or ask:
             request.asked, request.owing = request.asked or ask, owed
             self.attempts.watch(now, request, now + 2 * self.settings.count_wait, out)
-            return out.append(api.Spend(request.id, plan.name if ask else "", c.key, units, owed))
+            return out.append(api.SpendRights(request.id, plan.name if ask else "", c.key, units, owed))
         request.charged = self.quotas.take(c, units, short <= 0, counted)
         self.quotas.tell(now, c, out)
         self.send(now, request, backend, out)
--- a/mintford/wirehost.py
+++ b/mintford/wirehost.py
@@ -71,7 +71,7 @@
 
 
 def read_began(request: str, attempt: int, backend: int, *_: Any) -> api.Event:
-    return api.AnswerBegan(text(request), int(attempt), int(backend))
+    return api.ResponseStarted(text(request), int(attempt), int(backend))
 
 
 def read_counted(reading: Any, _lag: Any, outcome: str, name: str, *_: Any) -> api.Event:
@@ -89,10 +89,10 @@
     "jobIn": read_request,
     "ended": read_ended,
     "underWay": read_began,
-    "lapsed": lambda request, *_: api.RequestLapsed(text(request)),
+    "lapsed": lambda request, *_: api.RequestAbandoned(text(request)),
     "ledgerReply": read_counted,
     "wakeup": lambda token, *_: api.TimerFired(text(token)),
-    "whisper": lambda sender, payload, *_: api.PeerSpoke(int(sender), bytes.fromhex(payload)),
+    "whisper": lambda sender, payload, *_: api.PeerMessageReceived(int(sender), bytes.fromhex(payload)),
     "health": lambda *_: None,
 }
 
@@ -109,11 +109,11 @@
             return ["dropRequest", request]
         case api.SetTimer(delay, token):
             return ["sleep", delay, token]
-        case api.Count(name, amount, expire_in):
+        case api.AddToCounter(name, amount, expire_in):
             return ["incr", name, expire_in, amount]
-        case api.FollowList(enable):
+        case api.SubscribeBackends(enable):
             return ["follow", enable]
-        case api.HandOver() | api.Spend():
+        case api.SendHandover() | api.SpendRights():
             raise ValueError("on this wire a gateway is one process, and by itself")
 
 
--- a/roadpulley/core/driver.py
+++ b/roadpulley/core/driver.py
@@ -53,7 +53,11 @@
     """Spends units of limits that hold over all gateways."""
 
     def spend(
-        self, asked: api.Spend, lasting: float, within: float, done: Callable[[bool, Ended | None], None]
+        self,
+        asked: api.SpendRights,
+        lasting: float,
+        within: float,
+        done: Callable[[bool, Ended | None], None],
     ) -> None:
         """`done` is called once, at once or within so many seconds: whether rights were held and are spent.
 
@@ -123,17 +127,19 @@
         self.attempt_observer: AttemptObserver | None = None  # where they tell each other what they find
         self.look_due, self.behind = math.inf, 0.0  # the next look at the lag; that of the last one
         self.strained = self.lagging = False  # the module turns some away at the door; it was told of a lag
-        self.hand_over: Callable[[api.Estate], object] = lambda _: None  # to this gateway's other process
+        self.hand_over: Callable[[api.HandoverState], object] = lambda _: (
+            None
+        )  # to this gateway's other process
         self.acts: dict[type, Callable[[Any], object]] = {
             api.Send: self.send,
             api.Cancel: self.cancel,
             api.Refuse: self.refuse,
             api.Fail: lambda action: self.finish(action.request, FAILED),
             api.SetTimer: self.set_timer,
-            api.Count: self.count,
-            api.Spend: self.spend,
-            api.FollowList: lambda _: None,  # the list is always followed
-            api.HandOver: lambda action: self.hand_over(action.estate),
+            api.AddToCounter: self.count,
+            api.SpendRights: self.spend,
+            api.SubscribeBackends: lambda _: None,  # the list is always followed
+            api.SendHandover: lambda action: self.hand_over(action.estate),
         }
 
     # ---- events ----
@@ -174,7 +180,7 @@
             lag = 0.0
         self.behind = lag
         if lag or self.lagging or self.strained:
-            self.give(api.LoopLagged(lag))
+            self.give(api.LoopLagMeasured(lag))
             self.lagging, self.strained = lag > 0, self.gateway.level > 0
             if self.counter is not None:
                 self.counter.lag = lag
@@ -246,13 +252,13 @@
             # Only a fault brings a request here unanswered; its client must not wait in vain even so.
             log.error("request %s had no answer at its end", request)
             self.finish(request, FAILED)
-            self.give(api.RequestLapsed(request))
+            self.give(api.RequestAbandoned(request))
 
     def on_client_gone(self, request: str) -> None:
         owner = self.requests.pop(request, None)
         if owner is None:
             return
-        self.give(api.RequestLapsed(request))
+        self.give(api.RequestAbandoned(request))
         # Nobody is waiting any more; a backend may then drop what it has not begun.
         self.give_up(owner, Ending.CALLED_OFF)
         self.settle(owner)
@@ -267,7 +273,7 @@
         if owner.timer is not None:
             owner.timer.cancel()
         sink = owner.slot.begin(length, source)
-        self.give(api.AnswerBegan(request, number, attempt.backend))
+        self.give(api.ResponseStarted(request, number, attempt.backend))
         return sink
 
     def on_ended(
@@ -314,13 +320,13 @@
     def set_timer(self, action: api.SetTimer) -> None:
         self.timers.at(now_ms() + action.delay, partial(self.give, api.TimerFired(action.token)))
 
-    def count(self, action: api.Count) -> None:
+    def count(self, action: api.AddToCounter) -> None:
         if self.counter is None:
             self.give(api.CounterReplied(action.name, api.Outcome.CONNECT, 0.0))
         else:
             self.counter.add(action.name, action.amount, action.expire_in, self.on_counted)
 
-    def spend(self, action: api.Spend) -> None:
+    def spend(self, action: api.SpendRights) -> None:
         owner = self.requests.get(action.request)
 
         def granted(paid: bool, ended: Ended | None) -> None:
@@ -328,7 +334,7 @@
                 owner.back.append(ended)
             elif ended is not None:
                 ended()  # it has ended before
-            self.give(api.Granted(action.request, paid))
+            self.give(api.RightsDecided(action.request, paid))
 
         if self.rights is None or owner is None:
             return granted(False, None)
@@ -394,4 +400,4 @@
         """Answer what is still open when the process has to end."""
         for request in list(self.requests):
             self.finish(request, FAILED)
-            self.give(api.RequestLapsed(request))
+            self.give(api.RequestAbandoned(request))
--- a/roadpulley/core/judging.py
+++ b/roadpulley/core/judging.py
@@ -115,7 +115,7 @@
     deadline = t.number("deadline", ..., 1, 3_600_000)
     t.number("aim", deadline, 1, deadline)
     t.text("effect", ..., [e.value for e in api.Effect])
-    t.text("group", "all", [g.value for g in api.Group])
+    t.text("group", "all", [g.value for g in api.DedupScope])
     t.number("repeatWindow", 0.0, 0)
     t.number("importance", 0.0, 0)
 
--- a/roadpulley/fleet/orders/client.py
+++ b/roadpulley/fleet/orders/client.py
@@ -101,7 +101,11 @@
         self.even.ordered(self.purses.clock.now(), orders)
 
     def spend(
-        self, asked: api.Spend, lasting: float, within: float, done: Callable[[bool, Ended | None], None]
+        self,
+        asked: api.SpendRights,
+        lasting: float,
+        within: float,
+        done: Callable[[bool, Ended | None], None],
     ) -> None:
         now = self.purses.clock.now()
         ours = [limit for limit in asked.limits if self.even.take(now, limit, 1.0)]
--- a/roadpulley/fleet/verdicts/client.py
+++ b/roadpulley/fleet/verdicts/client.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from mintford.interface import Hearsay, Outcome
+from mintford.interface import Outcome, PeerVerdictsChanged
 from roadpulley.core.clock import now_ms
 from roadpulley.core.driver import Driver
 from roadpulley.fleet.clock import Clock, from_environment
@@ -65,4 +65,4 @@
 
     def _give(self, found: dict[int, tuple[float, float, float]]) -> None:
         self.snapshot_at = self.clock.now() if found else 0.0
-        self.driver.give(Hearsay(found))
+        self.driver.give(PeerVerdictsChanged(found))
--- a/roadpulley/operations/handover.py
+++ b/roadpulley/operations/handover.py
@@ -29,7 +29,7 @@
     """A message that is not of this form; the text says where."""
 
 
-def write(kind: str, gateway: str, estate: api.Estate | None = None) -> bytes:
+def write(kind: str, gateway: str, estate: api.HandoverState | None = None) -> bytes:
     """A message. Of many customers those that were met last are told; the rest starts as after a crash."""
     message: dict[str, Any] = {"v": VERSION, "kind": kind, "gateway": gateway}
     if estate is not None:
@@ -49,7 +49,7 @@
     return json.dumps(message, separators=(",", ":"), allow_nan=False).encode() + b"\n"
 
 
-def read(line: bytes, kind: str, gateway: str, now: float) -> api.Estate | None:
+def read(line: bytes, kind: str, gateway: str, now: float) -> api.HandoverState | None:
     """What a message of this kind brings, which has come at a time. Raises Garbled."""
     try:
         message = json.loads(line)
@@ -63,25 +63,27 @@
     return read_estate(message.get("estate"), now) if KINDS[kind] else None
 
 
-def read_estate(raw: Any, now: float) -> api.Estate:
+def read_estate(raw: Any, now: float) -> api.HandoverState:
     try:
         since = now if raw["since"] is None else number(raw["since"])
         customers = tuple(read_holding(held) for held in bounded(raw["customers"], list, MOST_CUSTOMERS))
         backends = tuple(read_seen(seen) for seen in bounded(raw["backends"], list, MOST_BACKENDS))
-        return api.Estate(min(since, now), customers, backends, number(raw["typical"]), number(raw["recent"]))
+        return api.HandoverState(
+            min(since, now), customers, backends, number(raw["typical"]), number(raw["recent"])
+        )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise Garbled(f"estate: {type(error).__name__}: {error}") from error
 
 
-def read_holding(raw: Any) -> api.Holding:
+def read_holding(raw: Any) -> api.CustomerSnapshot:
     lease = raw["lease"]
-    if set(lease) != set(api.LEASE):
+    if set(lease) != set(api.LEASE_FIELDS):
         raise ValueError(f"a lease of {sorted(lease)}")
-    return api.Holding(
+    return api.CustomerSnapshot(
         text(raw["customer"]),
         text(raw["plan"]),
         max(1, int(number(raw["spread"]))),
-        {name: read_term(name, lease[name]) for name in api.LEASE},
+        {name: read_term(name, lease[name]) for name in api.LEASE_FIELDS},
         number(raw["tokens"]),
         number(raw["own"]),
         number(raw["unused"]),
@@ -101,13 +103,13 @@
     return int(number(value)) if name in WHOLE else number(value)
 
 
-def read_seen(raw: Any) -> api.Seen:
+def read_seen(raw: Any) -> api.BackendSnapshot:
     marks = {text(name): tuple(map(number, mark)) for name, mark in bounded(raw["marks"], dict, 64).items()}
     if any(len(mark) != 2 for mark in marks.values()):
         raise ValueError("a mark is a level and a time")
     if type(raw["backend"]) is not int:  # as it is: a float would lose its last digits
         raise ValueError("a backend is a whole number")
-    return api.Seen(raw["backend"], number(raw["started"]), marks)  # type: ignore[arg-type]
+    return api.BackendSnapshot(raw["backend"], number(raw["started"]), marks)  # type: ignore[arg-type]
 
 
 def number(value: Any) -> float:
--- a/roadpulley/operations/life.py
+++ b/roadpulley/operations/life.py
@@ -46,7 +46,7 @@
         takes = self.stance is None or self.stance.takes
         self.stance = stance
         if stance.takes != takes:
-            self.driver.give(api.DoorChanged(stance.takes))
+            self.driver.give(api.AdmissionChanged(stance.takes))
         if self.machine.state in (State.LEAVING, State.ENDED):
             self.left.set()
         if stance.ended:
--- a/roadpulley/operations/link.py
+++ b/roadpulley/operations/link.py
@@ -59,7 +59,7 @@
         self.path = path or path_of(gateway)
         self.before: Predecessor | None = None
         self.after: asyncio.StreamWriter | None = None
-        self.estate: api.Estate | None = None
+        self.estate: api.HandoverState | None = None
         self.server: asyncio.Server | None = None
         self.watching: asyncio.Task[None] | None = None
 
@@ -84,8 +84,8 @@
             writer.close()
             return self.beside(str(error) or "no answer")
         self.before = Predecessor(reader, writer)
-        self.driver.give(api.PartChanged(HALF))
-        self.driver.give(api.Inherited(estate))
+        self.driver.give(api.GatewayShareChanged(HALF))
+        self.driver.give(api.HandoverReceived(estate))
         log.info("half of %d customers' leases taken over", len(estate.customers))
 
     def beside(self, reason: str) -> None:
@@ -95,7 +95,7 @@
         them is here.
         """
         log.warning("nothing could be taken over: %s", reason)
-        self.driver.give(api.Inherited(api.Estate(now_ms() + MOST_BESIDE_MS, (), (), 0.0, 0.0)))
+        self.driver.give(api.HandoverReceived(api.HandoverState(now_ms() + MOST_BESIDE_MS, (), (), 0.0, 0.0)))
 
     async def serves(self) -> None:
         """This process takes clients now; the one before it may be stopped."""
@@ -106,7 +106,7 @@
 
     async def watch(self, before: Predecessor) -> None:
         """Until the process before this one has gone: what it has left then is taken too."""
-        rest: api.Estate | None = None
+        rest: api.HandoverState | None = None
         try:
             if line := await before.reader.readline():
                 rest = read(line, LEFT, self.gateway, now_ms())
@@ -114,9 +114,9 @@
             log.warning("what was left could not be taken over: %s", error)
         before.writer.close()
         self.before = None
-        self.driver.give(api.PartChanged(1.0))
+        self.driver.give(api.GatewayShareChanged(1.0))
         if rest is not None:
-            self.driver.give(api.Inherited(rest))
+            self.driver.give(api.HandoverReceived(rest))
         log.info("the process before has gone, %s", "all is taken over" if rest else "with what it held")
         await self.listen()
 
@@ -163,18 +163,18 @@
             if self.after is writer:
                 self.after = None
                 self.succeeded(False)
-                self.driver.give(api.PartChanged(1.0))
+                self.driver.give(api.GatewayShareChanged(1.0))
                 log.info("the next process has gone: this one stands for the whole again")
 
-    def divide(self, part: float) -> api.Estate | None:
+    def divide(self, part: float) -> api.HandoverState | None:
         """What the module gives when this process stands for such a part from now on."""
         self.estate = None
         self.driver.hand_over = self.take
-        self.driver.give(api.PartChanged(part))
+        self.driver.give(api.GatewayShareChanged(part))
         estate, self.estate = self.estate, None
         return estate
 
-    def take(self, estate: api.Estate) -> None:
+    def take(self, estate: api.HandoverState) -> None:
         self.estate = estate
 
     # ---- the end ----
--- a/roadpulley/testbed/quota_plays.py
+++ b/roadpulley/testbed/quota_plays.py
@@ -80,10 +80,10 @@
         elif isinstance(action, api.SetTimer):
             token = action.token
             self.later(action.delay, lambda: self.give(n, gateway, api.TimerFired(token)))
-        elif isinstance(action, api.Count):
+        elif isinstance(action, api.AddToCounter):
             self.count(n, gateway, action)
 
-    def count(self, n: int, gateway: Gateway, call: api.Count) -> None:
+    def count(self, n: int, gateway: Gateway, call: api.AddToCounter) -> None:
         if n in self.away:
             if self.late:
                 self.counter.add(call.name, call.amount)
--- a/tests/core/test_driver.py
+++ b/tests/core/test_driver.py
@@ -103,7 +103,7 @@
         assert slot.reply is None
         await until(lambda: slot.answered)
         assert slot.reply == FAILED and not scene.driver.requests
-        assert scene.module.of(api.RequestLapsed) == [api.RequestLapsed("r1")]
+        assert scene.module.of(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
 
     in_loop(scenario)
 
@@ -158,7 +158,7 @@
 def test_without_a_counter_calls_end_as_never_made() -> None:
     async def scenario() -> None:
         scene = Scene()
-        scene.module.answers[api.RequestArrived] = [api.Count("n", 1.0, 100.0)]
+        scene.module.answers[api.RequestArrived] = [api.AddToCounter("n", 1.0, 100.0)]
         scene.ask()
         assert scene.module.of(api.CounterReplied) == [api.CounterReplied("n", api.Outcome.CONNECT, 0.0)]
 
--- a/tests/core/test_lag.py
+++ b/tests/core/test_lag.py
@@ -40,7 +40,7 @@
             real = driver.gateway.handle
 
             def handle(now: float, event: api.Event) -> api.Actions:
-                if isinstance(event, api.LoopLagged):
+                if isinstance(event, api.LoopLagMeasured):
                     told.append(event.lag)
                 return real(now, event)
 
--- a/tests/decisions/test_ceiling_rights.py
+++ b/tests/decisions/test_ceiling_rights.py
@@ -25,8 +25,8 @@
     return World(MANY, seed=n, plans=(PLAN,), most_units=4.0, gateways=size, index=n, rights=rights)
 
 
-def spends(actions: list[api.Action]) -> list[api.Spend]:
-    return [a for a in actions if isinstance(a, api.Spend)]
+def spends(actions: list[api.Action]) -> list[api.SpendRights]:
+    return [a for a in actions if isinstance(a, api.SpendRights)]
 
 
 def sends(actions: list[api.Action]) -> list[api.Send]:
@@ -45,7 +45,7 @@
     assert len(sends(actions)) == int(even)
     assert len(spends(actions)) >= 20
     assert {(a.plan, a.customer, a.units) for a in spends(actions)} == {("firm", "c", 1.0)}
-    first = next(n for n, action in enumerate(actions) if isinstance(action, api.Spend))
+    first = next(n for n, action in enumerate(actions) if isinstance(action, api.SpendRights))
     assert len(sends(actions[:first])) == int(even)
 
 
@@ -53,9 +53,9 @@
     world = gateway()
     asked = spends(flood(world))[0]
     own = world.gateway.quotas.customers["c"].ceiling.own
-    assert len(sends(world.give(api.Granted(asked.request, True)))) == 1
+    assert len(sends(world.give(api.RightsDecided(asked.request, True)))) == 1
     assert world.gateway.quotas.customers["c"].ceiling.own == own
-    assert world.give(api.Granted(asked.request, True)) == []  # a second answer does nothing
+    assert world.give(api.RightsDecided(asked.request, True)) == []  # a second answer does nothing
 
 
 @pytest.mark.parametrize("answer", ["there is none", "none comes"])
@@ -63,12 +63,12 @@
     world = gateway()
     asked = spends(flood(world))[0]
     if answer == "there is none":
-        actions = world.give(api.Granted(asked.request, False))
+        actions = world.give(api.RightsDecided(asked.request, False))
     else:
         actions = world.pass_time(2 * world.gateway.settings.count_wait + 10)
     assert [a.request for a in actions if isinstance(a, api.Refuse)].count(asked.request) == 1
     assert not [a for a in spends(actions) if a.request == asked.request]
-    assert world.give(api.Granted(asked.request, True)) == []  # it came late
+    assert world.give(api.RightsDecided(asked.request, True)) == []  # it came late
 
 
 def test_without_rights_in_the_settings_none_is_asked_for() -> None:
@@ -94,7 +94,7 @@
         MANY, plans=(PLAN,), most_units=4.0, gateways=4, rights=RIGHTS, may_count=True, count_wait=50.0
     )
     actions = flood(world, 200)
-    counted = [a for a in actions if isinstance(a, api.Count)]
+    counted = [a for a in actions if isinstance(a, api.AddToCounter)]
     assert counted
     for count in counted:
         for action in world.give(api.CounterReplied(count.name, api.Outcome.OK, count.amount)):
@@ -130,8 +130,8 @@
                 self.sent, self.level = self.sent + 1, self.level - 1
                 self.lowest = min(self.lowest, self.level)
                 world.give(api.AttemptEnded(action.request, 0, action.backend, api.Outcome.OK, 1.0, True))
-            elif isinstance(action, api.Spend):
-                todo += world.give(api.Granted(action.request, self.paid(n, action.units)))
+            elif isinstance(action, api.SpendRights):
+                todo += world.give(api.RightsDecided(action.request, self.paid(n, action.units)))
 
     def paid(self, n: int, units: float) -> bool:
         holder = self.holders[n]
--- a/tests/decisions/test_ceilings.py
+++ b/tests/decisions/test_ceilings.py
@@ -47,7 +47,7 @@
             if isinstance(action, api.Send):
                 self.spend(float(action.request.split(":")[1]))
                 world.give(api.AttemptEnded(action.request, 0, action.backend, api.Outcome.OK, 1.0, True))
-            elif isinstance(action, api.Count):
+            elif isinstance(action, api.AddToCounter):
                 reply = self.counter.reply(world.now, action)
                 if n in self.silent or (n in self.endless and not action.amount):
                     reply = api.CounterReplied(action.name, api.Outcome.TIMED_OUT, 0.0)
--- a/tests/decisions/test_counted_ahead.py
+++ b/tests/decisions/test_counted_ahead.py
@@ -10,10 +10,10 @@
 
 # Many backends, so that quotas alone refuse. The even share of a store of eight requests is four.
 MANY = [entry(n) for n in range(40)]
-TERMS = dict(gateways=2, offers=api.Offers(settles=True))
+TERMS = dict(gateways=2, offers=api.Capabilities(settles=True))
 
 
-def spent(actions: list[api.Action]) -> list[api.Count]:
+def spent(actions: list[api.Action]) -> list[api.AddToCounter]:
     return [call for call in counts(actions) if call.name.startswith("s")]
 
 
@@ -139,7 +139,7 @@
         todo = world.ask(customer="c")
         while todo:
             action = todo.pop(0)
-            if isinstance(action, api.Count):
+            if isinstance(action, api.AddToCounter):
                 calls += 1
                 todo += world.give(api.CounterReplied(action.name, api.Outcome.CONNECT, 0.0))
             elif isinstance(action, api.Send):
--- a/tests/decisions/test_decisions.py
+++ b/tests/decisions/test_decisions.py
@@ -63,7 +63,7 @@
     assert one(w.ask())
     timers = [a for _, a in w.log if isinstance(a, api.SetTimer) and a.token == "follow"]
     assert timers
-    assert any(isinstance(a, api.FollowList) for a in w.give(api.TimerFired("follow")))
+    assert any(isinstance(a, api.SubscribeBackends) for a in w.give(api.TimerFired("follow")))
 
 
 def test_failing_backend_is_avoided_and_later_retested() -> None:
@@ -174,7 +174,7 @@
     assert lone.end(first, api.Outcome.FAILED) == [api.Fail(first.request)]
     late = world(entry(1, cell=0), entry(3, cell=0))
     late.gateway.classes["order"] = api.RequestClass(
-        "order", 5000, 9000, 1, api.Effect.KEYED, api.Group.CELL, 2000
+        "order", 5000, 9000, 1, api.Effect.KEYED, api.DedupScope.CELL, 2000
     )
     first = one(late.ask("order", life=9000))
     late.now += 1990
@@ -303,13 +303,13 @@
 def test_odd_events_are_survived() -> None:
     w = world()
     w.give(api.AttemptEnded("nobody", 0, 9, api.Outcome.OK, 1, True))
-    w.give(api.RequestLapsed("nobody"))
+    w.give(api.RequestAbandoned("nobody"))
     w.give(api.TimerFired("unwanted"))
     w.give(api.CounterReplied("nothing", api.Outcome.OK, 1))
-    w.give(api.PeerSpoke(1, b"\xff\x00"))
-    w.give(api.AnswerBegan("nobody", 0, 1))
+    w.give(api.PeerMessageReceived(1, b"\xff\x00"))
+    w.give(api.ResponseStarted("nobody", 0, 1))
     send = one(w.ask("no such class", "no such plan"))
-    w.give(api.RequestLapsed(send.request))
+    w.give(api.RequestAbandoned(send.request))
     assert w.end(send, api.Outcome.TIMED_OUT) == []
     w.end(send, api.Outcome.TIMED_OUT)
 
@@ -343,7 +343,7 @@
     def away(price: float, load: int = 0) -> float:
         entries = [entry(n) for n in (1, 2)]
         entries += [api.BackendEntry(n, "b", 1, 0, api.BackendState.READY) for n in (3, 4)]
-        w = world(*entries, offers=api.Offers(price_crossing=price), seed=3)
+        w = world(*entries, offers=api.Capabilities(price_crossing=price), seed=3)
         for b in w.gateway.fleet.backends.values():
             b.out = load if b.id < 3 else 0
         there = 0
--- a/tests/decisions/test_hearsay.py
+++ b/tests/decisions/test_hearsay.py
@@ -17,7 +17,7 @@
     """How often backend 1 is chosen while others say that of it, of requests that all are answered."""
     count = 0
     for _ in range(times):
-        made.give(api.Hearsay({1: (started, level, seen_at)}))
+        made.give(api.PeerVerdictsChanged({1: (started, level, seen_at)}))
         made.now += 20.0
         (sent,) = sends(made.ask(customer="d", plan="none"))
         count += sent.backend == 1
@@ -29,7 +29,7 @@
     made = world()
     assert met(made, 0.0, math.inf) > 20
     assert met(made, 0.9, math.inf) <= 5
-    made.give(api.Hearsay({}))
+    made.give(api.PeerVerdictsChanged({}))
     assert met(made, 0.0, math.inf) > 20
 
 
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -21,7 +21,9 @@
     return sent
 
 
-def answer(world: World, call: api.Count, reading: float, outcome: api.Outcome = api.Outcome.OK) -> None:
+def answer(
+    world: World, call: api.AddToCounter, reading: float, outcome: api.Outcome = api.Outcome.OK
+) -> None:
     world.give(api.CounterReplied(call.name, outcome, reading))
 
 
@@ -194,7 +196,9 @@
     shares = [customer(world).share() for world in worlds]
     assert abs(sum(shares) - 1) < 0.05 and 0.7 < shares[0] < 0.9
     assert 0.9 * 200 < sum(through) < 1.15 * 220
-    told = [c for _, c in worlds[0].log if isinstance(c, api.Count) and c.name.startswith("w") and c.amount]
+    told = [
+        c for _, c in worlds[0].log if isinstance(c, api.AddToCounter) and c.name.startswith("w") and c.amount
+    ]
     assert len(told) <= 800 * 25 / WANTS_MS + 1
 
 
--- a/tests/decisions/test_membership.py
+++ b/tests/decisions/test_membership.py
@@ -59,7 +59,7 @@
                 self.ends[self.serial] = (self.there[place], done)
             elif isinstance(action, api.SetTimer):
                 heapq.heappush(self.timers, (self.now + action.delay, self.next(), place, action.token))
-            elif isinstance(action, api.Count):
+            elif isinstance(action, api.AddToCounter):
                 total, until = self.totals[action.name]
                 if until <= self.now:
                     total, until = 0.0, self.now + action.expire_in
--- a/tests/decisions/test_ordered.py
+++ b/tests/decisions/test_ordered.py
@@ -22,8 +22,8 @@
     world.give(api.OrdersChanged(limited, pools, **more))  # type: ignore[arg-type]
 
 
-def spends(actions: Iterable[api.Action]) -> list[api.Spend]:
-    return [a for a in actions if isinstance(a, api.Spend)]
+def spends(actions: Iterable[api.Action]) -> list[api.SpendRights]:
+    return [a for a in actions if isinstance(a, api.SpendRights)]
 
 
 def test_a_request_waits_for_rights_to_all_its_limits_and_is_sent_on_once() -> None:
@@ -31,8 +31,8 @@
     ordered(world, LIMITS)
     (asked,) = spends(world.ask())
     assert (asked.plan, set(asked.limits)) == ("", {"views", "basics", "basics open"})
-    assert len(sends(world.give(api.Granted(asked.request, True)))) == 1
-    assert world.give(api.Granted(asked.request, True)) == []
+    assert len(sends(world.give(api.RightsDecided(asked.request, True)))) == 1
+    assert world.give(api.RightsDecided(asked.request, True)) == []
     assert sends(world.ask("order", plan="bonus", customer="d"))  # under none
 
 
@@ -42,11 +42,11 @@
     ordered(world, LIMITS)
     (asked,) = spends(world.ask())
     if answer == "none":
-        actions = world.give(api.Granted(asked.request, False))
+        actions = world.give(api.RightsDecided(asked.request, False))
     else:
         actions = world.pass_time(2 * world.gateway.settings.count_wait + 10)
     assert [a.request for a in refusals(actions)] == [asked.request]
-    assert not sends(actions) and world.give(api.Granted(asked.request, True)) == []
+    assert not sends(actions) and world.give(api.RightsDecided(asked.request, True)) == []
 
 
 def test_a_ceiling_s_right_and_limits_are_asked_for_together_and_spent_once() -> None:
@@ -56,7 +56,7 @@
     (asked,) = spends(world.ask(plan="firm"))
     assert (asked.plan, asked.customer, asked.limits) == ("firm", "c", ("views",))
     own = world.gateway.quotas.customers["c"].ceiling.own
-    assert sends(world.give(api.Granted(asked.request, True)))
+    assert sends(world.give(api.RightsDecided(asked.request, True)))
     assert world.gateway.quotas.customers["c"].ceiling.own == own  # the right paid, not the even part
 
 
@@ -65,22 +65,22 @@
     ordered(world, POOL)
     asked = next(a for _ in range(40) for a in spends(world.ask()))
     assert asked.limits == ("in a",)
-    (sent,) = sends(world.give(api.Granted(asked.request, False)))
+    (sent,) = sends(world.give(api.RightsDecided(asked.request, False)))
     assert sent.backend == 3
     ordered(world, {**POOL, ("pool", "b"): ("in b",)})
     (asked,) = spends(world.ask())
-    (again,) = spends(world.give(api.Granted(asked.request, False)))
+    (again,) = spends(world.give(api.RightsDecided(asked.request, False)))
     assert set(asked.limits + again.limits) == {"in a", "in b"}
-    assert len(refusals(world.give(api.Granted(again.request, False)))) == 1
+    assert len(refusals(world.give(api.RightsDecided(again.request, False)))) == 1
 
 
 def test_limits_of_the_class_are_paid_before_that_of_a_pool_and_neither_twice() -> None:
     world = World([zoned(1, "a")], may_count=False)
     ordered(world, {**LIMITS, **POOL})
     (first,) = spends(world.ask())
-    (second,) = spends(world.give(api.Granted(first.request, True)))
+    (second,) = spends(world.give(api.RightsDecided(first.request, True)))
     assert "in a" not in first.limits and second.limits == ("in a",)
-    assert sends(world.give(api.Granted(second.request, True)))
+    assert sends(world.give(api.RightsDecided(second.request, True)))
 
 
 def test_a_further_attempt_goes_to_no_pool_with_a_limit() -> None:
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -66,7 +66,7 @@
 
     Where the class that fares worst counts by itself, less is kept from it.
     """
-    world, counter = World(MANY, offers=api.Offers(worst_class=read_worst_class(goal))), Counter()
+    world, counter = World(MANY, offers=api.Capabilities(worst_class=read_worst_class(goal))), Counter()
     world.pass_time(10_000)
     kept = part * KEPT * (1 - SAFE.importance / KEYED.importance) * BASIC.burst
 
--- a/tests/decisions/test_rules_hold.py
+++ b/tests/decisions/test_rules_hold.py
@@ -32,7 +32,7 @@
         self.asked: dict[str, tuple[str, float]] = {}
         self.final: set[str] = set()
         self.sent: dict[str, list[tuple[int, float, api.Outcome | None]]] = {}
-        self.calls: list[api.Count] = []
+        self.calls: list[api.AddToCounter] = []
         self.states = {i: api.BackendState.READY for i in range(5)}
         self.told_at = {i: -1e9 for i in range(5)}
         self.ceiling, self.ceiling_at = SHARED * 40, self.world.now
@@ -71,7 +71,7 @@
                 self.final.add(action.request)
             elif isinstance(action, api.Cancel):
                 assert action.attempt < len(self.sent[action.request])
-            elif isinstance(action, api.Count):
+            elif isinstance(action, api.AddToCounter):
                 self.calls.append(action)
 
     def out(self) -> list[tuple[str, int]]:
@@ -110,7 +110,7 @@
             self.check(world.give(api.CounterReplied(call.name, OUTCOMES[which], amount / 10)))
         elif what == "x" and (left := [r for r in self.sent if r not in self.final]):
             self.final.add(left[amount % len(left)])
-            self.check(world.give(api.RequestLapsed(left[amount % len(left)])))
+            self.check(world.give(api.RequestAbandoned(left[amount % len(left)])))
 
     def pass_time(self, amount: float) -> None:
         for _ in range(int(amount // 50) + 1):
@@ -139,7 +139,7 @@
         for action in world.ask(("view", "order", "wipe")[i % 3], ("basic", "firm")[i % 2], f"c{i % 17}"):
             if isinstance(action, api.Send) and i % 5:
                 world.end(action, OUTCOMES[i % 4])
-            elif isinstance(action, api.Count):
+            elif isinstance(action, api.AddToCounter):
                 world.give(api.CounterReplied(action.name, OUTCOMES[i % 2 * 3], i / 100))
         world.pass_time(60)
     return world.log
--- a/tests/decisions/test_settlement.py
+++ b/tests/decisions/test_settlement.py
@@ -29,7 +29,9 @@
 
     def __post_init__(self) -> None:
         self.random = random.Random(self.seed)
-        terms = dict(plans=(PLAN,), offers=api.Offers(settles=True), most_units=MOST, gateways=self.size)
+        terms = dict(
+            plans=(PLAN,), offers=api.Capabilities(settles=True), most_units=MOST, gateways=self.size
+        )
         many = [entry(n) for n in range(80)]  # so that quotas alone refuse
         self.worlds = [World(many, seed=self.seed + n, index=n, **terms) for n in range(self.size)]
 
@@ -61,7 +63,7 @@
     def charged(self, place: int) -> float:
         """Units that this gateway has charged: those that it has added, and those that it has yet to add."""
         c = self.worlds[place].gateway.quotas.customers.get("c")
-        calls = (a for _, a in self.worlds[place].log if isinstance(a, api.Count))
+        calls = (a for _, a in self.worlds[place].log if isinstance(a, api.AddToCounter))
         return sum(a.amount for a in calls if a.name.startswith("s")) + (c.unsaid if c else 0.0)
 
     def pass_time(self, milliseconds: float) -> None:
@@ -179,7 +181,7 @@
 
 def test_a_try_beyond_the_quota_is_not_charged_and_not_settled() -> None:
     free = api.Plan("bonus", rate=1, burst=2, beyond_earns=0.5)
-    world, counter = World(plans=(free,), offers=api.Offers(settles=True), most_units=MOST), Counter()
+    world, counter = World(plans=(free,), offers=api.Capabilities(settles=True), most_units=MOST), Counter()
     for _ in range(6):
         for send in sends(counter.play(world, world.ask(plan="bonus"))):
             world.give(api.AttemptEnded(send.request, 0, send.backend, api.Outcome.OK, 20.0, True, 5.0))
--- a/tests/decisions/test_strain.py
+++ b/tests/decisions/test_strain.py
@@ -15,7 +15,7 @@
 
 def lagged(world: World, lag: float, looks: int) -> None:
     for _ in range(looks):
-        world.give(api.LoopLagged(lag))
+        world.give(api.LoopLagMeasured(lag))
         world.now += 20
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,7 +16,7 @@
     deadline=3000,
     importance=4,
     effect=api.Effect.KEYED,
-    group=api.Group.CELL,
+    group=api.DedupScope.CELL,
     repeat_window=2000,
 )
 UNSAFE = api.RequestClass("wipe", aim=1000, deadline=3000, importance=2, effect=api.Effect.UNSAFE)
@@ -123,11 +123,11 @@
         while todo:
             action = todo.pop(0)
             done.append(action)
-            if isinstance(action, api.Count):
+            if isinstance(action, api.AddToCounter):
                 todo += world.give(self.reply(world.now, action))
         return done
 
-    def reply(self, now: float, call: api.Count) -> api.CounterReplied:
+    def reply(self, now: float, call: api.AddToCounter) -> api.CounterReplied:
         self.calls += 1
         if self.fails is not None:
             return api.CounterReplied(call.name, self.fails, 0.0)
@@ -150,8 +150,8 @@
     return [a for a in actions if isinstance(a, api.Send)]
 
 
-def counts(actions: Iterable[api.Action]) -> list[api.Count]:
-    return [a for a in actions if isinstance(a, api.Count)]
+def counts(actions: Iterable[api.Action]) -> list[api.AddToCounter]:
+    return [a for a in actions if isinstance(a, api.AddToCounter)]
 
 
 def refusals(actions: Iterable[api.Action]) -> list[api.Refuse]:
--- a/tests/operations/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -27,12 +27,12 @@
 HARD = api.Plan("firm", rate=10, burst=20, beyond_costs=1, beyond_earns=2, ceiling_rate=20, ceiling_burst=40)
 
 
-def estate_of(actions: list[api.Action]) -> api.Estate:
-    (told,) = [action.estate for action in actions if isinstance(action, api.HandOver)]
+def estate_of(actions: list[api.Action]) -> api.HandoverState:
+    (told,) = [action.estate for action in actions if isinstance(action, api.SendHandover)]
     return told
 
 
-def over_the_link(estate: api.Estate, kind: str, now: float) -> api.Estate:
+def over_the_link(estate: api.HandoverState, kind: str, now: float) -> api.HandoverState:
     got = read(write(kind, "n0", estate), kind, "n0", now)
     assert got is not None
     return got
@@ -66,15 +66,15 @@
                 self.give(world, api.AttemptEnded(send.request, 0, send.backend, api.Outcome.OK, 1.0, True))
 
     def meet(self) -> None:
-        given = estate_of(self.old.give(api.PartChanged(0.5)))
-        self.new.give(api.PartChanged(0.5))
-        self.new.give(api.Inherited(over_the_link(given, GIVES, self.new.now)))
+        given = estate_of(self.old.give(api.GatewayShareChanged(0.5)))
+        self.new.give(api.GatewayShareChanged(0.5))
+        self.new.give(api.HandoverReceived(over_the_link(given, GIVES, self.new.now)))
 
     def leave(self, told: bool) -> None:
-        rest = estate_of(self.old.give(api.PartChanged(0.0)))
-        self.new.give(api.PartChanged(1.0))
+        rest = estate_of(self.old.give(api.GatewayShareChanged(0.0)))
+        self.new.give(api.GatewayShareChanged(1.0))
         if told:
-            self.new.give(api.Inherited(over_the_link(rest, LEFT, self.new.now)))
+            self.new.give(api.HandoverReceived(over_the_link(rest, LEFT, self.new.now)))
 
     def check(self) -> None:
         """In no stretch of time more than the ceiling's burst and what its rate gives."""
@@ -158,7 +158,7 @@
     pair.pass_time(10_000)
     pair.flood(pair.old, 1)
     pair.meet()
-    pair.old.give(api.PartChanged(1.0))  # the link broke
+    pair.old.give(api.GatewayShareChanged(1.0))  # the link broke
     pair.pass_time(10_000)
     pair.flood(pair.old, 60)
     assert len(pair.sent) == 1 + HARD.ceiling_burst
@@ -166,7 +166,7 @@
 
 def test_beside_one_that_does_not_answer_nothing_of_a_ceiling_is_let_out_until_it_must_be_gone() -> None:
     world = World(gateways=1, plans=(HARD,), may_count=False)
-    world.give(api.Inherited(api.Estate(world.now + 9_700, (), (), 0.0, 0.0)))
+    world.give(api.HandoverReceived(api.HandoverState(world.now + 9_700, (), (), 0.0, 0.0)))
     pair = Pair(counted=False)
     pair.new = world
     pair.flood(world, 10)
@@ -183,8 +183,8 @@
     old.gateway.fleet.backends[1].marks = {"all": (0.9, 19_000.0)}
     old.gateway.fleet.backends[2].marks = {"all": (0.9, 19_000.0)}
     new.gateway.fleet.backends[2].started = 7.0
-    given = estate_of(old.give(api.PartChanged(0.5)))
-    new.give(api.Inherited(over_the_link(given, GIVES, new.now)))
+    given = estate_of(old.give(api.GatewayShareChanged(0.5)))
+    new.give(api.HandoverReceived(over_the_link(given, GIVES, new.now)))
     assert new.gateway.fleet.backends[1].marks == {"all": (0.9, 19_000.0)}
     assert not new.gateway.fleet.backends[2].marks
 
@@ -192,11 +192,11 @@
 # ---- the messages ----
 
 
-def full_estate() -> api.Estate:
+def full_estate() -> api.HandoverState:
     world = World(plans=(FIRM,), may_count=False)
     world.ask(plan="firm")
     world.gateway.fleet.backends[1].marks = {"all": (0.5, 9_000.0)}
-    return estate_of(world.give(api.PartChanged(0.5)))
+    return estate_of(world.give(api.GatewayShareChanged(0.5)))
 
 
 def test_an_estate_comes_over_as_it_was() -> None:
@@ -267,10 +267,10 @@
 def test_of_very_many_customers_those_met_last_are_told_and_the_rest_start_from_nothing() -> None:
     (held,) = full_estate().customers
     many = tuple(
-        api.Holding(f"c{n}", "firm", 2, {**held.lease, "asked_at": float(n)}, 1.0, 1.0, 0.0)
+        api.CustomerSnapshot(f"c{n}", "firm", 2, {**held.lease, "asked_at": float(n)}, 1.0, 1.0, 0.0)
         for n in range(MOST_CUSTOMERS + 5)
     )
-    got = over_the_link(api.Estate(5.0, many, (), 0.0, 0.0), GIVES, 777.0)
+    got = over_the_link(api.HandoverState(5.0, many, (), 0.0, 0.0), GIVES, 777.0)
     assert len(got.customers) == MOST_CUSTOMERS and got.since == 777.0
     assert {held.customer for held in got.customers}.isdisjoint({f"c{n}" for n in range(5)})
 
--- a/tests/operations/test_link.py
+++ b/tests/operations/test_link.py
@@ -34,14 +34,14 @@
 
     def give(self, event: api.Event) -> None:
         self.events.append(event)
-        if isinstance(event, api.PartChanged):
-            self.hand_over(api.Estate(1.0, (), (), 0.0, 0.0))
+        if isinstance(event, api.GatewayShareChanged):
+            self.hand_over(api.HandoverState(1.0, (), (), 0.0, 0.0))
 
     def parts(self) -> list[float]:
-        return [event.part for event in self.events if isinstance(event, api.PartChanged)]
+        return [event.part for event in self.events if isinstance(event, api.GatewayShareChanged)]
 
     def inherited(self) -> int:
-        return sum(isinstance(event, api.Inherited) for event in self.events)
+        return sum(isinstance(event, api.HandoverReceived) for event in self.events)
 
 
 class Ends:
@@ -146,7 +146,7 @@
         link, driver = ends.link()
         await link.inherit()
         (event,) = driver.events
-        assert isinstance(event, api.Inherited)
+        assert isinstance(event, api.HandoverReceived)
         assert event.estate.since > module.now_ms() + module.MOST_BESIDE_MS / 2
         server.close()
 
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -85,10 +85,12 @@
     return sorted([str(member.value) for member in kind] for kind in classes(Enum))
 
 
-def estate() -> api.Estate:
+def estate() -> api.HandoverState:
     """One of everything that a process hands to its successor."""
-    held = api.Holding("customer", "plan", 3, dict.fromkeys(api.LEASE, 1.5), 2.0, 3.0, 4.0, 5.0)
-    return api.Estate(1.0, (held,), (api.Seen(7, 9.0, {"slow": (0.5, 8.0)}),), 10.0, 11.0)
+    held = api.CustomerSnapshot(
+        "customer", "plan", 3, dict.fromkeys(api.LEASE_FIELDS, 1.5), 2.0, 3.0, 4.0, 5.0
+    )
+    return api.HandoverState(1.0, (held,), (api.BackendSnapshot(7, 9.0, {"slow": (0.5, 8.0)}),), 10.0, 11.0)
 
 
 def keys(value: Any) -> Any:
