--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -32,7 +32,7 @@
 from roadpulley.fleet.peers.envelope import MAC_BYTES
 from roadpulley.fleet.rights.allocator import Allocator
 from roadpulley.fleet.rights.holder import Holder
-from roadpulley.fleet.rights.terms import Ask, Given, Limit, Times
+from roadpulley.fleet.rights.messages import RightsRequest, RightsReply, Limit, Times
 from roadpulley.testbed.auditor import Bucket
 from roadpulley.testbed.fleet import Fleet, FleetPlan, Load
 from roadpulley.testbed.installation import Installation, Outcome
@@ -174,8 +174,8 @@
             if (again := holder.next_at()) < float("inf"):
                 heapq.heappush(self.due, (max(again, at + 0.005), place))
 
-    def exchange(self, now: float, holder: Holder, ask: Ask) -> None:
-        given: Given | None = self.allocator.asked(now + TRIP_S, ask)
+    def exchange(self, now: float, holder: Holder, ask: RightsRequest) -> None:
+        given: RightsReply | None = self.allocator.asked(now + TRIP_S, ask)
         assert given is not None
         holder.heard(now + 2 * TRIP_S, given)
         self.messages += 2
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -37,7 +37,7 @@
 from roadpulley.fleet.counts.client import PeerCounter
 from roadpulley.fleet.line import Line
 from roadpulley.fleet.orders.terms import Order
-from roadpulley.fleet.rights.terms import Limit
+from roadpulley.fleet.rights.messages import Limit
 from roadpulley.testbed import terms
 from roadpulley.testbed.fleet import Fleet, FleetPlan, Load, Member, Spender
 from roadpulley.testbed.installation import Installation
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -21,7 +21,7 @@
 from roadpulley.fleet.clock import Clock
 from roadpulley.fleet.control import ask
 from roadpulley.fleet.orders.terms import Order
-from roadpulley.fleet.rights.terms import Limit
+from roadpulley.fleet.rights.messages import Limit
 from roadpulley.testbed import open_world, orders_world
 from roadpulley.testbed.fleet import Fleet, FleetPlan
 from roadpulley.testbed.holders import read_lines
--- a/roadpulley/fleet/agent.py
+++ b/roadpulley/fleet/agent.py
@@ -38,8 +38,8 @@
 from .orders.terms import Order, Poll
 from .peers.envelope import Cause, Codec, Envelope
 from .peers.service import Post, Route
-from .rights.service import Rights
-from .rights.terms import Body as ForRights
+from .rights.service import RightsService
+from .rights.messages import Body as ForRights
 from .rights.work import DUTY as RIGHTS
 from .settings import DutySettings, FleetSettings, named
 from .settings import address as checked
@@ -127,7 +127,7 @@
         self.control = Control(settings.control, name, self._answer)
         self.problems: dict[str, str] = {}
         self.beside = Beside(settings.control / f"{name}.beside", self._beside_said)
-        self.rights: Rights | None = None
+        self.rights: RightsService | None = None
         self.counting: Counting | None = None
         self.orders: Orders | None = None
         self.verdicts: Verdicts | None = None
@@ -137,7 +137,7 @@
             )
         if settings.rights is not None:
             tell = self._tell_route
-            self.rights = Rights(
+            self.rights = RightsService(
                 settings.rights, self.beside, works, self.clock, self.rng, tell, self._routes, self._soon
             )
             self.duties.handing = self._handing
@@ -357,7 +357,7 @@
         for tell in tells:
             self.post.send(tell.address, tell.who.boot, tell.body)
 
-    def _parts(self) -> list[Rights | Counting | Orders | Verdicts]:
+    def _parts(self) -> list[RightsService | Counting | Orders | Verdicts]:
         parts = (self.rights, self.counting, self.orders, self.verdicts)
         return [part for part in parts if part is not None]
 
--- a/roadpulley/fleet/beside.py
+++ b/roadpulley/fleet/beside.py
@@ -17,7 +17,7 @@
 from .counts.terms import Add
 from .orders.terms import Poll
 from .place import Datagrams, Place
-from .rights.terms import FromHolder
+from .rights.messages import FromHolder
 from .verdicts.messages import ObservationBatch
 
 MOST_HOLDERS = 1_024  # processes beside this instance; those heard least lately go
--- a/roadpulley/fleet/line.py
+++ b/roadpulley/fleet/line.py
@@ -16,7 +16,7 @@
 from .counts.terms import Added
 from .orders.terms import Sheet, Standing
 from .place import Datagrams, Place
-from .rights.terms import Hello, ToHolder
+from .rights.messages import Hello, ToHolder
 from .verdicts.messages import VerdictSnapshot
 
 HELLO_S = 0.5
--- a/roadpulley/fleet/orders/client.py
+++ b/roadpulley/fleet/orders/client.py
@@ -11,8 +11,8 @@
 from roadpulley.core.discovery import host_number
 from roadpulley.fleet.clock import Clock, from_environment, wall_ms
 from roadpulley.fleet.line import Line
-from roadpulley.fleet.rights.client import Need, Purses
-from roadpulley.fleet.rights.holder import limit_of
+from roadpulley.fleet.rights.client import UnitCost, RightsClient
+from roadpulley.fleet.rights.holder import customer_limit_name
 
 from .even import EvenParts
 from .follower import Follower, Terms
@@ -94,7 +94,7 @@
 class Paying:
     """Rights of a gateway's requests: to ceilings, and to limits of operators. See `core.driver.Rights`."""
 
-    def __init__(self, purses: Purses, even: EvenParts) -> None:
+    def __init__(self, purses: RightsClient, even: EvenParts) -> None:
         self.purses, self.even = purses, even
 
     def ordered(self, orders: tuple[Order, ...]) -> None:
@@ -109,9 +109,9 @@
     ) -> None:
         now = self.purses.clock.now()
         ours = [limit for limit in asked.limits if self.even.take(now, limit, 1.0)]
-        needs = tuple(Need(limit, 1.0, lasting) for limit in asked.limits if limit not in ours)
+        needs = tuple(UnitCost(limit, 1.0, lasting) for limit in asked.limits if limit not in ours)
         if asked.plan:
-            needs = (Need(limit_of(asked.plan, asked.customer), asked.units), *needs)
+            needs = (UnitCost(customer_limit_name(asked.plan, asked.customer), asked.units), *needs)
 
         def known(paid: bool, ended: Ended | None) -> None:
             for limit in () if paid else ours:
--- a/roadpulley/fleet/orders/terms.py
+++ b/roadpulley/fleet/orders/terms.py
@@ -36,7 +36,7 @@
 
 import msgspec
 
-from roadpulley.fleet.rights.terms import MOST_KEY, OPEN, Limit
+from roadpulley.fleet.rights.messages import MAX_LIMIT_NAME_BYTES, CONCURRENCY_PREFIX, Limit
 
 MOST_ORDERS = 64
 MOST_SUBJECT, MOST_WHY, MOST_WHO = 64, 96, 32  # bytes
@@ -93,8 +93,8 @@
     @property
     def limit_name(self) -> str:
         """That of its limit, as rights to it are asked for. Subjects may be long, datagrams are short."""
-        name = f"{OPEN if self.kind == 'open' else '@rate:'}{self.scope}:{self.subject}"
-        if len(name.encode()) <= MOST_KEY // 2:
+        name = f"{CONCURRENCY_PREFIX if self.kind == 'open' else '@rate:'}{self.scope}:{self.subject}"
+        if len(name.encode()) <= MAX_LIMIT_NAME_BYTES // 2:
             return name
         return f"{name[:12]}{hashlib.blake2b(name.encode(), digest_size=16).hexdigest()}"
 
--- a/roadpulley/fleet/rights/allocator.py
+++ b/roadpulley/fleet/rights/allocator.py
@@ -10,17 +10,17 @@
 
 from roadpulley.fleet.duties.terms import Mono
 
-from .terms import UNITS, Ask, Given, Legacy, Limit, Right, Times, returns
+from .messages import UNIT_EPSILON, RightsRequest, RightsReply, LedgerSnapshot, Limit, RightId, Times, is_concurrency_limit
 
-MOST_PASSED, MOST_OUT = 2_000, 40  # books in one hand-over; rights out of one, so that it fits a datagram
-MOST_LIMITS = 100_000  # in memory; of a further one nothing is given out
-SWEEP_S = 5.0
-EVEN = 0.5  # of what is there: the most that one ask gets while others ask too
-SHORTEST_WAIT_S, LONGEST_WAIT_S = 0.02, 0.5
+MAX_SNAPSHOTS, MAX_OUTSTANDING_PER_SNAPSHOT = 2_000, 40  # books in one hand-over; rights out of one, so that it fits a datagram
+MAX_LIMITS = 100_000  # in memory; of a further one nothing is given out
+SWEEP_INTERVAL_S = 5.0
+MAX_CONTENDED_RATIO = 0.5  # of what is there: the most that one ask gets while others ask too
+MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.02, 0.5
 
 
 @dataclass(slots=True)
-class Out:
+class OutstandingRight:
     """A right that is out. `ends`: when its holder can surely spend it no more."""
 
     holder: int
@@ -29,17 +29,17 @@
 
 
 @dataclass(slots=True)
-class Account:
+class HolderAccount:
     """Of one holder at one limit: the last answer, and what it wants."""
 
     number: int
-    given: Given
+    given: RightsReply
     want: float
     asked_at: Mono
 
 
 @dataclass(slots=True)
-class Book:
+class LimitLedger:
     """One limit."""
 
     limit: Limit
@@ -48,24 +48,24 @@
     clear_at: Mono  # before that nothing is given out: rights of earlier allocators may be spent
     returns: bool = False  # its units come back with the end of what they were spent on
     held: float = 0.0  # units out
-    out: dict[int, Out] = field(default_factory=dict)
+    out: dict[int, OutstandingRight] = field(default_factory=dict)
     ending: list[tuple[Mono, int]] = field(default_factory=list)  # a heap of what is out
-    accounts: dict[int, Account] = field(default_factory=dict)
+    accounts: dict[int, HolderAccount] = field(default_factory=dict)
 
 
 @dataclass
-class Legacies:
+class InheritedLedgers:
     """Of one part: what the allocator of a fence showed, with when it came, and when it was first asked."""
 
     fence: int
     asked_at: Mono
-    books: dict[str, tuple[Mono, Legacy]] = field(default_factory=dict)
+    books: dict[str, tuple[Mono, LedgerSnapshot]] = field(default_factory=dict)
 
-    def take(self, now: Mono, legacy: Legacy) -> None:
+    def take(self, now: Mono, legacy: LedgerSnapshot) -> None:
         if legacy.fence == self.fence:
             self.books.setdefault(legacy.limit, (now, legacy))
 
-    def books_for(self, now: Mono, fence: int, times: Times) -> dict[str, tuple[Mono, Legacy]]:
+    def books_for(self, now: Mono, fence: int, times: Times) -> dict[str, tuple[Mono, LedgerSnapshot]]:
         """What a holding under a fence that begins now may go on from."""
         # Danger: later another allocator between may have given out what these books say is there.
         return self.books if self.fence < fence and now < self.asked_at + times.holds else {}
@@ -81,16 +81,16 @@
         limits: Mapping[str, Limit],
         times: Times,
         rng: random.Random,
-        legacy: Mapping[str, tuple[Mono, Legacy]] | None = None,
+        legacy: Mapping[str, tuple[Mono, LedgerSnapshot]] | None = None,
     ) -> None:
         """`legacy`: sealed books of the one before, with when they came here."""
         self.fence, self.began, self.times, self.rng = fence, began, times, rng
         self.limits = dict(limits)
-        self.books: dict[str, Book] = {}
+        self.books: dict[str, LimitLedger] = {}
         self.legacy = dict(legacy or {})
         self.sealed = False
         self.count = 0  # rights given out
-        self.next_sweep = began + SWEEP_S
+        self.next_sweep = began + SWEEP_INTERVAL_S
         self.given = self.refused = self.ended = 0.0  # units given out; asked for in vain; ended unheard
 
     @property
@@ -104,7 +104,7 @@
 
     # ---- what is asked ----
 
-    def asked(self, now: Mono, ask: Ask) -> Given | None:
+    def asked(self, now: Mono, ask: RightsRequest) -> RightsReply | None:
         """The answer; None for an ask of the past, or of a limit that there is not."""
         if self.sealed or ask.fence != self.fence or not (0 <= ask.least <= ask.want < math.inf):
             return None
@@ -120,11 +120,11 @@
         for closed in ask.closed:
             self.close(book, ask.holder, closed.right, closed.unused)
         given = self._give(now, book, ask)
-        book.accounts[ask.holder] = Account(ask.number, given, ask.want, now)
+        book.accounts[ask.holder] = HolderAccount(ask.number, given, ask.want, now)
         self._sweep(now)
         return given
 
-    def close(self, book: Book, holder: int, right: Right, unused: float) -> None:
+    def close(self, book: LimitLedger, holder: int, right: RightId, unused: float) -> None:
         """A right was written off by its holder: what it did not spend may be given out again."""
         # Danger: numbers begin anew with each fence, and a right that ended here may be given up late. Either
         # would add units that are out with somebody else.
@@ -141,9 +141,9 @@
         book.held -= out.units
         book.level = min(book.level + back, book.limit.burst - book.held)
 
-    def _give(self, now: Mono, book: Book, ask: Ask) -> Given:
+    def _give(self, now: Mono, book: LimitLedger, ask: RightsRequest) -> RightsReply:
         there = book.level
-        if there < ask.least or there <= UNITS or not ask.want:
+        if there < ask.least or there <= UNIT_EPSILON or not ask.want:
             if ask.want:
                 self.refused += ask.want
             return self._answer(ask, 0, 0.0, self._wait(now, book, ask))
@@ -153,13 +153,13 @@
         ends = now + self.lease(book.limit)
         book.level -= units
         book.held += units
-        book.out[self.count] = Out(ask.holder, units, ends)
+        book.out[self.count] = OutstandingRight(ask.holder, units, ends)
         heapq.heappush(book.ending, (ends, self.count))
         return self._answer(ask, self.count, units, lease=self.lease(book.limit))
 
-    def _answer(self, ask: Ask, number: int, units: float, wait_ms: int = 0, lease: float = 0.0) -> Given:
-        right, holds = Right(self.fence, number), self.times.held(lease or self.times.lease)
-        return Given(ask.holder, ask.number, ask.limit, right, units, holds, wait_ms)
+    def _answer(self, ask: RightsRequest, number: int, units: float, wait_ms: int = 0, lease: float = 0.0) -> RightsReply:
+        right, holds = RightId(self.fence, number), self.times.held(lease or self.times.lease)
+        return RightsReply(ask.holder, ask.number, ask.limit, right, units, holds, wait_ms)
 
     def lease(self, limit: Limit) -> float:
         return limit.lease or self.times.lease
@@ -167,25 +167,25 @@
     def clears(self, limit: Limit) -> Mono:
         return self.began + max(self.times.clear, self.lease(limit))
 
-    def _part(self, now: Mono, book: Book, ask: Ask) -> float:
+    def _part(self, now: Mono, book: LimitLedger, ask: RightsRequest) -> float:
         """Of what is there: its part of what all of late have wanted, and alone all of it."""
         since = now - self.times.lease
         others = sum(
             a.want for holder, a in book.accounts.items() if holder != ask.holder and a.asked_at > since
         )
-        return 1.0 if not others else min(EVEN, ask.want / (ask.want + others))
+        return 1.0 if not others else min(MAX_CONTENDED_RATIO, ask.want / (ask.want + others))
 
-    def _wait(self, now: Mono, book: Book, ask: Ask) -> int:
+    def _wait(self, now: Mono, book: LimitLedger, ask: RightsRequest) -> int:
         """Milliseconds until there may be enough, apart from those that others are told."""
         lacks = ask.least - book.level
-        fills = lacks / book.limit.rate if book.limit.rate else SHORTEST_WAIT_S
+        fills = lacks / book.limit.rate if book.limit.rate else MIN_RETRY_DELAY_S
         wait = max(0.0, book.clear_at - now) + fills
-        wait = min(LONGEST_WAIT_S, max(SHORTEST_WAIT_S, wait)) * self.rng.uniform(0.8, 1.2)
+        wait = min(MAX_RETRY_DELAY_S, max(MIN_RETRY_DELAY_S, wait)) * self.rng.uniform(0.8, 1.2)
         return int(wait * 1000) if ask.want else 0
 
     # ---- time ----
 
-    def fill(self, now: Mono, book: Book) -> None:
+    def fill(self, now: Mono, book: LimitLedger) -> None:
         """What time has given back, and which rights have ended, in the order in which both came.
 
         Danger: filled in one step, a level would rise above what the rights left room for at the time.
@@ -200,7 +200,7 @@
             self.ended += out.units
         self._rise(now, book)
 
-    def _rise(self, now: Mono, book: Book) -> None:
+    def _rise(self, now: Mono, book: LimitLedger) -> None:
         if book.returns:
             book.level = book.limit.burst - book.held if now >= book.clear_at else 0.0
             return
@@ -212,36 +212,36 @@
 
     # ---- limits ----
 
-    def book(self, name: str) -> Book | None:
+    def book(self, name: str) -> LimitLedger | None:
         """Of a limit, or of one customer of a plan (`PLAN/CUSTOMER`); None where there is no such limit."""
         limit, found = self.limit(name), self.books.get(name)
-        if limit is None or (found is None and len(self.books) >= MOST_LIMITS):
+        if limit is None or (found is None and len(self.books) >= MAX_LIMITS):
             return None
         if found is None:
             clear = self.clears(limit)
-            found = self.books[name] = Book(limit, 0.0, clear, clear, returns(name))
+            found = self.books[name] = LimitLedger(limit, 0.0, clear, clear, is_concurrency_limit(name))
             if (left := self.legacy.pop(name, None)) is not None:
                 self._inherit(found, *left)
         return found
 
     # ---- hand-over ----
 
-    def seal(self, now: Mono, part: int) -> list[Legacy]:
+    def seal(self, now: Mono, part: int) -> list[LedgerSnapshot]:
         """Give out nothing more; gives the books that somebody may go on from, the last used first."""
         self.sealed = True
-        found: list[Legacy] = []
+        found: list[LedgerSnapshot] = []
         for name, book in reversed(self.books.items()):
             self.fill(now, book)
             # Danger: one that was waiting itself knows nothing of what its forerunners gave out.
-            if now >= book.clear_at and len(book.out) <= MOST_OUT and len(found) < MOST_PASSED:
+            if now >= book.clear_at and len(book.out) <= MAX_OUTSTANDING_PER_SNAPSHOT and len(found) < MAX_SNAPSHOTS:
                 out = tuple((o.units, o.ends - now) for o in book.out.values())
-                found.append(Legacy(part, self.fence, name, book.level, out))
+                found.append(LedgerSnapshot(part, self.fence, name, book.level, out))
         return found
 
-    def _inherit(self, book: Book, came: Mono, left: Legacy) -> None:
+    def _inherit(self, book: LimitLedger, came: Mono, left: LedgerSnapshot) -> None:
         """Go on from a sealed book. Its times count from when it came, which was after it was sealed."""
         # Danger: rights of another fence can't be given up here; under our own numbers it would seem so.
-        book.out = {-n: Out(0, units, came + lasts) for n, (units, lasts) in enumerate(left.out, 1)}
+        book.out = {-n: OutstandingRight(0, units, came + lasts) for n, (units, lasts) in enumerate(left.out, 1)}
         book.ending = [(out.ends, n) for n, out in book.out.items()]
         heapq.heapify(book.ending)
         book.held = sum(out.units for out in book.out.values())
@@ -269,7 +269,7 @@
         """Forget what says nothing any more: holders that have gone, limits that are full again."""
         if now < self.next_sweep:
             return
-        self.next_sweep = now + SWEEP_S
+        self.next_sweep = now + SWEEP_INTERVAL_S
         for name, book in list(self.books.items()):
             self.fill(now, book)
             # Danger: an account that went while its last ask may come again would answer that with a second
@@ -278,6 +278,6 @@
             book.accounts = {h: a for h, a in book.accounts.items() if a.asked_at > since}
             # Danger: a book that comes back starts as full as time since this allocator's beginning makes it.
             fills = book.limit.burst / book.limit.rate * (1 + self.times.drift) if book.limit.rate else 0.0
-            whole = book.level >= book.limit.burst - UNITS and now - self.clears(book.limit) >= fills
+            whole = book.level >= book.limit.burst - UNIT_EPSILON and now - self.clears(book.limit) >= fills
             if not book.accounts and not book.out and whole:
                 del self.books[name]
--- a/roadpulley/fleet/rights/client.py
+++ b/roadpulley/fleet/rights/client.py
@@ -14,8 +14,8 @@
 from roadpulley.fleet.clock import Clock, from_environment
 from roadpulley.fleet.line import Line
 
-from .holder import NEVER_DUE, Holder, Paid, limit_of
-from .terms import Given, Hello, Serving, Welcome, returns
+from .holder import NEVER_DUE, Holder, Payment, customer_limit_name
+from .messages import RightsReply, Hello, AllocatorAnnouncement, Welcome, is_concurrency_limit
 
 LEAST_WAIT_S = 0.001  # of the timer's own rounding
 
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True)
-class Need:
+class UnitCost:
     """Units of one limit. `lasting`: seconds for which they may be in use, where they come back."""
 
     limit: str
@@ -34,21 +34,21 @@
 
 
 @dataclass(eq=False)
-class Wish:
+class PendingSpend:
     """One act that waits until all its needs can be paid at once, or its time is up."""
 
-    needs: tuple[Need, ...]
+    needs: tuple[UnitCost, ...]
     done: Callable[[bool, Ended | None], None]
     timer: asyncio.TimerHandle | None = None
 
 
-class Purses:
+class RightsClient:
     """What a process holds of all limits."""
 
     def __init__(self, line: Line, clock: Clock | None = None) -> None:
         self.line, self.clock = line, clock or from_environment()
         self.machine: Holder | None = None  # until an instance has told the settings
-        self.waiting: dict[str, list[Wish]] = {}
+        self.waiting: dict[str, list[PendingSpend]] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = NEVER_DUE  # by our clock
         self.paid_at = 0.0  # by our clock: the last look at it before an act
@@ -78,10 +78,10 @@
 
     def wish(self, plan: str, customer: str, units: float, within: float, done: Done) -> None:
         """Spend so much of a customer's limit as soon as it is held, as `wish_all` does."""
-        self.wish_all((Need(limit_of(plan, customer), units),), within, lambda paid, _: done(paid))
+        self.wish_all((UnitCost(customer_limit_name(plan, customer), units),), within, lambda paid, _: done(paid))
 
     def wish_all(
-        self, needs: tuple[Need, ...], within: float, done: Callable[[bool, Ended | None], None]
+        self, needs: tuple[UnitCost, ...], within: float, done: Callable[[bool, Ended | None], None]
     ) -> None:
         """Pay all needs at once, as soon as that can be; none of them before.
 
@@ -93,13 +93,13 @@
         now = self.clock.now()
         for need in needs:
             self.machine.want(now, need.limit, need.units)
-        wish = Wish(needs, done)
+        wish = PendingSpend(needs, done)
         lacking = self._pay(now, wish)
         self._set()
         if lacking is not None and self._wait(lacking, wish):
             wish.timer = asyncio.get_running_loop().call_later(within, self._expire, wish)
 
-    def _pay(self, now: float, wish: Wish) -> str | None:
+    def _pay(self, now: float, wish: PendingSpend) -> str | None:
         """Pay it, if all its needs can be; gives a limit that can't."""
         machine = self.machine
         assert machine is not None
@@ -107,14 +107,14 @@
         if not lacking:
             self.paid_at = now
             paid = [(need.limit, machine.pay(now, need.limit, need.units)) for need in wish.needs]
-            back = [(limit, lots) for limit, lots in paid if returns(limit)]
+            back = [(limit, lots) for limit, lots in paid if is_concurrency_limit(limit)]
             self._end(wish, True, partial(self._ended, back) if back else None)
         for need in wish.needs:
             if ask := machine.ask_now(now, need.limit):
                 self.line.send(ask)
         return next((limit for limit in lacking if not self._asks(limit)), lacking[0]) if lacking else None
 
-    def _wait(self, limit: str, wish: Wish) -> bool:
+    def _wait(self, limit: str, wish: PendingSpend) -> bool:
         """For an answer about a limit, if one may come: else it is told so at once."""
         if not self._asks(limit):
             self._end(wish, False)  # nobody is there to ask, or it was told to wait for longer
@@ -126,7 +126,7 @@
         purse = self.machine.purses.get(limit) if self.machine is not None else None
         return purse is not None and purse.open is not None
 
-    def _ended(self, back: list[tuple[str, Paid]]) -> None:
+    def _ended(self, back: list[tuple[str, Payment]]) -> None:
         assert self.machine is not None
         for limit, lots in back:
             self.machine.ended(self.clock.now(), limit, lots)
@@ -134,13 +134,13 @@
                 self._answered(limit)
         self._set()
 
-    def _expire(self, wish: Wish) -> None:
+    def _expire(self, wish: PendingSpend) -> None:
         for rows in self.waiting.values():
             if wish in rows:
                 rows.remove(wish)
                 return self._end(wish, False)
 
-    def _end(self, wish: Wish, paid: bool, ended: Ended | None = None) -> None:
+    def _end(self, wish: PendingSpend, paid: bool, ended: Ended | None = None) -> None:
         if wish.timer is not None:
             wish.timer.cancel()
         wish.done(paid, ended)
@@ -155,7 +155,7 @@
     # ---- messages ----
 
     def _heard(self, body: Any) -> None:
-        if not isinstance(body, Welcome | Serving | Given):
+        if not isinstance(body, Welcome | AllocatorAnnouncement | RightsReply):
             return
         now = self.clock.now()
         if isinstance(body, Welcome):
@@ -164,7 +164,7 @@
                 self.line.send(Hello(self.line.number))  # who serves is told again, now that it can be kept
         elif self.machine is None:
             return
-        elif isinstance(body, Serving):
+        elif isinstance(body, AllocatorAnnouncement):
             self.machine.serving(now, body.part, body.fence, body.left_ms / 1000)
         elif body.holder == self.line.number:
             limit, waited = body.limit, self._asks(body.limit)
--- a/roadpulley/fleet/rights/holder.py
+++ b/roadpulley/fleet/rights/holder.py
@@ -10,7 +10,7 @@
 
 from roadpulley.fleet.duties.terms import Mono
 
-from .terms import MOST_CLOSED, MOST_KEY, UNITS, Ask, Closed, Given, Right, Times, returns
+from .messages import MAX_RETURNED_PER_REQUEST, MAX_LIMIT_NAME_BYTES, UNIT_EPSILON, RightsRequest, ReturnedRight, RightsReply, RightId, Times, is_concurrency_limit
 
 NEVER_DUE = math.inf
 MEMORY_S = 1.0  # of what is wanted: for how long a wish counts
@@ -23,42 +23,42 @@
 
 
 @dataclass(slots=True)
-class Lot:
+class HeldRight:
     """A right that is held. By our own clock: `until` it may be spent, after `keep` it is given up.
 
     `used`: units that come back once what they were spent on has ended.
     """
 
-    right: Right
+    right: RightId
     units: float
     until: Mono
     keep: Mono
     used: float = 0.0
 
 
-Paid = list[tuple[Lot, float]]  # of one payment: from which rights how much
+Payment = list[tuple[HeldRight, float]]  # of one payment: from which rights how much
 
 
 @dataclass(slots=True)
-class Open:
+class PendingRequest:
     """The ask that waits for its answer."""
 
-    ask: Ask
+    ask: RightsRequest
     first_at: Mono
     again_at: Mono
     tries: int = 1
 
 
 @dataclass(slots=True)
-class Purse:
+class LimitHolding:
     """Of one limit."""
 
     limit: str
     part: int
-    lots: list[Lot] = field(default_factory=list)  # the oldest first
-    closed: list[Closed] = field(default_factory=list)  # to be told
+    lots: list[HeldRight] = field(default_factory=list)  # the oldest first
+    closed: list[ReturnedRight] = field(default_factory=list)  # to be told
     tell_at: Mono = NEVER_DUE  # at the latest; with the next ask before that
-    open: Open | None = None
+    open: PendingRequest | None = None
     wanted: float = 0.0  # lately: a fading sum
     wanted_at: Mono = 0.0
     largest: float = 0.0  # of late wishes
@@ -69,7 +69,7 @@
 
     @property
     def returns(self) -> bool:
-        return returns(self.limit)
+        return is_concurrency_limit(self.limit)
 
     def there(self, now: Mono) -> float:
         """What can be spent now.
@@ -87,7 +87,7 @@
 
     def __init__(self, number: int, parts: int, times: Times) -> None:
         self.number, self.parts, self.times = number, parts, times
-        self.purses: dict[str, Purse] = {}
+        self.purses: dict[str, LimitHolding] = {}
         self.fences: dict[int, int] = {}  # by part: the highest that an allocator was heard to serve under
         self.until: dict[int, Mono] = {}  # by part: for which it serves, as far as we know
         self.looks: list[tuple[Mono, str]] = []  # a heap: when to look at which; some are out of date
@@ -122,13 +122,13 @@
         purse = self._purse(now, limit)
         # Danger: of wishes that wait each has its own; by another's it could outlast the right that pays.
         purse.lasting = lasting if purse.returns else 0.0
-        if purse.there(now) >= units - UNITS:
+        if purse.there(now) >= units - UNIT_EPSILON:
             return True
         purse.lacks = max(purse.lacks, units)
         self.unpaid += units
         return False
 
-    def pay(self, now: Mono, limit: str, units: float) -> Paid:
+    def pay(self, now: Mono, limit: str, units: float) -> Payment:
         """Spend what `can` has found just before; gives what `ended` takes back where units come back."""
         purse, left, out = self._purse(now, limit), units, []
         self.spent += units
@@ -140,7 +140,7 @@
         purse.lacks = 0.0
         return out
 
-    def ended(self, now: Mono, limit: str, paid: Paid) -> None:
+    def ended(self, now: Mono, limit: str, paid: Payment) -> None:
         """What units were spent on has ended: they may be spent again, while their right lasts."""
         for lot, units in paid:
             lot.used -= units
@@ -148,9 +148,9 @@
         if (purse := self.purses.get(limit)) is not None:
             self._plan(now, purse)
 
-    def _purse(self, now: Mono, limit: str) -> Purse:
+    def _purse(self, now: Mono, limit: str) -> LimitHolding:
         if (found := self.purses.get(limit)) is None:
-            found = self.purses[limit] = Purse(limit, part_of(limit, self.parts), wanted_at=now)
+            found = self.purses[limit] = LimitHolding(limit, partition_of(limit, self.parts), wanted_at=now)
         return found
 
     # ---- to ask ----
@@ -171,7 +171,7 @@
         self.until[part] = now + left
         return True
 
-    def tick(self, now: Mono) -> list[Ask]:
+    def tick(self, now: Mono) -> list[RightsRequest]:
         """Asks that are due: new ones, and those that were not answered."""
         out = []
         while self.looks and self.looks[0][0] <= now:
@@ -186,7 +186,7 @@
                 out.append(ask)
         return out
 
-    def ask_now(self, now: Mono, limit: str) -> Ask | None:
+    def ask_now(self, now: Mono, limit: str) -> RightsRequest | None:
         """What is to be asked of one limit: for a wish that waits, or as its time has come."""
         purse = self.purses.get(limit)
         if purse is None:
@@ -196,7 +196,7 @@
         self._plan(now, purse)
         return ask
 
-    def _ask(self, now: Mono, purse: Purse) -> Ask | None:
+    def _ask(self, now: Mono, purse: LimitHolding) -> RightsRequest | None:
         fence = self.fences.get(purse.part, 0)
         if not fence or now >= self.until.get(purse.part, 0.0):
             return None  # nobody serves, as far as we know: what was given up ends by itself
@@ -206,15 +206,15 @@
         want, least = (0.0, 0.0) if now < purse.rest_until else (want, least)
         if not want and now < purse.tell_at:
             return None
-        closed = tuple(purse.closed[:MOST_CLOSED])
-        del purse.closed[:MOST_CLOSED]
+        closed = tuple(purse.closed[:MAX_RETURNED_PER_REQUEST])
+        del purse.closed[:MAX_RETURNED_PER_REQUEST]
         purse.tell_at = now if purse.closed else NEVER_DUE
         self.asks += 1
-        ask = Ask(purse.part, fence, self.number, self.asks, purse.limit, want, least, closed)
-        purse.open = Open(ask, now, now + self.times.answer)
+        ask = RightsRequest(purse.part, fence, self.number, self.asks, purse.limit, want, least, closed)
+        purse.open = PendingRequest(ask, now, now + self.times.answer)
         return ask
 
-    def _again(self, now: Mono, purse: Purse, waiting: Open) -> Ask | None:
+    def _again(self, now: Mono, purse: LimitHolding, waiting: PendingRequest) -> RightsRequest | None:
         if now >= waiting.first_at + self.times.waits:
             purse.open = None  # whatever was given for it ends by itself
             purse.rest_until = now + self.times.answer
@@ -225,7 +225,7 @@
         waiting.again_at = now + self.times.answer * 2 ** (waiting.tries - 1)
         return waiting.ask
 
-    def _need(self, now: Mono, purse: Purse) -> tuple[float, float]:
+    def _need(self, now: Mono, purse: LimitHolding) -> tuple[float, float]:
         """Units to ask for, and the least that is of use."""
         ahead = purse.wanted * math.exp((purse.wanted_at - now) / MEMORY_S) / MEMORY_S * AHEAD_S
         if purse.returns:  # what is in use comes back and is spent again
@@ -239,7 +239,7 @@
 
     # ---- answers, and time ----
 
-    def heard(self, now: Mono, given: Given) -> bool:
+    def heard(self, now: Mono, given: RightsReply) -> bool:
         """An answer; whether there is more to spend now."""
         purse = self.purses.get(given.limit)
         waiting = purse.open if purse is not None else None
@@ -254,37 +254,37 @@
         if given.units > 0:
             until = waiting.first_at + holds
             keep = min(holds, self.times.holds) * self.times.keep
-            purse.lots.append(Lot(given.right, given.units, until, waiting.first_at + keep))
+            purse.lots.append(HeldRight(given.right, given.units, until, waiting.first_at + keep))
         self._plan(now, purse)
         return given.units > 0
 
-    def _write_off(self, now: Mono, purse: Purse) -> None:
+    def _write_off(self, now: Mono, purse: LimitHolding) -> None:
         """What is used up or has been held for long is given up, before that is told."""
         kept = []
         for lot in purse.lots:
             if now >= lot.until:
                 continue  # the allocator will find that it has ended
             if purse.returns:
-                if lot.units > UNITS and now >= lot.keep:
+                if lot.units > UNIT_EPSILON and now >= lot.keep:
                     self._close(now, purse, lot)
                     lot.units = 0.0
                 # Danger: what is in use of it comes back here, and has to be told when it does.
-                if lot.units > UNITS or lot.used > UNITS:
+                if lot.units > UNIT_EPSILON or lot.used > UNIT_EPSILON:
                     kept.append(lot)
                 continue
-            if lot.units > UNITS and now < lot.keep:
+            if lot.units > UNIT_EPSILON and now < lot.keep:
                 kept.append(lot)
                 continue
             self._close(now, purse, lot)
         purse.lots = kept
 
-    def _close(self, now: Mono, purse: Purse, lot: Lot) -> None:
+    def _close(self, now: Mono, purse: LimitHolding, lot: HeldRight) -> None:
         if lot.right.fence != self.fences.get(purse.part):
             return  # nobody is left who gave it out
         self.given_up += lot.units
-        purse.closed.append(Closed(lot.right, lot.units))
+        purse.closed.append(ReturnedRight(lot.right, lot.units))
         # What was all spent is told with the next ask: until then the limit has a little less room.
-        patience = 0.0 if lot.units > UNITS else TELL * self.times.lease
+        patience = 0.0 if lot.units > UNIT_EPSILON else TELL * self.times.lease
         patience = self.times.answer if purse.returns else patience  # one message for what ends together
         purse.tell_at = min(purse.tell_at, now + patience)
 
@@ -292,7 +292,7 @@
         """When `tick` may have something to do, unless a wish comes before."""
         return self.looks[0][0] if self.looks else NEVER_DUE
 
-    def _plan(self, now: Mono, purse: Purse) -> None:
+    def _plan(self, now: Mono, purse: LimitHolding) -> None:
         """Look at it when something of it is due. The work of a wish does not grow with the limits in use."""
         due = min(self._dues(purse))
         if now >= self.until.get(purse.part, 0.0):
@@ -302,7 +302,7 @@
             purse.planned = due
             heapq.heappush(self.looks, (due, purse.limit))
 
-    def _dues(self, purse: Purse) -> Iterator[Mono]:
+    def _dues(self, purse: LimitHolding) -> Iterator[Mono]:
         yield purse.wanted_at + IDLE_S
         if purse.open is not None:
             yield min(purse.open.again_at, purse.open.first_at + self.times.waits)
@@ -311,19 +311,19 @@
             if purse.lacks:
                 yield purse.rest_until
         # Of a right that is all in use nothing is to be given up yet.
-        yield from (lot.until if purse.returns and lot.units <= UNITS else lot.keep for lot in purse.lots)
+        yield from (lot.until if purse.returns and lot.units <= UNIT_EPSILON else lot.keep for lot in purse.lots)
 
-    def _of(self, part: int) -> Iterator[Purse]:
+    def _of(self, part: int) -> Iterator[LimitHolding]:
         return (purse for purse in self.purses.values() if purse.part == part)
 
 
-def limit_of(plan: str, customer: str) -> str:
+def customer_limit_name(plan: str, customer: str) -> str:
     """The name of a customer's own limit; keys may be long, and datagrams are short."""
-    if len(name := f"{plan}/{customer}") <= MOST_KEY // 2:
+    if len(name := f"{plan}/{customer}") <= MAX_LIMIT_NAME_BYTES // 2:
         return name
     return f"{plan[:32]}/{hashlib.blake2b(customer.encode(), digest_size=16).hexdigest()}"
 
 
-def part_of(limit: str, parts: int) -> int:
+def partition_of(limit: str, parts: int) -> int:
     """Which allocator gives out the rights of a limit; the same at every instance and in every version."""
     return int.from_bytes(hashlib.blake2b(limit.encode(), digest_size=4).digest(), "big") % parts
--- a/roadpulley/fleet/rights/terms.py
+++ b/roadpulley/fleet/rights/messages.py
@@ -43,10 +43,10 @@
 
 import msgspec
 
-MOST_KEY = 96  # bytes of a limit's name
-MOST_CLOSED = 16  # rights given up with one ask
-UNITS = 1e-6  # what rounding may leave of a difference
-OPEN = "@open:"  # begins the names of limits on what is open at once
+MAX_LIMIT_NAME_BYTES = 96  # bytes of a limit's name
+MAX_RETURNED_PER_REQUEST = 16  # rights given up with one ask
+UNIT_EPSILON = 1e-6  # what rounding may leave of a difference
+CONCURRENCY_PREFIX = "@open:"  # begins the names of limits on what is open at once
 
 
 class Limit(msgspec.Struct, frozen=True):
@@ -66,13 +66,13 @@
             raise ValueError(f"rate is {self.rate:g}; give 0 or more")
 
 
-def returns(limit: str) -> bool:
+def is_concurrency_limit(limit: str) -> bool:
     """Whether its units come back with the end of what they were spent on, and not with time.
 
     Invariant of these: at no moment more than `burst` are in use. A right lasts longer than anything that it
     is spent on: a holder uses a unit only for what surely ends before the right does.
     """
-    return limit.startswith(OPEN)
+    return limit.startswith(CONCURRENCY_PREFIX)
 
 
 class Times(msgspec.Struct, frozen=True):
@@ -119,24 +119,24 @@
         return self.holds * self.keep
 
 
-class Right(msgspec.Struct, array_like=True, frozen=True):
+class RightId(msgspec.Struct, array_like=True, frozen=True):
     """The name of one: numbers are counted under each allocator's own fence."""
 
     fence: int
     number: int
 
 
-class Closed(msgspec.Struct, array_like=True, frozen=True):
+class ReturnedRight(msgspec.Struct, array_like=True, frozen=True):
     """A right that its holder has written off; `unused` units of it were not spent."""
 
-    right: Right
+    right: RightId
     unused: float
 
 
 # ---- messages ----
 
 
-class Serving(msgspec.Struct, tag="r-serve", array_like=True, frozen=True):
+class AllocatorAnnouncement(msgspec.Struct, tag="r-serve", array_like=True, frozen=True):
     """I give out the rights of this part of all limits. `left_ms`: for how long, unless I say so again."""
 
     part: int
@@ -144,7 +144,7 @@
     left_ms: int
 
 
-class Ask(msgspec.Struct, tag="r-ask", array_like=True, frozen=True):
+class RightsRequest(msgspec.Struct, tag="r-ask", array_like=True, frozen=True):
     """Give me `want` units, or none under `least`. To the allocator of `fence`, with what is given up.
 
     `holder`: one process that spends, by a number that it drew; `number`: of its asks.
@@ -157,16 +157,16 @@
     limit: str
     want: float
     least: float
-    closed: tuple[Closed, ...] = ()
+    closed: tuple[ReturnedRight, ...] = ()
 
 
-class Given(msgspec.Struct, tag="r-given", array_like=True, frozen=True):
+class RightsReply(msgspec.Struct, tag="r-given", array_like=True, frozen=True):
     """The answer: units of a right, or none and when to ask again."""
 
     holder: int
     number: int
     limit: str
-    right: Right
+    right: RightId
     units: float
     holds: float  # seconds from the first ask, by the holder's clock, by what the allocator goes by
     wait_ms: int = 0
@@ -175,21 +175,21 @@
 # ---- between an allocator that hands its duty over and the next ----
 
 
-class Heir(msgspec.Struct, tag="r-heir", array_like=True, frozen=True):
+class HandoverOffer(msgspec.Struct, tag="r-heir", array_like=True, frozen=True):
     """I hand this part over, and you may be next: ask for my books."""
 
     part: int
     fence: int
 
 
-class HeirAsk(msgspec.Struct, tag="r-hask", array_like=True, frozen=True):
+class HandoverRequest(msgspec.Struct, tag="r-hask", array_like=True, frozen=True):
     """Seal your books, and show me them."""
 
     part: int
     fence: int
 
 
-class Legacy(msgspec.Struct, tag="r-legacy", array_like=True, frozen=True):
+class LedgerSnapshot(msgspec.Struct, tag="r-legacy", array_like=True, frozen=True):
     """One sealed book: what was left, and rights that are out (units, and seconds until they have ended)."""
 
     part: int
@@ -199,7 +199,7 @@
     out: tuple[tuple[float, float], ...]
 
 
-Body: TypeAlias = Serving | Ask | Given | Heir | HeirAsk | Legacy
+Body: TypeAlias = AllocatorAnnouncement | RightsRequest | RightsReply | HandoverOffer | HandoverRequest | LedgerSnapshot
 
 
 # ---- between an instance and the processes beside it that spend ----
@@ -218,5 +218,5 @@
     times: Times
 
 
-FromHolder: TypeAlias = Hello | Ask
-ToHolder: TypeAlias = Welcome | Serving | Given
+FromHolder: TypeAlias = Hello | RightsRequest
+ToHolder: TypeAlias = Welcome | AllocatorAnnouncement | RightsReply
--- a/roadpulley/fleet/rights/service.py
+++ b/roadpulley/fleet/rights/service.py
@@ -20,23 +20,23 @@
 from roadpulley.fleet.duties.work import Duty
 from roadpulley.fleet.peers.service import Route
 
-from .allocator import Allocator, Legacies
+from .allocator import Allocator, InheritedLedgers
 from .settings import RightsSettings
-from .terms import (
-    MOST_KEY,
-    Ask,
+from .messages import (
+    MAX_LIMIT_NAME_BYTES,
+    RightsRequest,
     Body,
     FromHolder,
-    Given,
-    Heir,
-    HeirAsk,
+    RightsReply,
+    HandoverOffer,
+    HandoverRequest,
     Hello,
-    Legacy,
+    LedgerSnapshot,
     Limit,
-    Serving,
+    AllocatorAnnouncement,
     Welcome,
 )
-from .work import Giving
+from .work import AllocatorWork
 
 SAY_S = 0.25  # between two words of an allocator that it serves
 SERVES_S = 1.0  # for which one word counts
@@ -46,7 +46,7 @@
 log = structlog.get_logger("roadpulley.fleet.rights")
 
 
-class Rights:
+class RightsService:
     """`tell` sends a body to an instance; `everybody` gives the routes to all others."""
 
     def __init__(
@@ -67,10 +67,10 @@
         self.counts: Counter[str] = Counter()
         self.saying: asyncio.TimerHandle | None = None
         self.heirs: dict[int, asyncio.Event] = {}  # by part that is handed over: the next one has asked
-        self.legacies: dict[int, Legacies] = {}
+        self.legacies: dict[int, InheritedLedgers] = {}
         self.limits: dict[str, Limit] = dict(settings.given_out)
         for work in works.values():
-            if isinstance(work, Giving):
+            if isinstance(work, AllocatorWork):
                 work.begins = self._begins
 
     # ---- life ----
@@ -109,7 +109,7 @@
         asked = self.heirs[part] = asyncio.Event()
         end = self.clock.now() + HEIR_S
         while not asked.is_set() and self.clock.now() < end:
-            self.tell(heir, Heir(part, allocator.fence))
+            self.tell(heir, HandoverOffer(part, allocator.fence))
             try:
                 async with asyncio.timeout(HEIR_AGAIN_S):
                     await asked.wait()
@@ -119,16 +119,16 @@
         if asked.is_set():
             await asyncio.sleep(SHOWN_S)
 
-    def _heir(self, route: Route, heir: Heir) -> None:
+    def _heir(self, route: Route, heir: HandoverOffer) -> None:
         left = self.legacies.get(heir.part)
         if left is None or left.fence < heir.fence:
             # Danger: books count from when they were first asked for, whichever ask had them sealed.
-            self.legacies[heir.part] = Legacies(heir.fence, self.clock.now())
+            self.legacies[heir.part] = InheritedLedgers(heir.fence, self.clock.now())
         elif left.fence > heir.fence:
             return
-        self.tell(route, HeirAsk(heir.part, heir.fence))
+        self.tell(route, HandoverRequest(heir.part, heir.fence))
 
-    def _seal(self, route: Route, ask: HeirAsk) -> None:
+    def _seal(self, route: Route, ask: HandoverRequest) -> None:
         duty, allocator = self.ours.get(ask.part, (None, None))
         if duty is None or allocator is None or allocator.fence != ask.fence or ask.part not in self.heirs:
             return
@@ -136,7 +136,7 @@
             self.tell(route, legacy)
         self.heirs[ask.part].set()
 
-    def _legacy(self, legacy: Legacy) -> None:
+    def _legacy(self, legacy: LedgerSnapshot) -> None:
         if (left := self.legacies.get(legacy.part)) is not None:
             left.take(self.clock.now(), legacy)
 
@@ -156,7 +156,7 @@
             return None
         return allocator
 
-    def asked(self, ask: Ask) -> Given | None:
+    def asked(self, ask: RightsRequest) -> RightsReply | None:
         allocator = self.allocator(ask.part)
         if allocator is None:
             self.counts["asked of one that does not serve"] += 1
@@ -172,7 +172,7 @@
         for part in list(self.ours):
             allocator = self.allocator(part)
             if allocator is not None:
-                serving = Serving(part, allocator.fence, int(SERVES_S * 1000))
+                serving = AllocatorAnnouncement(part, allocator.fence, int(SERVES_S * 1000))
                 for route in self.everybody():
                     self.tell(route, serving)
                 self.beside.tell_all(serving)
@@ -181,20 +181,20 @@
 
     def heard(self, route: Route, body: Body) -> None:
         """A body of another instance."""
-        if isinstance(body, Serving):
+        if isinstance(body, AllocatorAnnouncement):
             self._served(route, body)
-        elif isinstance(body, Given):
+        elif isinstance(body, RightsReply):
             self.beside.tell(body.holder, body)
-        elif isinstance(body, Heir):
+        elif isinstance(body, HandoverOffer):
             self._heir(route, body)
-        elif isinstance(body, HeirAsk):
+        elif isinstance(body, HandoverRequest):
             self._seal(route, body)
-        elif isinstance(body, Legacy):
+        elif isinstance(body, LedgerSnapshot):
             self._legacy(body)
         elif (given := self.asked(body)) is not None:
             self.tell(route, given)
 
-    def _served(self, route: Route, serving: Serving) -> None:
+    def _served(self, route: Route, serving: AllocatorAnnouncement) -> None:
         now = self.clock.now()
         fence, _, until = self.known.get(serving.part, (0, route, 0.0))
         if serving.fence < fence:
@@ -209,7 +209,7 @@
         """From a process beside this instance."""
         if isinstance(body, Hello):
             return self._welcome(body.holder)
-        if len(body.limit.encode()) > MOST_KEY:
+        if len(body.limit.encode()) > MAX_LIMIT_NAME_BYTES:
             self.counts["too long a name"] += 1
             return
         if (given := self.asked(body) if body.part in self.ours else None) is not None:
@@ -223,11 +223,11 @@
         self.beside.tell(holder, Welcome(self.settings.parts, self.settings.times))
         for part in list(self.ours):
             if allocator := self.allocator(part):
-                self.beside.tell(holder, Serving(part, allocator.fence, int(SERVES_S * 1000)))
+                self.beside.tell(holder, AllocatorAnnouncement(part, allocator.fence, int(SERVES_S * 1000)))
         now = self.clock.now()
         for part, (fence, _, until) in self.known.items():
             if part not in self.ours and now < until:
-                self.beside.tell(holder, Serving(part, fence, int((until - now) * 1000)))
+                self.beside.tell(holder, AllocatorAnnouncement(part, fence, int((until - now) * 1000)))
 
     # ---- people ----
 
--- a/roadpulley/fleet/rights/settings.py
+++ b/roadpulley/fleet/rights/settings.py
@@ -7,7 +7,7 @@
 
 from roadpulley.checks import Table, ValidationError
 
-from .terms import MOST_KEY, Limit, Times
+from .messages import MAX_LIMIT_NAME_BYTES, Limit, Times
 
 MOST_PARTS = 64
 
@@ -52,9 +52,9 @@
 
 
 def read_limit(name: str, table: Table) -> Limit:
-    if not name or "/" in name or len(name.encode()) > MOST_KEY // 2:
+    if not name or "/" in name or len(name.encode()) > MAX_LIMIT_NAME_BYTES // 2:
         raise ValidationError(
-            table.path, f"is named {name!r}", f"give 1 to {MOST_KEY // 2} bytes without '/'"
+            table.path, f"is named {name!r}", f"give 1 to {MAX_LIMIT_NAME_BYTES // 2} bytes without '/'"
         )
     rate = table.read_number("rate", minimum=0, maximum=1e9)
     burst = table.read_number("burst", minimum=1e-3, maximum=1e9)
--- a/roadpulley/fleet/rights/work.py
+++ b/roadpulley/fleet/rights/work.py
@@ -11,7 +11,7 @@
 Begins = Callable[[int, Duty], None]
 
 
-class Giving:
+class AllocatorWork:
     """It has no registers: what acts under its fence are its answers, and holders refuse lower ones."""
 
     def __init__(self, part: int) -> None:
--- a/roadpulley/fleet/works/__init__.py
+++ b/roadpulley/fleet/works/__init__.py
@@ -35,9 +35,9 @@
 
         return Probe(duty.name, duty.address, name, duty.every_s)
     if duty.work == "rights":
-        from roadpulley.fleet.rights.work import DUTY, Giving
+        from roadpulley.fleet.rights.work import DUTY, AllocatorWork
 
-        return Giving(int(duty.name.removeprefix(DUTY)))
+        return AllocatorWork(int(duty.name.removeprefix(DUTY)))
     if duty.work == "orders":
         from roadpulley.fleet.orders.work import Publishing
 
--- a/roadpulley/testbed/fleet.py
+++ b/roadpulley/testbed/fleet.py
@@ -15,7 +15,7 @@
 
 from roadpulley.fleet.clock import OFFSET, RATE
 from roadpulley.fleet.duties.probe import PAUSE
-from roadpulley.fleet.rights.terms import Limit
+from roadpulley.fleet.rights.messages import Limit
 
 from .holders import Belief, Judgement, beliefs, judge, read_lines
 from .limits import Spent
--- a/roadpulley/testbed/open_world.py
+++ b/roadpulley/testbed/open_world.py
@@ -9,16 +9,16 @@
 import random
 from dataclasses import replace
 
-from roadpulley.fleet.rights import terms
+from roadpulley.fleet.rights import messages
 from roadpulley.fleet.rights.allocator import Allocator
-from roadpulley.fleet.rights.holder import Holder, Paid
-from roadpulley.fleet.rights.terms import Limit, Times
+from roadpulley.fleet.rights.holder import Holder, Payment
+from roadpulley.fleet.rights.messages import Limit, Times
 
 from . import rights_world
 from .limits import Holds, Use
 from .rights_world import Plan, Process
 
-KEY = f"{terms.OPEN}class:view"
+KEY = f"{messages.CONCURRENCY_PREFIX}class:view"
 
 
 def drawn(seed: int) -> Plan:
@@ -66,7 +66,7 @@
         self.at(until, lambda: self._ended(process, machine, paid))
         return True
 
-    def _ended(self, process: Process, machine: Holder, paid: Paid) -> None:
+    def _ended(self, process: Process, machine: Holder, paid: Payment) -> None:
         if self.now < process.stopped_until:  # it hears of it when it wakes
             self.at(process.stopped_until + 1e-6, lambda: self._ended(process, machine, paid))
         elif process.machine is machine:
--- a/roadpulley/testbed/rights_world.py
+++ b/roadpulley/testbed/rights_world.py
@@ -15,9 +15,9 @@
 from itertools import count
 from typing import Any
 
-from roadpulley.fleet.rights.allocator import Allocator, Legacies
+from roadpulley.fleet.rights.allocator import Allocator, InheritedLedgers
 from roadpulley.fleet.rights.holder import Holder
-from roadpulley.fleet.rights.terms import Ask, Given, Limit, Serving, Times
+from roadpulley.fleet.rights.messages import RightsRequest, RightsReply, Limit, AllocatorAnnouncement, Times
 
 from .limits import Holds, Spent, Use, use
 
@@ -220,18 +220,18 @@
                 wait += rng.random() * plan.latest if rng.random() < plan.late else 0.0
                 self.at(self.now + wait, arrive)
 
-    def _send(self, process: Process, ask: Ask) -> None:
+    def _send(self, process: Process, ask: RightsRequest) -> None:
         if self.now >= process.cut_until:
             self._fate(lambda: self._asked(process, ask))
 
-    def _asked(self, process: Process, ask: Ask) -> None:
+    def _asked(self, process: Process, ask: RightsRequest) -> None:
         if self.allocator is None or self.now < process.cut_until:
             return
         given = self.allocator.asked(self._server_clock(), ask)
         if given is not None:
             self._fate(lambda: self._arrive(process, given))
 
-    def _arrive(self, process: Process, message: Given | Serving) -> None:
+    def _arrive(self, process: Process, message: RightsReply | AllocatorAnnouncement) -> None:
         if self.now < process.cut_until:
             return
         if self.now < process.stopped_until:
@@ -239,9 +239,9 @@
         else:
             self._heard(process, message)
 
-    def _heard(self, process: Process, message: Given | Serving) -> None:
+    def _heard(self, process: Process, message: RightsReply | AllocatorAnnouncement) -> None:
         now = process.clock(self.now)
-        if isinstance(message, Serving):
+        if isinstance(message, AllocatorAnnouncement):
             process.machine.serving(now, message.part, message.fence, message.left_ms / 1000)
         elif message.holder == process.machine.number:
             if process.machine.heard(now, message):
@@ -253,7 +253,7 @@
     def _say(self) -> None:
         if self.allocator is not None:
             for process in self.processes:
-                serving = Serving(0, self.fence, 1000)
+                serving = AllocatorAnnouncement(0, self.fence, 1000)
                 self._fate(lambda p=process, s=serving: self._arrive(p, s))  # type: ignore[misc]
         self.at(self.now + SAY_S, self._say)
 
@@ -280,7 +280,7 @@
         rng, rate, offset = self.rng, *heir
         if self.allocator is None or self.allocator.sealed:
             return
-        left = Legacies(self.fence, asked_at * rate + offset)
+        left = InheritedLedgers(self.fence, asked_at * rate + offset)
         came = (self.now + rng.uniform(0, 0.1)) * rate + offset
         for legacy in self.allocator.seal(self._server_clock(), 0):
             left.take(came, legacy)
@@ -293,7 +293,7 @@
         rate = 1 + self.rng.choice((-drift, drift, self.rng.uniform(-drift, drift)))
         return rate, self.rng.uniform(0, 1e6)
 
-    def _succeed(self, heir: tuple[float, float] | None = None, left: Legacies | None = None) -> None:
+    def _succeed(self, heir: tuple[float, float] | None = None, left: InheritedLedgers | None = None) -> None:
         self.fence += 1
         self.server = heir or self._clock()
         now, times = self._server_clock(), self.plan.times
--- a/roadpulley/testbed/spender.py
+++ b/roadpulley/testbed/spender.py
@@ -20,14 +20,14 @@
 import uvloop
 
 from roadpulley.fleet.line import Line
-from roadpulley.fleet.rights.client import Purses
+from roadpulley.fleet.rights.client import RightsClient
 
 LONGEST_GAP_S = 5.0
 READY = b"ready\n"
 
 
 class Spending:
-    def __init__(self, purses: Purses, limit: str, units: float, within: float) -> None:
+    def __init__(self, purses: RightsClient, limit: str, units: float, within: float) -> None:
         self.purses, self.limit, self.units, self.within = purses, limit, units, within
 
     def wish(self) -> None:
@@ -49,7 +49,7 @@
 
 async def run(socket: Path, limit: str, rate: float, units: float, within: float, seed: int) -> None:
     rng, line = random.Random(seed), Line(socket)
-    purses = Purses(line)
+    purses = RightsClient(line)
     await line.open()
     spending = Spending(purses, limit, units, within)
     loop = asyncio.get_running_loop()
--- a/roadpulley/workers/worker.py
+++ b/roadpulley/workers/worker.py
@@ -135,10 +135,10 @@
     if told := os.environ.get(RIGHTS_TOLD):
         from roadpulley.fleet.orders.client import Paying
         from roadpulley.fleet.orders.even import EvenParts
-        from roadpulley.fleet.rights.client import Purses
+        from roadpulley.fleet.rights.client import RightsClient
 
         even = EvenParts(1.0 - json.loads(told)["part"], driver.settings.gateways)
-        driver.rights = Paying(Purses(line), even)
+        driver.rights = Paying(RightsClient(line), even)
     if say := os.environ.get(VERDICTS):
         from roadpulley.fleet.verdicts.client import VerdictClient
 
--- a/tests/decisions/test_ceiling_rights.py
+++ b/tests/decisions/test_ceiling_rights.py
@@ -12,7 +12,7 @@
 from mintford import interface as api
 from roadpulley.fleet.rights.allocator import Allocator
 from roadpulley.fleet.rights.holder import Holder
-from roadpulley.fleet.rights.terms import Limit, Times
+from roadpulley.fleet.rights.messages import Limit, Times
 
 RATE, BURST, RIGHTS = 10.0, 40.0, 0.7
 PLAN = api.Plan("firm", rate=4, burst=20_000, beyond_costs=1, ceiling_rate=RATE, ceiling_burst=BURST)
--- a/tests/fleet/test_rights.py
+++ b/tests/fleet/test_rights.py
@@ -8,9 +8,9 @@
 
 from roadpulley.checks import Table, ValidationError
 from roadpulley.fleet.rights.allocator import Allocator
-from roadpulley.fleet.rights.holder import Holder, Lot, part_of
+from roadpulley.fleet.rights.holder import Holder, HeldRight, partition_of
 from roadpulley.fleet.rights.settings import read_rights
-from roadpulley.fleet.rights.terms import Ask, Closed, Given, Limit, Right, Times
+from roadpulley.fleet.rights.messages import RightsRequest, ReturnedRight, RightsReply, Limit, RightId, Times
 
 TIMES = Times(lease=1.0, drift=0.0, answer=0.1)
 KEY = "paid/acme"
@@ -24,12 +24,12 @@
 
 
 def ask(
-    number: int, want: float, *closed: Closed, holder: int = 1, least: float = 0.0, fence: int = FENCE
-) -> Ask:
-    return Ask(0, fence, holder, number, KEY, want, least, closed)
+    number: int, want: float, *closed: ReturnedRight, holder: int = 1, least: float = 0.0, fence: int = FENCE
+) -> RightsRequest:
+    return RightsRequest(0, fence, holder, number, KEY, want, least, closed)
 
 
-def units(given: Given | None) -> float:
+def units(given: RightsReply | None) -> float:
     assert given is not None
     return given.units
 
@@ -46,7 +46,7 @@
     assert not made.take(now, KEY, 1.0)
     asked = made.ask_now(now, KEY)
     assert asked is not None
-    assert made.heard(now + 0.01, Given(1, asked.number, KEY, Right(FENCE, 1), amount, HOLDS))
+    assert made.heard(now + 0.01, RightsReply(1, asked.number, KEY, RightId(FENCE, 1), amount, HOLDS))
     return made
 
 
@@ -64,7 +64,7 @@
     new = allocator()
     first = new.asked(FULL, ask(1, 4.0))
     assert new.asked(FULL + 0.1, ask(1, 4.0)) == first
-    assert new.asked(FULL + 0.1, ask(1, 9.0, Closed(Right(FENCE, 1), 4.0))) == first  # nothing of it counts
+    assert new.asked(FULL + 0.1, ask(1, 9.0, ReturnedRight(RightId(FENCE, 1), 4.0))) == first  # nothing of it counts
     assert new.books[KEY].held == pytest.approx(4.0)
     assert new.asked(FULL + 0.2, ask(2, 1.0)) is not None
     assert new.asked(FULL + 0.3, ask(1, 4.0)) is None  # of the past
@@ -96,7 +96,7 @@
     given = new.asked(0.0, ask(1, 10.0, holder=0))
     for turn in range(1, 30):
         assert given is not None
-        back = Closed(given.right, given.units)
+        back = ReturnedRight(given.right, given.units)
         before = turn - 1
         assert units(new.asked(0.01 * turn, ask(turn + 1, 0.0, back, holder=before % 3))) == 0
         given = new.asked(0.01 * turn, ask(turn + 1, 10.0, holder=turn % 3))
@@ -110,23 +110,23 @@
     assert given is not None
     level = new.books[KEY].level
     for number, (right, by) in enumerate(
-        [(Right(FENCE - 1, given.right.number), 1), (given.right, 2), (Right(FENCE, 99), 1)], 2
+        [(RightId(FENCE - 1, given.right.number), 1), (given.right, 2), (RightId(FENCE, 99), 1)], 2
     ):
-        new.asked(0.1, ask(number, 0.0, Closed(right, 6.0), holder=by))
+        new.asked(0.1, ask(number, 0.0, ReturnedRight(right, 6.0), holder=by))
         assert new.books[KEY].level == pytest.approx(level, abs=0.01)
-    new.asked(0.2, ask(8, 0.0, Closed(given.right, 2.5)))
+    new.asked(0.2, ask(8, 0.0, ReturnedRight(given.right, 2.5)))
     assert new.books[KEY].level == pytest.approx(level + 2.5, abs=0.01)
-    new.asked(0.3, ask(9, 0.0, Closed(given.right, 2.5)))
+    new.asked(0.3, ask(9, 0.0, ReturnedRight(given.right, 2.5)))
     assert new.books[KEY].level == pytest.approx(level + 2.5, abs=0.01)
     late = new.asked(0.4, ask(10, 3.0))
     assert late is not None
-    new.asked(1.5, ask(11, 0.0, Closed(late.right, 3.0)))  # after its end
+    new.asked(1.5, ask(11, 0.0, ReturnedRight(late.right, 3.0)))  # after its end
     assert new.books[KEY].level == pytest.approx(level + 2.5 - 3.0, abs=0.01)
 
 
 def test_an_ask_meant_for_an_earlier_allocator_is_not_taken_up() -> None:
     new = allocator()
-    assert new.asked(FULL, ask(1, 1.0, Closed(Right(FENCE - 1, 1), 5.0), fence=FENCE - 1)) is None
+    assert new.asked(FULL, ask(1, 1.0, ReturnedRight(RightId(FENCE - 1, 1), 5.0), fence=FENCE - 1)) is None
     assert new.books == {}
 
 
@@ -143,7 +143,7 @@
 
 def test_a_limit_that_is_gone_or_never_was_is_not_answered() -> None:
     new = allocator()
-    assert new.asked(FULL, Ask(0, FENCE, 1, 1, "other/acme", 1.0, 0.0)) is None
+    assert new.asked(FULL, RightsRequest(0, FENCE, 1, 1, "other/acme", 1.0, 0.0)) is None
     new.asked(FULL, ask(1, 1.0))
     new.retune(FULL, {})
     assert new.asked(FULL, ask(2, 1.0)) is None
@@ -180,13 +180,13 @@
     new = allocator()
     for want, least in ((-1.0, 0.0), (float("inf"), 0.0), (1.0, 2.0), (float("nan"), 0.0)):
         assert new.asked(FULL, ask(1, want, least=least)) is None
-    assert units(new.asked(FULL, ask(1, 1.0, Closed(Right(FENCE, 1), float("nan"))))) == 1.0
+    assert units(new.asked(FULL, ask(1, 1.0, ReturnedRight(RightId(FENCE, 1), float("nan"))))) == 1.0
 
 
 def test_what_says_nothing_any_more_is_forgotten_and_comes_back_as_it_was() -> None:
     new = allocator(Limit(5.0, 10.0))
     new.asked(FULL, ask(1, 4.0))
-    new.asked(FULL + 20, Ask(0, FENCE, 2, 1, "paid/other", 1.0, 0.0))
+    new.asked(FULL + 20, RightsRequest(0, FENCE, 2, 1, "paid/other", 1.0, 0.0))
     assert KEY not in new.books
     assert units(new.asked(FULL + 20, ask(2, 20.0))) == pytest.approx(10.0)
 
@@ -200,7 +200,7 @@
     first = made.ask_now(0.0, KEY)
     assert first is not None
     assert made.tick(0.11) == [first]  # the same once more
-    made.heard(0.2, Given(1, first.number, KEY, Right(FENCE, 1), 3.0, HOLDS))
+    made.heard(0.2, RightsReply(1, first.number, KEY, RightId(FENCE, 1), 3.0, HOLDS))
     assert made.take(0.99, KEY, 1.0)
     assert not made.take(1.0, KEY, 1.0)
 
@@ -218,7 +218,7 @@
     made.take(0.0, KEY, 1.0)
     asked = made.ask_now(0.0, KEY)
     assert asked is not None
-    made.heard(0.01, Given(1, asked.number, KEY, Right(FENCE, 1), 3.0, HOLDS / 4))
+    made.heard(0.01, RightsReply(1, asked.number, KEY, RightId(FENCE, 1), 3.0, HOLDS / 4))
     assert made.take(0.24, KEY, 1.0)
     assert not made.take(0.25, KEY, 1.0)
 
@@ -231,7 +231,7 @@
     looked: list[str] = []
     real = made.ask_now
 
-    def seen(now: float, limit: str) -> Ask | None:
+    def seen(now: float, limit: str) -> RightsRequest | None:
         looked.append(limit)
         return real(now, limit)
 
@@ -255,7 +255,7 @@
 
 def test_answers_that_come_again_late_or_to_another_ask_add_nothing() -> None:
     made = filled(amount=2.0)
-    again = Given(1, 1, KEY, Right(FENCE, 1), 2.0, HOLDS)
+    again = RightsReply(1, 1, KEY, RightId(FENCE, 1), 2.0, HOLDS)
     assert not made.heard(0.02, again)
     assert made.take(0.03, KEY, 2.0)
     assert not made.heard(0.04, again)
@@ -264,14 +264,14 @@
     assert asked is not None
     for now in (0.2, 0.4, 0.6):
         made.tick(now)
-    assert not made.heard(0.6, Given(1, asked.number, KEY, Right(FENCE, 2), 2.0, HOLDS))  # it was let go of
+    assert not made.heard(0.6, RightsReply(1, asked.number, KEY, RightId(FENCE, 2), 2.0, HOLDS))  # it was let go of
 
 
 def test_what_was_held_for_long_is_given_up_once_and_not_spent_any_more() -> None:
     made = filled(amount=5.0)
     made.take(0.1, KEY, 1.0)
     asks = made.tick(0.75)
-    assert [closed for each in asks for closed in each.closed] == [Closed(Right(FENCE, 1), 4.0)]
+    assert [closed for each in asks for closed in each.closed] == [ReturnedRight(RightId(FENCE, 1), 4.0)]
     assert not made.take(0.76, KEY, 1.0)
     assert made.tick(0.77) == []
 
@@ -302,7 +302,7 @@
 def test_units_are_taken_from_rights_that_run_still() -> None:
     made = filled(now=0.0, amount=5.0)
     purse = made.purses[KEY]
-    purse.lots.append(Lot(Right(FENCE, 2), 5.0, 9.0, 9.0))
+    purse.lots.append(HeldRight(RightId(FENCE, 2), 5.0, 9.0, 9.0))
     assert made.take(2.0, KEY, 5.0)  # the first has ended, the second pays
     assert not made.take(2.0, KEY, 5.0)
 
@@ -314,7 +314,7 @@
     made.serving(0.0, 0, FENCE, 0.5)
     asked = made.ask_now(0.1, KEY)
     assert asked is not None
-    made.heard(0.11, Given(1, asked.number, KEY, Right(FENCE, 0), 0.0, HOLDS, 200))
+    made.heard(0.11, RightsReply(1, asked.number, KEY, RightId(FENCE, 0), 0.0, HOLDS, 200))
     assert not made.take(0.2, KEY, 1.0)
     assert made.ask_now(0.2, KEY) is None
     assert made.ask_now(0.35, KEY) is not None
@@ -363,6 +363,6 @@
 
 
 def test_parts_share_the_limits_evenly_and_the_same_everywhere() -> None:
-    parts = [part_of(f"paid/{n}", 4) for n in range(4_000)]
+    parts = [partition_of(f"paid/{n}", 4) for n in range(4_000)]
     assert all(900 < parts.count(part) < 1_100 for part in range(4))
-    assert part_of("paid/acme", 4) == part_of("paid/acme", 4)
+    assert partition_of("paid/acme", 4) == partition_of("paid/acme", 4)
--- a/tests/fleet/test_rights_processes.py
+++ b/tests/fleet/test_rights_processes.py
@@ -11,7 +11,7 @@
 import pytest
 
 from roadpulley.fleet.control import ask
-from roadpulley.fleet.rights.terms import Limit
+from roadpulley.fleet.rights.messages import Limit
 from roadpulley.testbed.fleet import Fleet, FleetPlan, Load, Spender, Wished
 from roadpulley.testbed.holders import read_lines
 from roadpulley.testbed.limits import Holds, Use, use
--- a/tests/fleet/test_rights_world.py
+++ b/tests/fleet/test_rights_world.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from roadpulley.fleet.rights.allocator import Allocator, Book, Legacies, Out
-from roadpulley.fleet.rights.holder import Holder, Lot, Paid, Purse
-from roadpulley.fleet.rights.terms import Ask, Given, Legacy, Limit, Right, Times
+from roadpulley.fleet.rights.allocator import Allocator, LimitLedger, InheritedLedgers, OutstandingRight
+from roadpulley.fleet.rights.holder import Holder, HeldRight, Payment, LimitHolding
+from roadpulley.fleet.rights.messages import RightsRequest, RightsReply, LedgerSnapshot, Limit, RightId, Times
 from roadpulley.testbed import open_world
 from roadpulley.testbed.limits import Holds, Spent, use
 from roadpulley.testbed.rights_world import Plan, World, drawn, sharp
@@ -38,7 +38,7 @@
 class FillsOver(Allocator):
     """What is out takes no room."""
 
-    def _rise(self, now: float, book: Book) -> None:
+    def _rise(self, now: float, book: LimitLedger) -> None:
         held, book.held = book.held, 0.0
         super()._rise(now, book)
         book.held = held
@@ -47,17 +47,17 @@
 class TakesBackTwice(Allocator):
     """A right given up stays known, so that it can be given up again."""
 
-    def close(self, book: Book, holder: int, right: Right, unused: float) -> None:
+    def close(self, book: LimitLedger, holder: int, right: RightId, unused: float) -> None:
         before = dict(book.out)
         super().close(book, holder, right, unused)
         if (out := before.get(right.number)) is not None and right.fence == self.fence:
-            book.out[right.number] = Out(out.holder, out.units, out.ends)
+            book.out[right.number] = OutstandingRight(out.holder, out.units, out.ends)
 
 
 class TakesBackAll(Allocator):
     """All of a right that is given up comes back, also what was spent of it."""
 
-    def close(self, book: Book, holder: int, right: Right, unused: float) -> None:
+    def close(self, book: LimitLedger, holder: int, right: RightId, unused: float) -> None:
         out = book.out.get(right.number)
         super().close(book, holder, right, out.units if out is not None else unused)
 
@@ -65,7 +65,7 @@
 class EndsEarly(Allocator):
     """A right counts as out for a part of its time."""
 
-    def _give(self, now: float, book: Book, ask: Ask) -> Given:
+    def _give(self, now: float, book: LimitLedger, ask: RightsRequest) -> RightsReply:
         given = super()._give(now, book, ask)
         if given.units:
             out = book.out[given.right.number]
@@ -77,7 +77,7 @@
 class FastClock(Allocator):
     """The rate by a clock that may be fast."""
 
-    def _rise(self, now: float, book: Book) -> None:
+    def _rise(self, now: float, book: LimitLedger) -> None:
         limit = book.limit
         book.limit = Limit(limit.rate * (1 + self.times.drift) ** 2, limit.burst)
         super()._rise(now, book)
@@ -96,7 +96,7 @@
 class NoEnd(Holder):
     """A right that has ended is spent."""
 
-    def heard(self, now: float, given: Given) -> bool:
+    def heard(self, now: float, given: RightsReply) -> bool:
         more = super().heard(now, given)
         for lot in self.purses[given.limit].lots if given.limit in self.purses else []:
             lot.until = lot.keep = math.inf
@@ -106,18 +106,18 @@
 class AnyAnswer(Holder):
     """An answer that comes again counts again."""
 
-    def heard(self, now: float, given: Given) -> bool:
+    def heard(self, now: float, given: RightsReply) -> bool:
         more = super().heard(now, given)
         if not more and given.units and given.limit in self.purses:
             until = now + self.times.holds / 2
-            self.purses[given.limit].lots.append(Lot(given.right, given.units, until, until))
+            self.purses[given.limit].lots.append(HeldRight(given.right, given.units, until, until))
         return more
 
 
 class SpendsOn(Holder):
     """A right that was given up is spent on."""
 
-    def _close(self, now: float, purse: Purse, lot: Lot) -> None:
+    def _close(self, now: float, purse: LimitHolding, lot: HeldRight) -> None:
         super()._close(now, purse, lot)
         self.__dict__.setdefault("kept", []).append(lot)
 
@@ -177,13 +177,13 @@
 class BackAndKept(Holder):
     """What has ended is given up and can be spent here, too."""
 
-    def _close(self, now: float, purse: Purse, lot: Lot) -> None:
+    def _close(self, now: float, purse: LimitHolding, lot: HeldRight) -> None:
         super()._close(now, purse, lot)
-        purse.lots.append(Lot(lot.right, lot.units, lot.until, lot.until))
+        purse.lots.append(HeldRight(lot.right, lot.units, lot.until, lot.until))
 
 
 class EndsTwice(Holder):
-    def ended(self, now: float, limit: str, paid: Paid) -> None:
+    def ended(self, now: float, limit: str, paid: Payment) -> None:
         super().ended(now, limit, paid)
         super().ended(now, limit, paid)
 
@@ -201,7 +201,7 @@
     def lease(self, limit: Limit) -> float:
         return self.times.lease
 
-    def _answer(self, ask: Ask, number: int, units: float, wait_ms: int = 0, lease: float = 0.0) -> Given:
+    def _answer(self, ask: RightsRequest, number: int, units: float, wait_ms: int = 0, lease: float = 0.0) -> RightsReply:
         limit = self.limit(ask.limit)
         return super()._answer(ask, number, units, wait_ms, limit.lease if limit else lease)
 
@@ -209,7 +209,7 @@
 class GivesOn(Allocator):
     """Books are sealed, and it gives out from them."""
 
-    def seal(self, now: float, part: int) -> list[Legacy]:
+    def seal(self, now: float, part: int) -> list[LedgerSnapshot]:
         found = super().seal(now, part)
         self.sealed = False
         return found
@@ -218,21 +218,21 @@
 class ForgetsOut(Allocator):
     """What is out under a sealed book takes no room in the next."""
 
-    def _inherit(self, book: Book, came: float, left: Legacy) -> None:
+    def _inherit(self, book: LimitLedger, came: float, left: LedgerSnapshot) -> None:
         super()._inherit(book, came, replaced(left, ()))
 
 
 class PassesOnWaiting(Allocator):
     """A book that was waiting itself is passed on as if it were known."""
 
-    def seal(self, now: float, part: int) -> list[Legacy]:
+    def seal(self, now: float, part: int) -> list[LedgerSnapshot]:
         for book in self.books.values():
             book.clear_at = min(book.clear_at, now)
         return super().seal(now, part)
 
 
-def replaced(left: Legacy, out: tuple[tuple[float, float], ...]) -> Legacy:
-    return Legacy(left.part, left.fence, left.limit, left.level + sum(units for units, _ in left.out), out)
+def replaced(left: LedgerSnapshot, out: tuple[tuple[float, float], ...]) -> LedgerSnapshot:
+    return LedgerSnapshot(left.part, left.fence, left.limit, left.level + sum(units for units, _ in left.out), out)
 
 
 @pytest.mark.parametrize("kind", [GivesOn, ForgetsOut, PassesOnWaiting], ids=lambda kind: kind.__name__)
@@ -255,14 +255,14 @@
 
 
 def test_books_count_for_one_holding_that_begins_soon_and_under_a_higher_fence() -> None:
-    left = Legacies(7, 10.0, {"p": (10.1, Legacy(0, 7, "p", 5.0, ()))})
+    left = InheritedLedgers(7, 10.0, {"p": (10.1, LedgerSnapshot(0, 7, "p", 5.0, ()))})
     times = Times(1.0, 0.1)
     assert left.books_for(10.5, 8, times) == left.books
     assert left.books_for(10.5, 7, times) == {}
     assert left.books_for(10.0 + times.holds, 8, times) == {}
-    left.take(10.6, Legacy(0, 7, "p", 9.0, ()))  # shown again, later: the first one stands
-    left.take(10.6, Legacy(0, 6, "q", 9.0, ()))
-    assert left.books == {"p": (10.1, Legacy(0, 7, "p", 5.0, ()))}
+    left.take(10.6, LedgerSnapshot(0, 7, "p", 9.0, ()))  # shown again, later: the first one stands
+    left.take(10.6, LedgerSnapshot(0, 6, "q", 9.0, ()))
+    assert left.books == {"p": (10.1, LedgerSnapshot(0, 7, "p", 5.0, ()))}
 
 
 OPEN_FOUND = {Outlasts: 40, BackAndKept: 40, EndsTwice: 40, FullAtOnce: 40, ShortLease: 40}  # within so many
