--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -36,7 +36,7 @@
 from roadpulley.fleet.control import ask
 from roadpulley.fleet.counts.client import PeerCounter
 from roadpulley.fleet.line import Line
-from roadpulley.fleet.orders.terms import Order
+from roadpulley.fleet.orders.messages import Order
 from roadpulley.fleet.rights.messages import Limit
 from roadpulley.testbed import terms
 from roadpulley.testbed.fleet import Fleet, FleetPlan, Load, Member, Spender
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -20,7 +20,7 @@
 
 from roadpulley.fleet.clock import Clock
 from roadpulley.fleet.control import ask
-from roadpulley.fleet.orders.terms import Order
+from roadpulley.fleet.orders.messages import Order
 from roadpulley.fleet.rights.messages import Limit
 from roadpulley.testbed import open_world, orders_world
 from roadpulley.testbed.fleet import Fleet, FleetPlan
--- a/roadpulley/cli/fleet_orders.py
+++ b/roadpulley/cli/fleet_orders.py
@@ -13,7 +13,7 @@
 
 from roadpulley.checks import ValidationError
 from roadpulley.fleet.control import ask
-from roadpulley.fleet.orders.terms import MOST_SECONDS, MOST_WHO, SCOPES, Order, judged
+from roadpulley.fleet.orders.messages import MAX_DURATION_S, MAX_AUTHOR_BYTES, SCOPES_BY_KIND, Order, validate_order
 from roadpulley.fleet.settings import read_settings
 
 from .fleet_commands import AS_JSON, NAME, answer, seen_from, table
@@ -22,7 +22,7 @@
 WAIT_S = 25.0  # for an outcome: longer than an instance tries
 LOOK_S = 0.05
 UNITS = {"s": 1, "m": 60, "h": 3600, "d": 86_400}
-LIMIT_SCOPES = SCOPES["rate"]
+LIMIT_SCOPES = SCOPES_BY_KIND["rate"]
 FOR = click.option("--for", "lasts", metavar="TIME", default="", help="As 30s, 10m, 2h; for good without it.")
 WHY = click.option("--why", default="", help="One line for those who wonder; listed with the order.")
 
@@ -31,7 +31,7 @@
     """Raises ValidationError."""
     found = re.fullmatch(r"(\d+(?:\.\d+)?)([smhd])", text)
     length = float(found[1]) * UNITS[found[2]] if found else 0.0
-    if not 0 < length <= MOST_SECONDS:
+    if not 0 < length <= MAX_DURATION_S:
         raise ValidationError(
             "--for", f"is {text!r}", "give a time such as 30s, 10m or 2h, of a year at most"
         )
@@ -41,10 +41,10 @@
 def give(settings: Path, name: str | None, order: Order, lasts: str, lift: bool = False) -> int:
     """Have an order given or lifted, and wait until it is acknowledged. Raises ValidationError."""
     ends = int((time.time() + seconds(lasts)) * 1000) if lasts else 0
-    who = getpass.getuser()[:MOST_WHO]
+    who = getpass.getuser()[:MAX_AUTHOR_BYTES]
     fields = {key: getattr(order, key) for key in order.__struct_fields__}
     order = Order(**(fields | {"ends_ms": ends, "who": who}))
-    if not lift and (wrong := judged(order)):
+    if not lift and (wrong := validate_order(order)):
         raise ValidationError("the order", *wrong.split("; ", 1))
     found = read_settings(settings)
     instance = name or str(answer(settings, None, "members")["instance"])
@@ -164,7 +164,7 @@
 
 
 @group.command()
-@click.argument("order", type=click.Choice(list(SCOPES)))
+@click.argument("order", type=click.Choice(list(SCOPES_BY_KIND)))
 @click.argument("scope")
 @click.argument("subject")
 @NAME
--- a/roadpulley/fleet/agent.py
+++ b/roadpulley/fleet/agent.py
@@ -32,10 +32,10 @@
 from .duties.work import Work
 from .members.machine import Members, Tell
 from .members.terms import Ack, Nack, Page, PageAsk, Ping, PingFor, State
-from .orders.keeper import Keeper
-from .orders.service import Orders
-from .orders.terms import Body as ForOrders
-from .orders.terms import Order, Poll
+from .orders.voter import Voter
+from .orders.service import OrderService
+from .orders.messages import Body as ForOrders
+from .orders.messages import Order, Poll
 from .peers.envelope import Cause, Codec, Envelope
 from .peers.service import Post, Route
 from .rights.service import RightsService
@@ -44,7 +44,7 @@
 from .settings import DutySettings, FleetSettings, named
 from .settings import address as checked
 from .verdicts.messages import HealthReportBatch, ObservationBatch
-from .verdicts.service import Verdicts
+from .verdicts.service import VerdictService
 
 log = structlog.get_logger("roadpulley.fleet")
 
@@ -129,10 +129,10 @@
         self.beside = Beside(settings.control / f"{name}.beside", self._beside_said)
         self.rights: RightsService | None = None
         self.counting: Counting | None = None
-        self.orders: Orders | None = None
-        self.verdicts: Verdicts | None = None
+        self.orders: OrderService | None = None
+        self.verdicts: VerdictService | None = None
         if settings.verdicts is not None:
-            self.verdicts = Verdicts(
+            self.verdicts = VerdictService(
                 settings.verdicts, self.me, self.beside, self.clock, self._tell_route, self._routes
             )
         if settings.rights is not None:
@@ -147,9 +147,9 @@
             )
 
         if settings.orders is not None:
-            self.orders = Orders(
+            self.orders = OrderService(
                 settings.orders,
-                Keeper(settings.state, name),
+                Voter(settings.state, name),
                 name,
                 self.beside,
                 works,
@@ -357,7 +357,7 @@
         for tell in tells:
             self.post.send(tell.address, tell.who.boot, tell.body)
 
-    def _parts(self) -> list[RightsService | Counting | Orders | Verdicts]:
+    def _parts(self) -> list[RightsService | Counting | OrderService | VerdictService]:
         parts = (self.rights, self.counting, self.orders, self.verdicts)
         return [part for part in parts if part is not None]
 
--- a/roadpulley/fleet/beside.py
+++ b/roadpulley/fleet/beside.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from .counts.terms import Add
-from .orders.terms import Poll
+from .orders.messages import Poll
 from .place import Datagrams, Place
 from .rights.messages import FromHolder
 from .verdicts.messages import ObservationBatch
--- a/roadpulley/fleet/line.py
+++ b/roadpulley/fleet/line.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from .counts.terms import Added
-from .orders.terms import Sheet, Standing
+from .orders.messages import BookPage, PollReply
 from .place import Datagrams, Place
 from .rights.messages import Hello, ToHolder
 from .verdicts.messages import VerdictSnapshot
@@ -22,7 +22,7 @@
 HELLO_S = 0.5
 NUMBER_BITS = 53
 
-Heard: TypeAlias = ToHolder | Added | Standing | Sheet | VerdictSnapshot
+Heard: TypeAlias = ToHolder | Added | PollReply | BookPage | VerdictSnapshot
 DECODER: msgspec.msgpack.Decoder[Heard] = msgspec.msgpack.Decoder(Heard)
 ENCODER = msgspec.msgpack.Encoder()
 
--- a/roadpulley/fleet/orders/client.py
+++ b/roadpulley/fleet/orders/client.py
@@ -14,17 +14,17 @@
 from roadpulley.fleet.rights.client import UnitCost, RightsClient
 from roadpulley.fleet.rights.holder import customer_limit_name
 
-from .even import EvenParts
-from .follower import Follower, Terms
-from .terms import Order, Sheet, Standing
+from .even_shares import EvenShares
+from .follower import Follower, FollowerSettings
+from .messages import Order, BookPage, PollReply
 
-TICK_S = 0.02
+TICK_INTERVAL_S = 0.02
 Ended = Callable[[], None]
 
 log = logging.getLogger("roadpulley.orders")
 
 
-def told(orders: tuple[Order, ...]) -> api.OrdersChanged:
+def to_orders_changed(orders: tuple[Order, ...]) -> api.OrdersChanged:
     """As the decision module takes them."""
     limited: dict[tuple[str, str], tuple[str, ...]] = {}
     for order in orders:
@@ -40,13 +40,13 @@
     return api.OrdersChanged(limited, pools, subjects("block"), subjects("shed"), off)
 
 
-class Following:
+class OrderClient:
     """Asks the instance beside this process for its orders; `changed` gets those that hold, when they do."""
 
     def __init__(
         self,
         line: Line,
-        terms: Terms,
+        terms: FollowerSettings,
         changed: Callable[[tuple[Order, ...]], None],
         clock: Clock | None = None,
     ) -> None:
@@ -65,13 +65,13 @@
             if poll := self.follower.tick(self.clock.now()):
                 self.line.send(poll)
             self._look()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     def _heard(self, body: Any) -> None:
         now = self.clock.now()
-        if isinstance(body, Standing) and body.holder == self.line.number:
+        if isinstance(body, PollReply) and body.holder == self.line.number:
             self.follower.standing(now, body)
-        elif isinstance(body, Sheet):
+        elif isinstance(body, BookPage):
             self.follower.sheet(now, body)
         else:
             return
@@ -91,10 +91,10 @@
             self.changed(standing)
 
 
-class Paying:
+class LimitSpender:
     """Rights of a gateway's requests: to ceilings, and to limits of operators. See `core.driver.Rights`."""
 
-    def __init__(self, purses: RightsClient, even: EvenParts) -> None:
+    def __init__(self, purses: RightsClient, even: EvenShares) -> None:
         self.purses, self.even = purses, even
 
     def ordered(self, orders: tuple[Order, ...]) -> None:
--- a/roadpulley/fleet/orders/even.py
+++ b/roadpulley/fleet/orders/even_shares.py
@@ -11,11 +11,11 @@
 
 from roadpulley.fleet.duties.terms import Mono
 
-from .terms import Order
+from .messages import Order
 
 
 @dataclass(slots=True)
-class Bucket:
+class TokenBucket:
     """Units; `rate` a second."""
 
     rate: float
@@ -28,12 +28,12 @@
         self.at = max(now, self.at)
 
 
-class EvenParts:
+class EvenShares:
     """`part`: of each rate that is split evenly, among so many processes."""
 
     def __init__(self, part: float, among: int) -> None:
         self.part = part / max(1, among)
-        self.buckets: dict[str, Bucket] = {}
+        self.buckets: dict[str, TokenBucket] = {}
 
     def ordered(self, now: Mono, orders: Iterable[Order]) -> None:
         """Other orders: what is spent of a limit stays spent, also where it is lifted and ordered again."""
@@ -41,7 +41,7 @@
             if order.kind != "rate":
                 continue
             rate, burst = self.part * order.rate, self.part * order.burst
-            bucket = self.buckets.setdefault(order.limit_name, Bucket(rate, burst, 0.0, now))
+            bucket = self.buckets.setdefault(order.limit_name, TokenBucket(rate, burst, 0.0, now))
             bucket.fill(now)
             bucket.level += burst - bucket.burst if burst < bucket.burst else 0.0
             bucket.rate, bucket.burst = rate, burst
--- a/roadpulley/fleet/orders/follower.py
+++ b/roadpulley/fleet/orders/follower.py
@@ -7,13 +7,13 @@
 
 from roadpulley.fleet.duties.terms import Mono
 
-from .terms import NOTHING, Book, Gathering, Poll, Sheet, Standing, Version
+from .messages import NO_VERSION, OrderBook, PageAssembler, Poll, BookPage, PollReply, Version
 
-WAITS = 2.0  # polls: after so long an answer counts no more
+REPLY_TIMEOUT_POLLS = 2.0  # polls: after so long an answer counts no more
 
 
 @dataclass(frozen=True)
-class Terms:
+class FollowerSettings:
     """Seconds. `poll`: between two asks; `holds`: for which an answer counts. `keep`: also after that."""
 
     poll: float = 0.3
@@ -30,16 +30,16 @@
 class Follower:
     """`holder`: of a process beside an instance, 0 for an instance."""
 
-    def __init__(self, terms: Terms, holder: int = 0) -> None:
+    def __init__(self, terms: FollowerSettings, holder: int = 0) -> None:
         self.terms, self.holder = terms, holder
-        self.book = Book()
+        self.book = OrderBook()
         self.until: Mono = -math.inf  # for which the book is known to be the newest, or nearly
         self.asked_at: Mono = -math.inf  # when what we go by was asked for
         self.fence = 0  # the highest that was heard to publish
         self.number = 0
         self.open: dict[int, Mono] = {}  # asks that may still be answered, and when they were made
-        self.answered: Standing | None = None  # whose book has not come whole yet
-        self.gathering = Gathering()
+        self.answered: PollReply | None = None  # whose book has not come whole yet
+        self.gathering = PageAssembler()
         self.due: Mono = 0.0
         self.stale_said = False
         self.ages: list[float] = []  # of what was gone by, when it was superseded or confirmed
@@ -51,7 +51,7 @@
             return None
         self.due = now + self.terms.poll
         self.number += 1
-        since = now - WAITS * self.terms.poll
+        since = now - REPLY_TIMEOUT_POLLS * self.terms.poll
         self.open = {n: at for n, at in self.open.items() if at >= since} | {self.number: now}
         return Poll(self.holder, self.number, self.book.id)
 
@@ -66,7 +66,7 @@
 
     # ---- answers ----
 
-    def standing(self, now: Mono, said: Standing) -> bool:
+    def standing(self, now: Mono, said: PollReply) -> bool:
         """Whether we go by another book now, or again by ours."""
         # Danger: an answer that was long on its way would make an old book count from now.
         if said.number not in self.open or said.fence < self.fence or said.id < self.book.id:
@@ -75,13 +75,13 @@
         self.answered = said
         return self._go_by(now)
 
-    def sheet(self, now: Mono, sheet: Sheet) -> bool:
+    def sheet(self, now: Mono, sheet: BookPage) -> bool:
         book = self.gathering.add(sheet)
         if book is not None and self.answered is not None and book.id == self.answered.id:
             return self._go_by(now, book)
         return False
 
-    def _go_by(self, now: Mono, book: Book | None = None) -> bool:
+    def _go_by(self, now: Mono, book: OrderBook | None = None) -> bool:
         said = self.answered
         if said is None or said.number not in self.open:
             return False
@@ -102,9 +102,9 @@
     def fresh(self, now: Mono) -> bool:
         return now < self.until
 
-    def goes_by(self, now: Mono) -> Book:
+    def goes_by(self, now: Mono) -> OrderBook:
         """The book that holds here, now."""
-        return self.book if self.fresh(now) or self.terms.keep else Book(NOTHING)
+        return self.book if self.fresh(now) or self.terms.keep else OrderBook(NO_VERSION)
 
     def left(self, now: Mono) -> float:
         """For which an answer to a process beside may say that it holds."""
--- a/roadpulley/fleet/orders/terms.py
+++ b/roadpulley/fleet/orders/messages.py
@@ -38,14 +38,14 @@
 
 from roadpulley.fleet.rights.messages import MAX_LIMIT_NAME_BYTES, CONCURRENCY_PREFIX, Limit
 
-MOST_ORDERS = 64
-MOST_SUBJECT, MOST_WHY, MOST_WHO = 64, 96, 32  # bytes
-PAGE = 3  # orders in one sheet, so that it fits into a datagram
-MOST_SECONDS = 366 * 86_400.0
-SKEW_MS = 5_000  # that wall clocks may be apart: so late an order ends where no publisher is heard
+MAX_ORDERS = 64
+MAX_SUBJECT_BYTES, MAX_REASON_BYTES, MAX_AUTHOR_BYTES = 64, 96, 32  # bytes
+MAX_ORDERS_PER_PAGE = 3  # orders in one sheet, so that it fits into a datagram
+MAX_DURATION_S = 366 * 86_400.0
+MAX_CLOCK_SKEW_MS = 5_000  # that wall clocks may be apart: so late an order ends where no publisher is heard
 
 # What each kind may be ordered of. A pool is a zone of backends; zones and backends as discovery names them.
-SCOPES = {
+SCOPES_BY_KIND = {
     "rate": ("class", "customer", "plan", "pool"),
     "open": ("class", "customer", "plan", "pool"),
     "block": ("customer",),
@@ -61,7 +61,7 @@
     number: int
 
 
-NOTHING = Version(0, 0)
+NO_VERSION = Version(0, 0)
 
 
 class Order(msgspec.Struct, array_like=True, frozen=True):
@@ -105,25 +105,25 @@
         return Limit(part * self.rate, part * self.burst)
 
 
-def judged(order: Order) -> str:
+def validate_order(order: Order) -> str:
     """What is wrong with an order, and what would be right; empty where it can be taken."""
-    if order.kind not in SCOPES:
-        return f"{order.kind!r} is no order; give one of {', '.join(SCOPES)}"
-    if order.scope not in SCOPES[order.kind]:
-        return f"{order.kind} of a {order.scope!r}; give {' or '.join(SCOPES[order.kind])}"
-    if not 0 < len(order.subject.encode()) <= MOST_SUBJECT:
-        return f"the {order.scope} is {order.subject!r}; give 1 to {MOST_SUBJECT} bytes"
+    if order.kind not in SCOPES_BY_KIND:
+        return f"{order.kind!r} is no order; give one of {', '.join(SCOPES_BY_KIND)}"
+    if order.scope not in SCOPES_BY_KIND[order.kind]:
+        return f"{order.kind} of a {order.scope!r}; give {' or '.join(SCOPES_BY_KIND[order.kind])}"
+    if not 0 < len(order.subject.encode()) <= MAX_SUBJECT_BYTES:
+        return f"the {order.scope} is {order.subject!r}; give 1 to {MAX_SUBJECT_BYTES} bytes"
     if order.kind == "rate" and not (0 <= order.rate < math.inf and 1 <= order.burst < math.inf):
         return f"rate {order.rate:g}, burst {order.burst:g}; give 0 or more a second, a burst of 1 or more"
     if order.kind == "open" and not 1 <= order.most <= 10**6:
         return f"at most {order.most} open; give 1 to 1,000,000, or block it"
-    if len(order.why.encode()) > MOST_WHY or len(order.who.encode()) > MOST_WHO:
-        return f"too many words; give at most {MOST_WHY} bytes of why and {MOST_WHO} of who"
+    if len(order.why.encode()) > MAX_REASON_BYTES or len(order.who.encode()) > MAX_AUTHOR_BYTES:
+        return f"too many words; give at most {MAX_REASON_BYTES} bytes of why and {MAX_AUTHOR_BYTES} of who"
     return ""
 
 
-class Book(msgspec.Struct, array_like=True, frozen=True):
-    id: Version = NOTHING
+class OrderBook(msgspec.Struct, array_like=True, frozen=True):
+    id: Version = NO_VERSION
     orders: tuple[Order, ...] = ()
 
     def followed(self, wall_ms: int) -> tuple[Order, ...]:
@@ -132,7 +132,7 @@
         Danger: by its own clock it would end them sooner than others. The publisher ends them, by a book
         without them; this is for who hears none.
         """
-        return self.standing(wall_ms - SKEW_MS)
+        return self.standing(wall_ms - MAX_CLOCK_SKEW_MS)
 
     def standing(self, wall_ms: int) -> tuple[Order, ...]:
         """Those that have not ended, by the publisher's clock."""
@@ -142,13 +142,13 @@
 # ---- messages ----
 
 
-class Look(msgspec.Struct, tag="o-look", array_like=True, frozen=True):
+class PrepareRequest(msgspec.Struct, tag="o-look", array_like=True, frozen=True):
     """From the publisher of this fence: promise to take nothing of a lower one, and show what you keep."""
 
     fence: int
 
 
-class Keeps(msgspec.Struct, tag="o-keeps", array_like=True, frozen=True):
+class VoterReply(msgspec.Struct, tag="o-keeps", array_like=True, frozen=True):
     """The answer of a keeper to a look or to sheets; what it keeps comes in sheets beside it.
 
     `whole`: it has taken a book since it last lost its memory, or never lost it.
@@ -159,7 +159,7 @@
     whole: bool
 
 
-class Sheet(msgspec.Struct, tag="o-sheet", array_like=True, frozen=True):
+class BookPage(msgspec.Struct, tag="o-sheet", array_like=True, frozen=True):
     """A part of a book. `take`: from the publisher to a keeper, which is to take it up."""
 
     id: Version
@@ -169,7 +169,7 @@
     take: bool = False
 
 
-class News(msgspec.Struct, tag="o-news", array_like=True, frozen=True):
+class PublisherAnnouncement(msgspec.Struct, tag="o-news", array_like=True, frozen=True):
     """I publish under this fence; the newest book is this one."""
 
     fence: int
@@ -184,7 +184,7 @@
     id: Version
 
 
-class Standing(msgspec.Struct, tag="o-standing", array_like=True, frozen=True):
+class PollReply(msgspec.Struct, tag="o-standing", array_like=True, frozen=True):
     """The newest book, which may be gone by for `holds` seconds from when it was asked for."""
 
     holder: int
@@ -194,7 +194,7 @@
     holds: float
 
 
-class Wish(msgspec.Struct, tag="o-wish", array_like=True, frozen=True):
+class ChangeRequest(msgspec.Struct, tag="o-wish", array_like=True, frozen=True):
     """An operator's call, for the publisher: give this order, or lift the one of its key."""
 
     ticket: str
@@ -202,7 +202,7 @@
     lift: bool
 
 
-class Outcome(msgspec.Struct, tag="o-outcome", array_like=True, frozen=True):
+class ChangeOutcome(msgspec.Struct, tag="o-outcome", array_like=True, frozen=True):
     """What came of it: `id` of the acknowledged book with it, or why not."""
 
     ticket: str
@@ -210,24 +210,24 @@
     why: str
 
 
-Body: TypeAlias = Look | Keeps | Sheet | News | Poll | Standing | Wish | Outcome
+Body: TypeAlias = PrepareRequest | VoterReply | BookPage | PublisherAnnouncement | Poll | PollReply | ChangeRequest | ChangeOutcome
 
 
-def sheets(book: Book, take: bool = False) -> list[Sheet]:
-    parts = [book.orders[n : n + PAGE] for n in range(0, len(book.orders), PAGE)] or [()]
-    return [Sheet(book.id, len(parts), n, part, take) for n, part in enumerate(parts)]
+def split_into_pages(book: OrderBook, take: bool = False) -> list[BookPage]:
+    parts = [book.orders[n : n + MAX_ORDERS_PER_PAGE] for n in range(0, len(book.orders), MAX_ORDERS_PER_PAGE)] or [()]
+    return [BookPage(book.id, len(parts), n, part, take) for n, part in enumerate(parts)]
 
 
-class Gathering:
+class PageAssembler:
     """Sheets of one sender, until a book is whole; of several books, the highest."""
 
     def __init__(self) -> None:
-        self.id = NOTHING
-        self.found: dict[int, Sheet] = {}
+        self.id = NO_VERSION
+        self.found: dict[int, BookPage] = {}
 
-    def add(self, sheet: Sheet) -> Book | None:
+    def add(self, sheet: BookPage) -> OrderBook | None:
         """The book that this one makes whole."""
-        most = math.ceil(MOST_ORDERS / PAGE)
+        most = math.ceil(MAX_ORDERS / MAX_ORDERS_PER_PAGE)
         if sheet.id < self.id or not 0 <= sheet.index < sheet.sheets <= most:
             return None
         if sheet.id > self.id:
@@ -235,4 +235,4 @@
         self.found[sheet.index] = sheet
         if len(self.found) < sheet.sheets:
             return None
-        return Book(self.id, tuple(o for n in range(sheet.sheets) for o in self.found[n].orders))
+        return OrderBook(self.id, tuple(o for n in range(sheet.sheets) for o in self.found[n].orders))
--- a/roadpulley/fleet/orders/publisher.py
+++ b/roadpulley/fleet/orders/publisher.py
@@ -10,16 +10,16 @@
 from roadpulley.fleet.duties.roll import Roll, majority
 from roadpulley.fleet.duties.terms import Mono
 
-from .terms import MOST_ORDERS, Book, Keeps, Order, Outcome, Version, Wish, judged
+from .messages import MAX_ORDERS, OrderBook, VoterReply, Order, ChangeOutcome, Version, ChangeRequest, validate_order
 
-MOST_WISHES = 64  # that wait for the one that is being made
-MOST_DONE = 256  # outcomes that are remembered, for calls that come again
-PATIENCE = 3.0  # times the answer: for which those who follow are waited for, if they are needed
-SLOW = 5.0  # times the answer: between two tries at a voter whose vote is not waited for
-FOLLOWS_S = 3.0  # since its last poll: a follower counts as there
+MAX_QUEUED_CHANGES = 64  # that wait for the one that is being made
+MAX_REMEMBERED_OUTCOMES = 256  # outcomes that are remembered, for calls that come again
+FULL_READ_TIMEOUT_RATIO = 3.0  # times the answer: for which those who follow are waited for, if they are needed
+READY_RETRY_RATIO = 5.0  # times the answer: between two tries at a voter whose vote is not waited for
+FOLLOWER_TIMEOUT_S = 3.0  # since its last poll: a follower counts as there
 
 
-class Step(Enum):
+class PublisherState(Enum):
     READING = "reading"  # what a majority keeps
     TAKING = "having it taken"  # the last book made, by a majority
     READY = "ready"
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True)
-class Seen:
+class FollowerStatus:
     """A follower, as it polled last."""
 
     id: Version
@@ -37,21 +37,21 @@
 class Publisher:
     """`ours`: the highest book known here. `answer`: seconds until a voter is asked again."""
 
-    def __init__(self, fence: int, roll: Roll, ours: Book, answer: float) -> None:
+    def __init__(self, fence: int, roll: Roll, ours: OrderBook, answer: float) -> None:
         self.fence, self.roll, self.book, self.answer = fence, roll, ours, answer
-        self.step = Step.READING
+        self.step = PublisherState.READING
         self.heard: dict[str, bool] = {}  # voters that were read, and whether their memory is whole
         self.took: set[str] = set()  # of `book`
         self.due: dict[str, Mono] = {}
         self.patient_until: Mono | None = None  # since the first look at the time
         self.waited = False  # long enough for those who follow to have answered
         self.forced = False  # an operator has said to go on with whom there is
-        self.making: Wish | None = None
-        self.wishes: deque[Wish] = deque()
-        self.done: dict[str, Outcome] = {}
-        self.followers: dict[str, Seen] = {}
+        self.making: ChangeRequest | None = None
+        self.wishes: deque[ChangeRequest] = deque()
+        self.done: dict[str, ChangeOutcome] = {}
+        self.followers: dict[str, FollowerStatus] = {}
         self.overtaken_by = 0  # a higher fence
-        self.published: Book | None = None  # the last that was acknowledged under this fence
+        self.published: OrderBook | None = None  # the last that was acknowledged under this fence
         self.recovered = 0  # voters that had lost their memory when a book was read without enough whole ones
 
     # ---- voters ----
@@ -59,16 +59,16 @@
     def adopt(self, roll: Roll) -> None:
         """Other voters count from now on; the new one has nothing yet."""
         self.roll = roll
-        if self.step is Step.READY:
+        if self.step is PublisherState.READY:
             # Danger: the majority that has the book may be none of these voters.
             self._make(self.book.orders)
 
-    def kept(self, voter: str, keeps: Keeps, book: Book | None) -> None:
+    def kept(self, voter: str, keeps: VoterReply, book: OrderBook | None) -> None:
         """A voter's answer, or what one that does not vote follows. `book`: where that has come whole."""
         if keeps.promised > self.fence or keeps.id.fence > self.fence:
-            self.step, self.overtaken_by = Step.OVERTAKEN, max(keeps.promised, keeps.id.fence)
+            self.step, self.overtaken_by = PublisherState.OVERTAKEN, max(keeps.promised, keeps.id.fence)
             return
-        if self.step is Step.READING:
+        if self.step is PublisherState.READING:
             if keeps.id > self.book.id:
                 if book is None or book.id != keeps.id:
                     return  # Danger: read without its book, a newer one than ours would be undone
@@ -80,11 +80,11 @@
         self._look()
 
     def _look(self) -> None:
-        if self.step is Step.READING and self._read():
+        if self.step is PublisherState.READING and self._read():
             self.recovered = 0 if self._enough(self._whole()) else self._blank()
             self._make(self.book.orders)
-        elif self.step is Step.TAKING and self._enough(self.took):
-            self.step, self.published = Step.READY, self.book
+        elif self.step is PublisherState.TAKING and self._enough(self.took):
+            self.step, self.published = PublisherState.READY, self.book
             if self.making is not None:
                 self.recovered = 0
                 self._end(self.making, "")
@@ -122,17 +122,17 @@
 
     def _make(self, orders: tuple[Order, ...]) -> None:
         # Danger: numbers go on from the book before, so that no two books have one version.
-        self.book = Book(Version(self.fence, self.book.id.number + 1), orders)
-        self.step, self.took, self.due = Step.TAKING, set(), {}
+        self.book = OrderBook(Version(self.fence, self.book.id.number + 1), orders)
+        self.step, self.took, self.due = PublisherState.TAKING, set(), {}
 
-    def wish(self, wish: Wish) -> Outcome | None:
+    def wish(self, wish: ChangeRequest) -> ChangeOutcome | None:
         """An operator's call; its outcome where that is known."""
         if known := self.done.get(wish.ticket):
             return known
-        if not wish.lift and (why := judged(wish.order)):
+        if not wish.lift and (why := validate_order(wish.order)):
             return self._end(wish, why)
-        if len(self.wishes) >= MOST_WISHES:
-            return Outcome(wish.ticket, self.book.id, "too many calls wait; try again")
+        if len(self.wishes) >= MAX_QUEUED_CHANGES:
+            return ChangeOutcome(wish.ticket, self.book.id, "too many calls wait; try again")
         waiting = [*self.wishes, *([self.making] if self.making else [])]
         if all(wish.ticket != other.ticket for other in waiting):
             self.wishes.append(wish)
@@ -140,59 +140,59 @@
         return self.done.get(wish.ticket)
 
     def _next(self) -> None:
-        while self.wishes and self.step is Step.READY:
+        while self.wishes and self.step is PublisherState.READY:
             self.making = wish = self.wishes.popleft()
             others = tuple(o for o in self.book.orders if o.key != wish.order.key)
             if any(o.ticket == wish.ticket for o in self.book.orders):
                 self._end(wish, "")  # the publisher before had it taken, and could not say so
             elif wish.lift and len(others) == len(self.book.orders):
                 self._end(wish, "there is no such order")
-            elif not wish.lift and len(others) >= MOST_ORDERS:
-                self._end(wish, f"there are {MOST_ORDERS} orders already; lift one")
+            elif not wish.lift and len(others) >= MAX_ORDERS:
+                self._end(wish, f"there are {MAX_ORDERS} orders already; lift one")
             else:
                 self._make(others if wish.lift else (*others, wish.order))
 
-    def _end(self, wish: Wish, why: str) -> Outcome:
+    def _end(self, wish: ChangeRequest, why: str) -> ChangeOutcome:
         if self.making is wish:
             self.making = None
-        outcome = self.done[wish.ticket] = Outcome(wish.ticket, self.book.id, why)
-        while len(self.done) > MOST_DONE:
+        outcome = self.done[wish.ticket] = ChangeOutcome(wish.ticket, self.book.id, why)
+        while len(self.done) > MAX_REMEMBERED_OUTCOMES:
             del self.done[next(iter(self.done))]
         return outcome
 
     # ---- followers ----
 
     def polled(self, now: Mono, name: str, id: Version) -> None:
-        self.followers[name] = Seen(id, now)
+        self.followers[name] = FollowerStatus(id, now)
 
     def following(self, now: Mono) -> tuple[int, int]:
         """Instances that go by the newest book, and those that polled lately."""
-        there = [seen for seen in self.followers.values() if now - seen.at < FOLLOWS_S]
+        there = [seen for seen in self.followers.values() if now - seen.at < FOLLOWER_TIMEOUT_S]
         return sum(seen.id == self.book.id for seen in there), len(there)
 
     # ---- time ----
 
     def tick(self, now: Mono, wall_ms: int) -> list[str]:
         """Voters to be looked at, while it reads; else those that are to take the book."""
-        if self.step is Step.OVERTAKEN:
+        if self.step is PublisherState.OVERTAKEN:
             return []
         if not self.waited:
-            self.patient_until = self.patient_until or now + PATIENCE * self.answer
+            self.patient_until = self.patient_until or now + FULL_READ_TIMEOUT_RATIO * self.answer
             self.waited = now >= self.patient_until
             self._look()
-        if self.step is Step.READY:
+        if self.step is PublisherState.READY:
             standing = self.book.standing(wall_ms)
             if len(standing) < len(self.book.orders):
                 self._make(standing)
-        over = set(self.heard) if self.step is Step.READING else self.took
-        again = self.answer * (SLOW if self.step is Step.READY else 1.0)
+        over = set(self.heard) if self.step is PublisherState.READING else self.took
+        again = self.answer * (READY_RETRY_RATIO if self.step is PublisherState.READY else 1.0)
         due = [v for v in sorted(self.everyone() - over) if now >= self.due.get(v, 0.0)]
         self.due |= dict.fromkeys(due, now + again)
         return due
 
     def missing(self) -> str:
         """What it waits for, for people."""
-        if self.step is not Step.READING:
+        if self.step is not PublisherState.READING:
             return ""
         silent, blank = sorted(self.everyone() - set(self.heard)), self._blank()
         if not blank:
--- a/roadpulley/fleet/orders/service.py
+++ b/roadpulley/fleet/orders/service.py
@@ -18,53 +18,53 @@
 from roadpulley.fleet.peers.service import Route
 
 from .follower import Follower
-from .keeper import Keeper
-from .publisher import Publisher, Step
-from .settings import OrdersSettings
-from .terms import (
-    NOTHING,
+from .voter import Voter
+from .publisher import Publisher, PublisherState
+from .settings import OrderSettings
+from .messages import (
+    NO_VERSION,
     Body,
-    Book,
-    Gathering,
-    Keeps,
-    Look,
-    News,
+    OrderBook,
+    PageAssembler,
+    VoterReply,
+    PrepareRequest,
+    PublisherAnnouncement,
     Order,
-    Outcome,
+    ChangeOutcome,
     Poll,
-    Sheet,
-    Standing,
+    BookPage,
+    PollReply,
     Version,
-    Wish,
-    sheets,
+    ChangeRequest,
+    split_into_pages,
 )
-from .work import Publishing
+from .work import PublisherWork
 
-TICK_S = 0.02  # between two looks at what is due
-NEWS_S = 0.5  # between two words of a publisher that it publishes
-ASK_AGAIN_S = 0.25  # after which a publisher is told a call again
-CALL_S = 20.0  # for which a call is tried
-MOST_CALLS = 64
-AGES = 4_096  # of what was gone by, the latest
+TICK_INTERVAL_S = 0.02  # between two looks at what is due
+ANNOUNCE_INTERVAL_S = 0.5  # between two words of a publisher that it publishes
+CALL_RETRY_INTERVAL_S = 0.25  # after which a publisher is told a call again
+CALL_TIMEOUT_S = 20.0  # for which a call is tried
+MAX_CALLS = 64
+MAX_AGE_SAMPLES = 4_096  # of what was gone by, the latest
 
 log = structlog.get_logger("roadpulley.fleet.orders")
 
 
-class Call:
+class OperatorCall:
     """One call of an operator at this instance, until its outcome is known."""
 
-    def __init__(self, wish: Wish, now: Mono) -> None:
+    def __init__(self, wish: ChangeRequest, now: Mono) -> None:
         self.wish, self.began, self.due = wish, now, now
-        self.outcome: Outcome | None = None
+        self.outcome: ChangeOutcome | None = None
 
 
-class Orders:
+class OrderService:
     """`to` gives the route to a voter, `everybody` those to all others; `changed` hears of another book."""
 
     def __init__(
         self,
-        settings: OrdersSettings,
-        keeper: Keeper,
+        settings: OrderSettings,
+        keeper: Voter,
         name: str,
         beside: Beside,
         works: Mapping[str, Any],
@@ -86,19 +86,19 @@
         # The publisher that was heard last. Danger: it may take this instance for dead and tell it nothing.
         # It is asked all the same, until a later one is heard of.
         self.where: Route | None = None
-        self.keeping: dict[Route, Gathering] = {}  # sheets that this keeper is to take
-        self.shown: dict[str, Gathering] = {}  # sheets that voters show
-        self.said: dict[str, tuple[Keeps, Book | None]] = {}
-        self.calls: dict[str, Call] = {}
+        self.keeping: dict[Route, PageAssembler] = {}  # sheets that this keeper is to take
+        self.shown: dict[str, PageAssembler] = {}  # sheets that voters show
+        self.said: dict[str, tuple[VoterReply, OrderBook | None]] = {}
+        self.calls: dict[str, OperatorCall] = {}
         self.askers: dict[str, Route] = {}  # by ticket, who waits for an outcome of this publisher
-        self.ages: deque[float] = deque(maxlen=AGES)
+        self.ages: deque[float] = deque(maxlen=MAX_AGE_SAMPLES)
         self.counts: Counter[str] = Counter()
         self.fresh = False
         self.standing: tuple[Order, ...] = ()  # the orders that hold here
         self.news_at: Mono = 0.0
         self.ask_all_at: Mono = 0.0  # those who don't vote, too: while it reads
         self.task: asyncio.Task[None] | None = None
-        self.work = next((work for work in works.values() if isinstance(work, Publishing)), None)
+        self.work = next((work for work in works.values() if isinstance(work, PublisherWork)), None)
         if self.work is not None:
             self.work.begins = self._begins
             self.work.highest = lambda: max(self.follower.book.id.fence, self.follower.fence)
@@ -115,7 +115,7 @@
     async def _run(self) -> None:
         while True:
             self._tick()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     def _tick(self) -> None:
         now = self.clock.now()
@@ -131,7 +131,7 @@
         """Whether other orders hold here now, also as some have ended or none are heard any more."""
         fresh, book = self.follower.fresh(now), self.follower.goes_by(now)
         standing = book.followed(wall_ms())
-        if fresh != self.fresh and self.follower.book.id != NOTHING:
+        if fresh != self.fresh and self.follower.book.id != NO_VERSION:
             words = "orders are followed" if fresh else "no publisher of orders is heard"
             kept = "kept" if self.settings.terms.keep else "let go"
             log.info(words, id=list(book.id), orders=len(standing), **({} if fresh else {"they_are": kept}))
@@ -172,40 +172,40 @@
         for voter in publisher.tick(now, wall_ms()):
             for body in self._asks(publisher):
                 self._to_voter(voter, body)
-        if publisher.step is Step.READING and now >= self.ask_all_at:
+        if publisher.step is PublisherState.READING and now >= self.ask_all_at:
             self.ask_all_at = now + self.answer
             for route in self.everybody():
-                self.tell(route, Look(publisher.fence))
+                self.tell(route, PrepareRequest(publisher.fence))
         if publisher.published is not None and now >= self.news_at:
-            self.news_at = now + NEWS_S
+            self.news_at = now + ANNOUNCE_INTERVAL_S
             self._news(publisher, publisher.published.id)
 
-    def _asks(self, publisher: Publisher) -> list[Look | Sheet]:
-        if publisher.step is Step.READING:
-            return [Look(publisher.fence)]
-        return list(sheets(publisher.book, take=True))
+    def _asks(self, publisher: Publisher) -> list[PrepareRequest | BookPage]:
+        if publisher.step is PublisherState.READING:
+            return [PrepareRequest(publisher.fence)]
+        return list(split_into_pages(publisher.book, take=True))
 
     def _news(self, publisher: Publisher, id: Version) -> None:
         for route in self.everybody():
-            self.tell(route, News(publisher.fence, id))
+            self.tell(route, PublisherAnnouncement(publisher.fence, id))
 
-    def _to_voter(self, voter: str, body: Look | Sheet) -> None:
+    def _to_voter(self, voter: str, body: PrepareRequest | BookPage) -> None:
         if voter == self.name:
             asyncio.get_running_loop().call_soon(self._ourselves, body)
         elif route := self.to(voter):
             self.tell(route, body)
 
-    def _ourselves(self, body: Look | Sheet) -> None:
+    def _ourselves(self, body: PrepareRequest | BookPage) -> None:
         for answer in self._kept(("", 0), body):
             self._answered(self.name, answer)
 
-    def _answered(self, voter: str, body: Keeps | Sheet) -> None:
+    def _answered(self, voter: str, body: VoterReply | BookPage) -> None:
         """What a voter keeps; the last of its sheets may come after the word."""
         publisher = self._publishing()
         if publisher is None:
             return
-        if isinstance(body, Sheet):
-            book = self.shown.setdefault(voter, Gathering()).add(body)
+        if isinstance(body, BookPage):
+            book = self.shown.setdefault(voter, PageAssembler()).add(body)
             keeps = self.said[voter][0] if voter in self.said else None
             if book is None or keeps is None:
                 return
@@ -215,14 +215,14 @@
             self.said[voter] = body, book
         before = publisher.published
         publisher.kept(voter, *self.said[voter])
-        if publisher.step is Step.OVERTAKEN:
+        if publisher.step is PublisherState.OVERTAKEN:
             log.warning("a higher fence publishes orders", fence=publisher.fence, voter=voter)
             if self.work is not None:
                 self.work.low = publisher.overtaken_by
         elif publisher.published is not None and publisher.published is not before:
             self._published(publisher, publisher.published)
 
-    def _published(self, publisher: Publisher, book: Book) -> None:
+    def _published(self, publisher: Publisher, book: OrderBook) -> None:
         lost = publisher.recovered  # voters without a memory, where too few had theirs
         log.info("orders are acknowledged", id=list(book.id), orders=len(book.orders), lost=lost)
         self.follower.news(self.clock.now(), publisher.fence, book.id)
@@ -237,15 +237,15 @@
 
     # ---- a voter ----
 
-    def _kept(self, route: Route, body: Look | Sheet) -> list[Keeps | Sheet]:
-        if isinstance(body, Look):
+    def _kept(self, route: Route, body: PrepareRequest | BookPage) -> list[VoterReply | BookPage]:
+        if isinstance(body, PrepareRequest):
             keeps = self.keeper.looked(body.fence)
             if keeps is None:
                 return []
             # What this instance follows is acknowledged: it counts where voters have lost their memory.
             best = max(self.keeper.kept.book, self.follower.book, key=lambda b: b.id)
-            return [Keeps(keeps.promised, best.id, keeps.whole), *sheets(best)]
-        book = self.keeping.setdefault(route, Gathering()).add(body)
+            return [VoterReply(keeps.promised, best.id, keeps.whole), *split_into_pages(best)]
+        book = self.keeping.setdefault(route, PageAssembler()).add(body)
         if book is None:
             return []
         del self.keeping[route]
@@ -260,21 +260,21 @@
         elif self.where is not None:
             self.tell(self.where, poll)
 
-    def _standing(self, now: Mono, poll: Poll, name: str, say: Callable[[Standing | Sheet], None]) -> None:
+    def _standing(self, now: Mono, poll: Poll, name: str, say: Callable[[PollReply | BookPage], None]) -> None:
         """Answer one who follows, as the publisher."""
         publisher = self._publishing()
         if publisher is None or publisher.published is None:
             return
         publisher.polled(now, name, poll.id)
         book = publisher.published
-        say(Standing(poll.holder, poll.number, publisher.fence, book.id, self.settings.terms.holds))
+        say(PollReply(poll.holder, poll.number, publisher.fence, book.id, self.settings.terms.holds))
         if poll.id != book.id:
-            for sheet in sheets(book):
+            for sheet in split_into_pages(book):
                 say(sheet)
 
-    def _heard_standing(self, body: Standing | Sheet) -> None:
+    def _heard_standing(self, body: PollReply | BookPage) -> None:
         now = self.clock.now()
-        if isinstance(body, Standing):
+        if isinstance(body, PollReply):
             changed = self.follower.standing(now, body)
         else:
             changed = self.follower.sheet(now, body)
@@ -287,31 +287,31 @@
         """A body of another instance; `name` says which."""
         now = self.clock.now()
         match body:
-            case News():
+            case PublisherAnnouncement():
                 if self.follower.news(now, body.fence, body.id):
                     self.where = route
                 else:
                     self.counts["words of an earlier publisher"] += 1
             case Poll():
                 self._standing(now, body, name, lambda answer: self.tell(route, answer))
-            case Standing():
+            case PollReply():
                 self._heard_standing(body)
-            case Wish():
+            case ChangeRequest():
                 if outcome := self._wished(body):
                     self.tell(route, outcome)
                 else:
                     self.askers[body.ticket] = route
-            case Outcome():
+            case ChangeOutcome():
                 self._known(body)
-            case Keeps():
+            case VoterReply():
                 self._answered(name, body)
-            case Look():
+            case PrepareRequest():
                 for answer in self._kept(route, body):
                     self.tell(route, answer)
-            case Sheet():
+            case BookPage():
                 self._sheet(route, name, body)
 
-    def _sheet(self, route: Route, name: str, sheet: Sheet) -> None:
+    def _sheet(self, route: Route, name: str, sheet: BookPage) -> None:
         if sheet.take:
             for answer in self._kept(route, sheet):
                 self.tell(route, answer)
@@ -326,10 +326,10 @@
         """A process beside follows this instance, for no longer than this instance itself may."""
         now, book = self.clock.now(), self.follower.goes_by(self.clock.now())
         holds = self.follower.left(now)
-        said = Standing(poll.holder, poll.number, book.id.fence, book.id, holds)
+        said = PollReply(poll.holder, poll.number, book.id.fence, book.id, holds)
         self.beside.tell(poll.holder, said)
         if poll.id != book.id:
-            for sheet in sheets(book):
+            for sheet in split_into_pages(book):
                 self.beside.tell(poll.holder, sheet)
 
     # ---- operators ----
@@ -337,11 +337,11 @@
     def call(self, order: Order, lift: bool) -> dict[str, Any]:
         """Begin an operator's call; `status` tells what came of it."""
         now, ticket = self.clock.now(), secrets.token_hex(8)
-        self.calls = {t: c for t, c in self.calls.items() if now - c.began < 2 * CALL_S}
-        if len(self.calls) >= MOST_CALLS:
+        self.calls = {t: c for t, c in self.calls.items() if now - c.began < 2 * CALL_TIMEOUT_S}
+        if len(self.calls) >= MAX_CALLS:
             return {"error": "too many calls at once: try again"}
         fields = {name: getattr(order, name) for name in order.__struct_fields__}
-        self.calls[ticket] = Call(Wish(ticket, Order(**(fields | {"ticket": ticket})), lift), now)
+        self.calls[ticket] = OperatorCall(ChangeRequest(ticket, Order(**(fields | {"ticket": ticket})), lift), now)
         self._tick()
         return self.status(ticket)
 
@@ -350,7 +350,7 @@
         if call is None:
             return {"step": "unknown", "ticket": ticket, "why": "it is not known here any more"}
         if call.outcome is None:
-            over = self.clock.now() - call.began > CALL_S
+            over = self.clock.now() - call.began > CALL_TIMEOUT_S
             why = "no publisher answers; whether it is ordered is not known" if over else self._waits()
             return {"step": "failed" if over else "waiting", "ticket": ticket, "why": why}
         outcome = call.outcome
@@ -362,17 +362,17 @@
             return f"{self.publisher.step.value} {self.publisher.missing()}".strip()
         return "for the publisher" if self.where else "for a publisher: none was heard"
 
-    def _try(self, now: Mono, call: Call) -> None:
-        if call.outcome is not None or now < call.due or now - call.began > CALL_S:
+    def _try(self, now: Mono, call: OperatorCall) -> None:
+        if call.outcome is not None or now < call.due or now - call.began > CALL_TIMEOUT_S:
             return
-        call.due = now + ASK_AGAIN_S
+        call.due = now + CALL_RETRY_INTERVAL_S
         if self._publishing() is not None:
             if outcome := self._wished(call.wish):
                 self._known(outcome)
         elif self.where is not None:
             self.tell(self.where, call.wish)
 
-    def _wished(self, wish: Wish) -> Outcome | None:
+    def _wished(self, wish: ChangeRequest) -> ChangeOutcome | None:
         publisher = self._publishing()
         if publisher is None:
             return None
@@ -380,7 +380,7 @@
         self._publish(self.clock.now(), publisher)
         return outcome
 
-    def _known(self, outcome: Outcome) -> None:
+    def _known(self, outcome: ChangeOutcome) -> None:
         if call := self.calls.get(outcome.ticket):
             call.outcome = call.outcome or outcome
 
@@ -399,7 +399,7 @@
             "known": "newest" if follower.fresh(now) else "not heard lately",
             "age_s": round(now - follower.asked_at, 2) if follower.asked_at > 0 else None,
             "cut_off": "keep" if self.settings.terms.keep else "let-go",
-            "orders": [row(order, wall) for order in book.followed(wall)],
+            "orders": [format_order(order, wall) for order in book.followed(wall)],
             "counts": dict(self.counts),
         }
         if publisher := self._publishing():
@@ -415,7 +415,7 @@
         return found
 
 
-def row(order: Order, wall: int) -> dict[str, Any]:
+def format_order(order: Order, wall: int) -> dict[str, Any]:
     """One order for people."""
     if order.kind == "rate":
         what = f"{order.rate:g}/s, burst {order.burst:g}"
--- a/roadpulley/fleet/orders/settings.py
+++ b/roadpulley/fleet/orders/settings.py
@@ -6,23 +6,23 @@
 
 from roadpulley.checks import Table, ValidationError
 
-from .follower import Terms
+from .follower import FollowerSettings
 
-CUT_OFF = ("keep", "let-go")
+CUT_OFF_CHOICES = ("keep", "let-go")
 
 
 @dataclass(frozen=True)
-class OrdersSettings:
+class OrderSettings:
     """`open_lease`: seconds that a right to have something open lasts; requests have to end within it."""
 
-    terms: Terms
+    terms: FollowerSettings
     open_lease: float
 
 
-def read_orders(table: Table, drift: float) -> OrdersSettings:
+def read_order_settings(table: Table, drift: float) -> OrderSettings:
     """Raises ValidationError."""
     poll, holds = table.read_number("poll_s", 0.3, 0.02, 60), table.read_number("holds_s", 5.0, 0.1, 3600)
-    cut_off = table.read_text("cut_off", "keep", choices=CUT_OFF)
+    cut_off = table.read_text("cut_off", "keep", choices=CUT_OFF_CHOICES)
     lease = table.read_number("open_lease_s", 15.0, 0.5, 600)
     table.reject_unknown_keys()
     if holds < 4 * poll:
@@ -30,4 +30,4 @@
         raise ValidationError(
             table.path_of("holds_s"), f"is {holds:g}, and is asked for every {poll:g} s", right
         )
-    return OrdersSettings(Terms(poll, holds, cut_off == "keep", drift), lease)
+    return OrderSettings(Terms(poll, holds, cut_off == "keep", drift), lease)
--- a/roadpulley/fleet/orders/keeper.py
+++ b/roadpulley/fleet/orders/voter.py
@@ -10,47 +10,47 @@
 from roadpulley.checks import ValidationError
 from roadpulley.fleet.duties.memory import replace
 
-from .terms import Book, Keeps
+from .messages import OrderBook, VoterReply
 
 log = structlog.get_logger("roadpulley.fleet.orders")
 
 
-class Kept(msgspec.Struct, frozen=True):
+class VoterState(msgspec.Struct, frozen=True):
     """Asked or told something, it gives what is kept by then: itself if nothing changes."""
 
-    book: Book = Book()
+    book: OrderBook = OrderBook()
     promised: int = 0
     whole: bool = False
 
-    def looked(self, fence: int) -> Kept:
-        return Kept(self.book, fence, self.whole) if fence > self.promised else self
+    def looked(self, fence: int) -> VoterState:
+        return VoterState(self.book, fence, self.whole) if fence > self.promised else self
 
-    def told(self, book: Book) -> Kept:
+    def told(self, book: OrderBook) -> VoterState:
         """A publisher has it take a book."""
         # Danger: a publisher that stood still would undo what was ordered under a higher fence since.
         if book.id.fence < self.promised or (self.whole and book.id <= self.book.id):
             return self
         # A voter that lost its memory takes what a publisher has; a majority that is whole stands behind it.
-        return Kept(max(book, self.book, key=lambda b: b.id), book.id.fence, True)
+        return VoterState(max(book, self.book, key=lambda b: b.id), book.id.fence, True)
 
-    def says(self) -> Keeps:
-        return Keeps(self.promised, self.book.id, self.whole)
+    def says(self) -> VoterReply:
+        return VoterReply(self.promised, self.book.id, self.whole)
 
 
-class Keeper:
+class Voter:
     """`folder`: where it remembers, if anywhere. Raises ValidationError for a file that can't be read."""
 
     def __init__(self, folder: Path | None, name: str) -> None:
         self.path = folder / f"{name}.orders" if folder is not None else None
-        self.kept = Kept()
+        self.kept = VoterState()
         if self.path is not None and self.path.exists():
             try:
-                self.kept = msgspec.json.decode(self.path.read_bytes(), type=Kept)
+                self.kept = msgspec.json.decode(self.path.read_bytes(), type=VoterState)
             except (OSError, msgspec.DecodeError) as error:
                 right = "bring it back, or remove it: then it counts as one that lost its memory"
                 raise ValidationError(str(self.path), f"can't be read ({error})", right) from error
 
-    def go_by(self, kept: Kept) -> bool:
+    def go_by(self, kept: VoterState) -> bool:
         """From now on, once it is on disk; gives whether it is.
 
         Danger: what is answered and not kept could be broken after a restart.
@@ -65,9 +65,9 @@
         self.kept = kept
         return True
 
-    def looked(self, fence: int) -> Keeps | None:
+    def looked(self, fence: int) -> VoterReply | None:
         """None: nothing is said, as it could not be kept."""
         return self.kept.says() if self.go_by(self.kept.looked(fence)) else None
 
-    def told(self, book: Book) -> Keeps | None:
+    def told(self, book: OrderBook) -> VoterReply | None:
         return self.kept.says() if self.go_by(self.kept.told(book)) else None
--- a/roadpulley/fleet/orders/work.py
+++ b/roadpulley/fleet/orders/work.py
@@ -7,10 +7,10 @@
 from roadpulley.fleet.duties.work import Duty, StaleFenceError
 
 DUTY = "fleet.orders"
-LOOK_S = 0.5  # between two looks whether voters refuse the fence
+FENCE_CHECK_INTERVAL_S = 0.5  # between two looks whether voters refuse the fence
 
 
-class Publishing:
+class PublisherWork:
     """`begins` and `highest` are the instance's own: the loop of the instance does all else."""
 
     def __init__(self) -> None:
--- a/roadpulley/fleet/report.py
+++ b/roadpulley/fleet/report.py
@@ -10,7 +10,7 @@
 
 if TYPE_CHECKING:
     from .agent import Agent
-    from .orders.service import Orders
+    from .orders.service import OrderService
 
 
 def members(agent: Agent) -> dict[str, Any]:
@@ -142,7 +142,7 @@
     return found
 
 
-def orders(agent: Agent, found: Orders) -> dict[str, Any]:
+def orders(agent: Agent, found: OrderService) -> dict[str, Any]:
     """What operators have ordered, as it holds here."""
     return {"instance": agent.name, "unseen": unseen_voters(agent), **found.report()}
 
--- a/roadpulley/fleet/rights/client.py
+++ b/roadpulley/fleet/rights/client.py
@@ -17,7 +17,7 @@
 from .holder import NEVER_DUE, Holder, Payment, customer_limit_name
 from .messages import RightsReply, Hello, AllocatorAnnouncement, Welcome, is_concurrency_limit
 
-LEAST_WAIT_S = 0.001  # of the timer's own rounding
+MIN_TIMER_DELAY_S = 0.001  # of the timer's own rounding
 
 
 Done = Callable[[bool], None]
@@ -182,7 +182,7 @@
             self.timer.cancel()
         self.timer_at = self.machine.next_at()
         wait = max(0.0, (self.timer_at - self.clock.now()) / self.clock.rate)
-        self.timer = asyncio.get_running_loop().call_later(wait + LEAST_WAIT_S, self._tick)
+        self.timer = asyncio.get_running_loop().call_later(wait + MIN_TIMER_DELAY_S, self._tick)
 
     def _tick(self) -> None:
         assert self.machine is not None
--- a/roadpulley/fleet/rights/holder.py
+++ b/roadpulley/fleet/rights/holder.py
@@ -13,13 +13,13 @@
 from .messages import MAX_RETURNED_PER_REQUEST, MAX_LIMIT_NAME_BYTES, UNIT_EPSILON, RightsRequest, ReturnedRight, RightsReply, RightId, Times, is_concurrency_limit
 
 NEVER_DUE = math.inf
-MEMORY_S = 1.0  # of what is wanted: for how long a wish counts
-AHEAD_S = 0.25  # of what is wanted: so much is held before it is needed
-REFILL = 0.5  # of that: under this more is asked for
-BESIDE = 0.5  # of what is in use: so much more is held of a limit on what is open at once
-TELL = 0.3  # of a lease: after which a right that is used up is told of by itself
-UNSERVED_S, SOONEST_S = 0.25, 0.002  # between two looks at one limit at least, the first where nobody serves
-IDLE_S = 10.0  # without a wish: then a limit is forgotten
+DEMAND_DECAY_S = 1.0  # of what is wanted: for how long a wish counts
+PREFETCH_S = 0.25  # of what is wanted: so much is held before it is needed
+REFILL_RATIO = 0.5  # of that: under this more is asked for
+SPARE_CONCURRENCY_RATIO = 0.5  # of what is in use: so much more is held of a limit on what is open at once
+MAX_RETURN_DELAY_RATIO = 0.3  # of a lease: after which a right that is used up is told of by itself
+UNSERVED_CHECK_INTERVAL_S, MIN_CHECK_INTERVAL_S = 0.25, 0.002  # between two looks at one limit at least, the first where nobody serves
+IDLE_TIMEOUT_S = 10.0  # without a wish: then a limit is forgotten
 
 
 @dataclass(slots=True)
@@ -113,7 +113,7 @@
     def want(self, now: Mono, limit: str, units: float) -> None:
         """A new wish: what comes lately says how much to hold."""
         purse = self._purse(now, limit)
-        fade = math.exp((purse.wanted_at - now) / MEMORY_S)
+        fade = math.exp((purse.wanted_at - now) / DEMAND_DECAY_S)
         purse.wanted, purse.wanted_at = purse.wanted * fade + units, now
         purse.largest = max(units, purse.largest * fade)
 
@@ -180,7 +180,7 @@
             if purse is None or purse.planned > now:
                 continue  # it was looked at since, or is gone
             purse.planned = NEVER_DUE
-            if now - purse.wanted_at >= IDLE_S and not purse.open:
+            if now - purse.wanted_at >= IDLE_TIMEOUT_S and not purse.open:
                 del self.purses[limit]  # the allocator finds out what of it has ended
             elif ask := self.ask_now(now, limit):
                 out.append(ask)
@@ -227,12 +227,12 @@
 
     def _need(self, now: Mono, purse: LimitHolding) -> tuple[float, float]:
         """Units to ask for, and the least that is of use."""
-        ahead = purse.wanted * math.exp((purse.wanted_at - now) / MEMORY_S) / MEMORY_S * AHEAD_S
+        ahead = purse.wanted * math.exp((purse.wanted_at - now) / DEMAND_DECAY_S) / DEMAND_DECAY_S * PREFETCH_S
         if purse.returns:  # what is in use comes back and is spent again
-            ahead = min(ahead, BESIDE * purse.in_use(now))
+            ahead = min(ahead, SPARE_CONCURRENCY_RATIO * purse.in_use(now))
         ahead = ahead if ahead >= purse.largest else 0.0  # so few wishes: each is asked for as it comes
         target, there = max(ahead, purse.lacks), purse.there(now)
-        if there >= (purse.lacks if purse.lacks else target * REFILL):
+        if there >= (purse.lacks if purse.lacks else target * REFILL_RATIO):
             return 0.0, 0.0
         least = max(0.0, (purse.lacks or purse.largest) - there)
         return max(least, target - there), least
@@ -284,7 +284,7 @@
         self.given_up += lot.units
         purse.closed.append(ReturnedRight(lot.right, lot.units))
         # What was all spent is told with the next ask: until then the limit has a little less room.
-        patience = 0.0 if lot.units > UNIT_EPSILON else TELL * self.times.lease
+        patience = 0.0 if lot.units > UNIT_EPSILON else MAX_RETURN_DELAY_RATIO * self.times.lease
         patience = self.times.answer if purse.returns else patience  # one message for what ends together
         purse.tell_at = min(purse.tell_at, now + patience)
 
@@ -296,14 +296,14 @@
         """Look at it when something of it is due. The work of a wish does not grow with the limits in use."""
         due = min(self._dues(purse))
         if now >= self.until.get(purse.part, 0.0):
-            due = max(due, now + UNSERVED_S)
-        due = max(due, now + SOONEST_S)
+            due = max(due, now + UNSERVED_CHECK_INTERVAL_S)
+        due = max(due, now + MIN_CHECK_INTERVAL_S)
         if due < purse.planned:
             purse.planned = due
             heapq.heappush(self.looks, (due, purse.limit))
 
     def _dues(self, purse: LimitHolding) -> Iterator[Mono]:
-        yield purse.wanted_at + IDLE_S
+        yield purse.wanted_at + IDLE_TIMEOUT_S
         if purse.open is not None:
             yield min(purse.open.again_at, purse.open.first_at + self.times.waits)
         else:
--- a/roadpulley/fleet/rights/service.py
+++ b/roadpulley/fleet/rights/service.py
@@ -38,10 +38,10 @@
 )
 from .work import AllocatorWork
 
-SAY_S = 0.25  # between two words of an allocator that it serves
-SERVES_S = 1.0  # for which one word counts
-HEIR_AGAIN_S, HEIR_S = 0.05, 0.3  # between two words to an heir; for how long it is waited for at most
-SHOWN_S = 0.05  # that books are left to reach it
+ANNOUNCE_INTERVAL_S = 0.25  # between two words of an allocator that it serves
+ANNOUNCEMENT_LIFETIME_S = 1.0  # for which one word counts
+HANDOVER_RETRY_INTERVAL_S, HANDOVER_TIMEOUT_S = 0.05, 0.3  # between two words to an heir; for how long it is waited for at most
+SNAPSHOT_DELIVERY_S = 0.05  # that books are left to reach it
 
 log = structlog.get_logger("roadpulley.fleet.rights")
 
@@ -107,17 +107,17 @@
         if allocator is None or self.allocator(part) is not allocator:
             return
         asked = self.heirs[part] = asyncio.Event()
-        end = self.clock.now() + HEIR_S
+        end = self.clock.now() + HANDOVER_TIMEOUT_S
         while not asked.is_set() and self.clock.now() < end:
             self.tell(heir, HandoverOffer(part, allocator.fence))
             try:
-                async with asyncio.timeout(HEIR_AGAIN_S):
+                async with asyncio.timeout(HANDOVER_RETRY_INTERVAL_S):
                     await asked.wait()
             except TimeoutError:
                 continue
         del self.heirs[part]
         if asked.is_set():
-            await asyncio.sleep(SHOWN_S)
+            await asyncio.sleep(SNAPSHOT_DELIVERY_S)
 
     def _heir(self, route: Route, heir: HandoverOffer) -> None:
         left = self.legacies.get(heir.part)
@@ -166,13 +166,13 @@
 
     def _say(self) -> None:
         self._announce()
-        self.saying = asyncio.get_running_loop().call_later(SAY_S, self._say)
+        self.saying = asyncio.get_running_loop().call_later(ANNOUNCE_INTERVAL_S, self._say)
 
     def _announce(self) -> None:
         for part in list(self.ours):
             allocator = self.allocator(part)
             if allocator is not None:
-                serving = AllocatorAnnouncement(part, allocator.fence, int(SERVES_S * 1000))
+                serving = AllocatorAnnouncement(part, allocator.fence, int(ANNOUNCEMENT_LIFETIME_S * 1000))
                 for route in self.everybody():
                     self.tell(route, serving)
                 self.beside.tell_all(serving)
@@ -223,7 +223,7 @@
         self.beside.tell(holder, Welcome(self.settings.parts, self.settings.times))
         for part in list(self.ours):
             if allocator := self.allocator(part):
-                self.beside.tell(holder, AllocatorAnnouncement(part, allocator.fence, int(SERVES_S * 1000)))
+                self.beside.tell(holder, AllocatorAnnouncement(part, allocator.fence, int(ANNOUNCEMENT_LIFETIME_S * 1000)))
         now = self.clock.now()
         for part, (fence, _, until) in self.known.items():
             if part not in self.ours and now < until:
--- a/roadpulley/fleet/rights/settings.py
+++ b/roadpulley/fleet/rights/settings.py
@@ -9,7 +9,7 @@
 
 from .messages import MAX_LIMIT_NAME_BYTES, Limit, Times
 
-MOST_PARTS = 64
+MAX_PARTITIONS = 64
 
 
 @dataclass(frozen=True)
@@ -28,9 +28,9 @@
         return {name: Limit(part * one.rate, part * one.burst) for name, one in self.limits.items()}
 
 
-def read_rights(table: Table, drift: float) -> RightsSettings:
+def read_rights_settings(table: Table, drift: float) -> RightsSettings:
     """Raises ValidationError."""
-    parts = table.read_int("parts", 1, 1, MOST_PARTS)
+    parts = table.read_int("parts", 1, 1, MAX_PARTITIONS)
     ceilings = table.read_number("ceilings", 0.7, 0.01, 1.0)
     lease, answer = (
         table.read_number("lease_s", 1.0, 0.05, 60),
@@ -42,12 +42,12 @@
     except ValueError as error:
         wrong, _, right = str(error).partition("; ")
         raise ValidationError(table.path_of("lease_s"), wrong, right) from error
-    limits = {name: read_limit(name, each) for name, each in rows(table.read_table("limits"))}
+    limits = {name: read_limit(name, each) for name, each in read_subtables(table.read_table("limits"))}
     table.reject_unknown_keys()
     return RightsSettings(parts, ceilings, times, limits)
 
 
-def rows(table: Table) -> list[tuple[str, Table]]:
+def read_subtables(table: Table) -> list[tuple[str, Table]]:
     return [(name, table.read_table(name)) for name in table.raw]
 
 
--- a/roadpulley/fleet/settings.py
+++ b/roadpulley/fleet/settings.py
@@ -19,12 +19,12 @@
 from .duties.roll import MOST_VOTERS
 from .duties.terms import Times
 from .members.terms import Times as MemberTimes
-from .orders.settings import OrdersSettings, read_orders
+from .orders.settings import OrderSettings, read_order_settings
 from .orders.work import DUTY as ORDERS
 from .peers.envelope import LEAST_KEY, MOST_KEY
-from .rights.settings import RightsSettings, read_rights
+from .rights.settings import RightsSettings, read_rights_settings
 from .rights.work import DUTY as RIGHTS
-from .verdicts.service import read_verdicts
+from .verdicts.service import read_verdict_settings
 from .verdicts.state_machine import VerdictSettings
 
 NAME = re.compile(r"[a-z0-9][a-z0-9.-]{0,31}")
@@ -60,7 +60,7 @@
     settle_s: float  # for which another instance has to be the better one before a duty is handed to it
     counts: CountsSettings | None = None  # numbers that all add to, in place of a counter
     rights: RightsSettings | None = None  # to spend of the limits that hold over all gateways
-    orders: OrdersSettings | None = None  # of operators, followed by all
+    orders: OrderSettings | None = None  # of operators, followed by all
     verdicts: VerdictSettings | None = None  # of backends, by what all find out
 
     @property
@@ -92,8 +92,8 @@
         raise ValidationError("voters", f"are {len(voters)}", right)
     apart(voters, others)
     times = lease(table.read_table("lease"))
-    rights = read_rights(table.read_table("rights"), times.drift) if table.has("rights") else None
-    orders = read_orders(table.read_table("orders"), times.drift) if table.has("orders") else None
+    rights = read_rights_settings(table.read_table("rights"), times.drift) if table.has("rights") else None
+    orders = read_order_settings(table.read_table("orders"), times.drift) if table.has("orders") else None
     found = FleetSettings(
         installation,
         key,
@@ -109,7 +109,7 @@
         read_counts(table.read_table("counts")) if table.has("counts") else None,
         rights,
         orders,
-        read_verdicts(table.read_table("verdicts")) if table.has("verdicts") else None,
+        read_verdict_settings(table.read_table("verdicts")) if table.has("verdicts") else None,
     )
     table.reject_unknown_keys()
     return found
@@ -244,7 +244,7 @@
     return found
 
 
-def own(rights: RightsSettings | None, orders: OrdersSettings | None) -> dict[str, DutySettings]:
+def own(rights: RightsSettings | None, orders: OrderSettings | None) -> dict[str, DutySettings]:
     """Duties of the fleet's own: one for each part of the limits, one for orders."""
     works = {f"{RIGHTS}{part}": "rights" for part in range(rights.parts if rights is not None else 0)}
     works |= {ORDERS: "orders"} if orders is not None else {}
--- a/roadpulley/fleet/verdicts/client.py
+++ b/roadpulley/fleet/verdicts/client.py
@@ -11,7 +11,7 @@
 from roadpulley.fleet.clock import Clock, from_environment
 from roadpulley.fleet.line import Line
 
-from .evidence import FAILURES, Evidence
+from .evidence import FAILURES, BackendObservations
 from .messages import ObservationBatch, VerdictSnapshot
 
 MIN_REPORT_INTERVAL_S = 0.02  # between two words, where something fails
@@ -26,7 +26,7 @@
     ) -> None:
         self.line, self.driver, self.report_interval_s = line, driver, report_interval_s
         self.clock = clock or from_environment()
-        self.evidence = Evidence()
+        self.evidence = BackendObservations()
         self.reported_at = 0.0  # by our clock
         self.snapshot_at = 0.0  # by our clock; 0: nothing holds
         line.listeners.append(self._heard)
--- a/roadpulley/fleet/verdicts/evidence.py
+++ b/roadpulley/fleet/verdicts/evidence.py
@@ -29,7 +29,7 @@
         return math.exp((self.at - now) / WINDOW_S)
 
 
-class Evidence:
+class BackendObservations:
     def __init__(self) -> None:
         self.observations: dict[int, BackendObservation] = {}
 
--- a/roadpulley/fleet/verdicts/service.py
+++ b/roadpulley/fleet/verdicts/service.py
@@ -25,7 +25,7 @@
 log = structlog.get_logger("roadpulley.fleet.verdicts")
 
 
-def read_verdicts(table: Table) -> VerdictSettings:
+def read_verdict_settings(table: Table) -> VerdictSettings:
     """Raises ValidationError."""
     say, life = table.read_number("say_s", 0.25, 0.05, 5), table.read_number("life_s", 3.0, 0.5, 60)
     share = table.read_number("most_share", 0.3, 0.0, 1.0)
@@ -33,11 +33,11 @@
     return VerdictSettings(say, life, share)
 
 
-def failures(saw: ObservationBatch) -> float:
+def total_failures(saw: ObservationBatch) -> float:
     return sum(row.failures for row in saw.rows)
 
 
-def together(one: ObservationRow, other: ObservationRow) -> ObservationRow:
+def merge_observations(one: ObservationRow, other: ObservationRow) -> ObservationRow:
     """What two processes of one instance saw of one backend; the run is of who tried it last."""
     last, before = (one, other) if one.age_ms <= other.age_ms else (other, one)
     run = last.run + before.run if last.run else 0.0
@@ -45,7 +45,7 @@
     return ObservationRow(one.backend, one.started, tries, failures, last.age_ms, run)
 
 
-class Verdicts:
+class VerdictService:
     def __init__(
         self,
         settings: VerdictSettings,
@@ -121,7 +121,7 @@
                 if known is None or known.started < row.started:
                     found[row.backend] = row
                 elif known.started == row.started:
-                    found[row.backend] = together(known, row)
+                    found[row.backend] = merge_observations(known, row)
         return max((saw.ready for _, saw in self.said.values()), default=0), found.values()
 
     def _log(self, before: list[Verdict]) -> None:
@@ -145,7 +145,7 @@
     def beside_said(self, saw: ObservationBatch) -> None:
         _, before = self.said.get(saw.holder, (0.0, None))
         self.said[saw.holder] = self.clock.now(), saw
-        if failures(saw) > (failures(before) if before is not None else 0.0):
+        if total_failures(saw) > (total_failures(before) if before is not None else 0.0):
             self._soon()
 
     # ---- people ----
--- a/roadpulley/fleet/verdicts/state_machine.py
+++ b/roadpulley/fleet/verdicts/state_machine.py
@@ -29,7 +29,7 @@
 MAX_REPORTS = 20_000  # reports; beyond that none of new backends is taken up
 
 
-def finds_failing(evidence: HealthReport | ObservationRow) -> bool:
+def is_failing(evidence: HealthReport | ObservationRow) -> bool:
     """Whether one observer's evidence is of a backend that fails.
 
     A failure that nothing has followed is enough. Danger: an observer keeps off a backend from its first
@@ -38,7 +38,7 @@
     return evidence.run > 0 or evidence.failures >= FAILING_RATIO * evidence.tries
 
 
-def counted(report: HealthReport) -> tuple[float, float]:
+def capped_counts(report: HealthReport) -> tuple[float, float]:
     """The tries and failures of a report that say something of the backend as it is now.
 
     Of one that has begun to fail, those since then: like what others were served before, what this observer
@@ -90,7 +90,7 @@
         disputed = {
             b for reports in self.kept.values() for b, kept in reports.items() if kept.report.failures
         }
-        failing = {b for b, row in self.mine.items() if finds_failing(row)}
+        failing = {b for b, row in self.mine.items() if is_failing(row)}
         told = {b: self.mine[b] for b in sorted(failing | (disputed & set(self.mine)))}
         if self.broken():
             # Danger: a gateway with a broken card finds all backends failing, and would take them from all
@@ -116,7 +116,7 @@
 
     def broken(self) -> bool:
         """Whether most of what is met from here fails, so that the fault is likely here."""
-        failing = sum(finds_failing(row) for row in self.mine.values())
+        failing = sum(is_failing(row) for row in self.mine.values())
         return len(self.mine) >= MIN_OWN_BACKENDS and failing > MAX_OWN_FAILING_RATIO * len(self.mine)
 
     # ---- reports ----
@@ -186,12 +186,12 @@
     ) -> Verdict | None:
         tries = failures = 0.0
         agree = 0
-        seen = max((report.seen_ms for report in reports if finds_failing(report)), default=0)
+        seen = max((report.seen_ms for report in reports if is_failing(report)), default=0)
         for report in reports:
-            failing = finds_failing(report)
+            failing = is_failing(report)
             if report.seen_ms < seen - SERVED_BEFORE_MARGIN_MS and not failing:
                 continue  # it was served before it began to fail, and has not met it since
-            more_tries, more_failures = counted(report)
+            more_tries, more_failures = capped_counts(report)
             tries, failures = tries + more_tries, failures + more_failures
             agree += failing
         level = failures / (tries + PRIOR_TRIES)
--- a/roadpulley/fleet/works/__init__.py
+++ b/roadpulley/fleet/works/__init__.py
@@ -39,9 +39,9 @@
 
         return AllocatorWork(int(duty.name.removeprefix(DUTY)))
     if duty.work == "orders":
-        from roadpulley.fleet.orders.work import Publishing
+        from roadpulley.fleet.orders.work import PublisherWork
 
-        return Publishing()
+        return PublisherWork()
     assert duty.settings is not None
     if duty.work in ("usage-push", "usage-close"):
         from roadpulley.usage.settings import read_settings
--- a/roadpulley/testbed/orders_world.py
+++ b/roadpulley/testbed/orders_world.py
@@ -16,19 +16,19 @@
 from typing import Any
 
 from roadpulley.fleet.duties.roll import first
-from roadpulley.fleet.orders.follower import Follower, Terms
-from roadpulley.fleet.orders.keeper import Kept
-from roadpulley.fleet.orders.publisher import Publisher, Step
-from roadpulley.fleet.orders.terms import (
-    Book,
-    Keeps,
-    Look,
-    News,
+from roadpulley.fleet.orders.follower import Follower, FollowerSettings
+from roadpulley.fleet.orders.voter import VoterState
+from roadpulley.fleet.orders.publisher import Publisher, PublisherState
+from roadpulley.fleet.orders.messages import (
+    OrderBook,
+    VoterReply,
+    PrepareRequest,
+    PublisherAnnouncement,
     Order,
     Poll,
-    Standing,
-    Wish,
-    sheets,
+    PollReply,
+    ChangeRequest,
+    split_into_pages,
 )
 
 STEP_S = 0.05
@@ -65,11 +65,11 @@
     rate: float
     disk: bool
     follower: Follower
-    kept: Kept = field(default_factory=Kept)
+    kept: VoterState = field(default_factory=VoterState)
     publisher: Publisher | None = None
     stopped_until: float = 0.0
     boot: int = 0
-    said: dict[str, tuple[Keeps, Book | None]] = field(default_factory=dict)
+    said: dict[str, tuple[VoterReply, OrderBook | None]] = field(default_factory=dict)
 
 
 @dataclass
@@ -82,7 +82,7 @@
         draw, rng = self.draw, self.rng
         self.voters = [f"v{n}" for n in range(draw.voters)]
         names = self.voters + [f"o{n}" for n in range(draw.others)]
-        self.terms = Terms(0.3, draw.holds, False, draw.drift)
+        self.terms = FollowerSettings(0.3, draw.holds, False, draw.drift)
         self.nodes: dict[str, Instance] = {}
         for name in names:
             rate, disk = 1 + rng.uniform(-1, 1) * draw.drift, rng.random() < draw.disk
@@ -93,9 +93,9 @@
         self.holder = ""
         self.broken: list[str] = []
         self.model: dict[tuple[str, str, str], Order] = {}  # of the last acknowledged book
-        self.acknowledged: list[tuple[float, Book]] = []
+        self.acknowledged: list[tuple[float, OrderBook]] = []
         self.reached: set[str] = set()  # instances that went by a newest book
-        self.pending: list[Wish] = []  # asked for, and not known to be acknowledged
+        self.pending: list[ChangeRequest] = []  # asked for, and not known to be acknowledged
         self.outcomes = self.holdings = self.read_blank = 0
 
     # ---- what goes wrong ----
@@ -127,7 +127,7 @@
     def _restart(self, node: Instance) -> None:
         node.boot += 1
         node.follower, node.publisher, node.said = Follower(self.terms), None, {}
-        node.kept = node.kept if node.disk else Kept()
+        node.kept = node.kept if node.disk else VoterState()
         if node.name == self.holder:
             self.holder = ""
 
@@ -165,11 +165,11 @@
     def _tick(self, node: Instance) -> None:
         now = self.now * node.rate
         if publisher := self._publishing(node):
-            if publisher.step is Step.READY and self.rng.random() < self.draw.wishes * STEP_S:
+            if publisher.step is PublisherState.READY and self.rng.random() < self.draw.wishes * STEP_S:
                 self._wish(publisher)
             for voter in publisher.tick(now, 0):
-                looks = publisher.step is Step.READING
-                self.send(voter, Look(publisher.fence) if looks else ("take", publisher.book), node.name)
+                looks = publisher.step is PublisherState.READING
+                self.send(voter, PrepareRequest(publisher.fence) if looks else ("take", publisher.book), node.name)
             self._seen(publisher)
         if (poll := node.follower.tick(now)) and self.holder:
             self.send(self.holder, poll, node.name)
@@ -178,34 +178,34 @@
     def _wish(self, publisher: Publisher) -> None:
         subject, lift = self.rng.choice(SUBJECTS), self.rng.random() < 0.3
         ticket = f"{next(self.counter)}"
-        wish = Wish(ticket, Order("block", "customer", subject, ticket=ticket), lift)
+        wish = ChangeRequest(ticket, Order("block", "customer", subject, ticket=ticket), lift)
         if publisher.wish(wish) is None:
             self.pending.append(wish)
 
     def _heard(self, node: Instance, body: Any, sender: str) -> None:
         now = self.now * node.rate
         match body:
-            case Look():
+            case PrepareRequest():
                 node.kept = node.kept.looked(body.fence)
                 self.send(sender, (node.kept.says(), node.kept.book), node.name)
-            case ("take", Book() as book):
+            case ("take", OrderBook() as book):
                 node.kept = node.kept.told(book)
                 self.send(sender, (node.kept.says(), None), node.name)
-            case (Keeps() as keeps, book):
+            case (VoterReply() as keeps, book):
                 if publisher := self._publishing(node):
                     publisher.kept(sender, keeps, book)
                     self._seen(publisher)
-            case News():
+            case PublisherAnnouncement():
                 node.follower.news(now, body.fence, body.id)
             case Poll():
                 publisher = self._publishing(node)
                 if publisher is not None and (book := publisher.published) is not None:
-                    said = Standing(0, body.number, publisher.fence, book.id, self.draw.holds)
+                    said = PollReply(0, body.number, publisher.fence, book.id, self.draw.holds)
                     self.send(sender, (said, book), node.name)
-            case (Standing() as said, Book() as book):
+            case (PollReply() as said, OrderBook() as book):
                 last = node.follower.book.id
                 node.follower.standing(now, said)
-                for sheet in sheets(book):
+                for sheet in split_into_pages(book):
                     node.follower.sheet(now, sheet)
                 if node.follower.book.id < last:
                     self.broken.append(f"{node.name} goes back from {last} to {node.follower.book.id}")
@@ -227,7 +227,7 @@
                 self.pending.remove(wish)
         self.acknowledged.append((self.now, book))
         for name in self.nodes:
-            self.send(name, News(publisher.fence, book.id), self.holder)
+            self.send(name, PublisherAnnouncement(publisher.fence, book.id), self.holder)
 
     def _possible(self) -> list[dict[tuple[str, str, str], Order]]:
         """The last book with one of the calls that are not known to be acknowledged."""
--- a/roadpulley/workers/worker.py
+++ b/roadpulley/workers/worker.py
@@ -133,12 +133,12 @@
 def use_fleet(line: Line, driver: Driver) -> None:
     """Spend rights of its limits, and count with it, as the supervisor said."""
     if told := os.environ.get(RIGHTS_TOLD):
-        from roadpulley.fleet.orders.client import Paying
-        from roadpulley.fleet.orders.even import EvenParts
+        from roadpulley.fleet.orders.client import LimitSpender
+        from roadpulley.fleet.orders.even_shares import EvenShares
         from roadpulley.fleet.rights.client import RightsClient
 
-        even = EvenParts(1.0 - json.loads(told)["part"], driver.settings.gateways)
-        driver.rights = Paying(RightsClient(line), even)
+        even = EvenShares(1.0 - json.loads(told)["part"], driver.settings.gateways)
+        driver.rights = LimitSpender(RightsClient(line), even)
     if say := os.environ.get(VERDICTS):
         from roadpulley.fleet.verdicts.client import VerdictClient
 
@@ -152,16 +152,16 @@
 
 
 def follow_orders(line: Line, driver: Driver, terms: dict[str, Any]) -> None:
-    from roadpulley.fleet.orders.client import Following, Paying, told
-    from roadpulley.fleet.orders.follower import Terms
-    from roadpulley.fleet.orders.terms import Order
+    from roadpulley.fleet.orders.client import OrderClient, LimitSpender, to_orders_changed
+    from roadpulley.fleet.orders.follower import FollowerSettings
+    from roadpulley.fleet.orders.messages import Order
 
     def changed(orders: tuple[Order, ...]) -> None:
-        if isinstance(driver.rights, Paying):
+        if isinstance(driver.rights, LimitSpender):
             driver.rights.ordered(orders)
-        driver.give(told(orders))
+        driver.give(to_orders_changed(orders))
 
-    Following(line, Terms(**terms), changed)
+    OrderClient(line, FollowerSettings(**terms), changed)
 
 
 async def run() -> None:
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -10,24 +10,24 @@
 from roadpulley.checks import Table, ValidationError
 from roadpulley.core.discovery import host_number
 from roadpulley.fleet.duties.roll import Roll, RollId, first
-from roadpulley.fleet.orders.client import told
-from roadpulley.fleet.orders.even import EvenParts
-from roadpulley.fleet.orders.follower import Follower, Terms
-from roadpulley.fleet.orders.keeper import Keeper
-from roadpulley.fleet.orders.publisher import Publisher, Step
-from roadpulley.fleet.orders.settings import read_orders
-from roadpulley.fleet.orders.terms import (
-    MOST_ORDERS,
-    MOST_WHY,
-    Book,
-    Gathering,
-    Keeps,
+from roadpulley.fleet.orders.client import to_orders_changed
+from roadpulley.fleet.orders.even_shares import EvenShares
+from roadpulley.fleet.orders.follower import Follower, FollowerSettings
+from roadpulley.fleet.orders.voter import Voter
+from roadpulley.fleet.orders.publisher import Publisher, PublisherState
+from roadpulley.fleet.orders.settings import read_order_settings
+from roadpulley.fleet.orders.messages import (
+    MAX_ORDERS,
+    MAX_REASON_BYTES,
+    OrderBook,
+    PageAssembler,
+    VoterReply,
     Order,
-    Standing,
+    PollReply,
     Version,
-    Wish,
-    judged,
-    sheets,
+    ChangeRequest,
+    validate_order,
+    split_into_pages,
 )
 from roadpulley.fleet.peers.envelope import Codec
 
@@ -35,28 +35,28 @@
 BLOCK = Order("block", "customer", "acme", ticket="t1")
 
 
-def book(fence: int, number: int, *orders: Order) -> Book:
-    return Book(Version(fence, number), orders)
+def book(fence: int, number: int, *orders: Order) -> OrderBook:
+    return OrderBook(Version(fence, number), orders)
 
 
 def ready(fence: int = 7) -> Publisher:
     """It has read two voters whose memory is whole, and both took its book."""
-    made = Publisher(fence, first(VOTERS), Book(), 0.1)
+    made = Publisher(fence, first(VOTERS), OrderBook(), 0.1)
     for voter in ("v0", "v1"):
-        made.kept(voter, Keeps(fence, Version(0, 0), True), Book())
+        made.kept(voter, VoterReply(fence, Version(0, 0), True), OrderBook())
     took(made, "v0", "v1")
-    assert made.step is Step.READY
+    assert made.step is PublisherState.READY
     return made
 
 
 def took(made: Publisher, *voters: str) -> None:
     for voter in voters:
-        made.kept(voter, Keeps(made.fence, made.book.id, True), None)
+        made.kept(voter, VoterReply(made.fence, made.book.id, True), None)
 
 
 def test_a_change_is_acknowledged_once_a_majority_took_it_and_once_only() -> None:
     made = ready()
-    wish = Wish("t1", BLOCK, False)
+    wish = ChangeRequest("t1", BLOCK, False)
     assert made.wish(wish) is None
     took(made, "v0")
     assert made.published is not None and not made.published.orders
@@ -70,107 +70,107 @@
 def test_the_next_publisher_goes_on_from_what_one_voter_has_and_knows_the_call_again() -> None:
     """The one before had a single voter take it, and died; whoever asked asks again."""
     left = book(7, 3, BLOCK)
-    made = Publisher(9, first(VOTERS), Book(), 0.1)
-    made.kept("v1", Keeps(9, Version(7, 2), True), book(7, 2))
-    made.kept("v0", Keeps(9, left.id, True), None)
-    assert made.step is Step.READING  # its sheets are on their way
-    made.kept("v0", Keeps(9, left.id, True), left)
-    assert made.step is Step.TAKING and made.published is None
+    made = Publisher(9, first(VOTERS), OrderBook(), 0.1)
+    made.kept("v1", VoterReply(9, Version(7, 2), True), book(7, 2))
+    made.kept("v0", VoterReply(9, left.id, True), None)
+    assert made.step is PublisherState.READING  # its sheets are on their way
+    made.kept("v0", VoterReply(9, left.id, True), left)
+    assert made.step is PublisherState.TAKING and made.published is None
     took(made, "v1", "v2")
     assert made.published == book(9, 4, BLOCK)
-    outcome = made.wish(Wish("t1", BLOCK, False))
+    outcome = made.wish(ChangeRequest("t1", BLOCK, False))
     assert outcome is not None and outcome.why == ""
     assert made.book.id == Version(9, 4)
 
 
 def test_a_higher_fence_ends_it_and_an_answer_to_an_earlier_one_is_no_reading() -> None:
-    made = Publisher(9, first(VOTERS), Book(), 0.1)
-    made.kept("v0", Keeps(8, Version(0, 0), True), Book())
+    made = Publisher(9, first(VOTERS), OrderBook(), 0.1)
+    made.kept("v0", VoterReply(8, Version(0, 0), True), OrderBook())
     assert not made.heard
-    made.kept("v1", Keeps(10, Version(0, 0), True), Book())
-    assert made.step is Step.OVERTAKEN and made.tick(0.0, 0) == []
+    made.kept("v1", VoterReply(10, Version(0, 0), True), OrderBook())
+    assert made.step is PublisherState.OVERTAKEN and made.tick(0.0, 0) == []
 
 
 def test_voters_without_a_memory_are_made_up_for_by_asking_all_or_by_an_operator() -> None:
-    made = Publisher(9, first(VOTERS), Book(), 0.1)
-    made.kept("v0", Keeps(9, Version(0, 0), False), Book())
-    made.kept("v1", Keeps(9, Version(0, 0), True), Book())
-    assert made.step is Step.READING
+    made = Publisher(9, first(VOTERS), OrderBook(), 0.1)
+    made.kept("v0", VoterReply(9, Version(0, 0), False), OrderBook())
+    made.kept("v1", VoterReply(9, Version(0, 0), True), OrderBook())
+    assert made.step is PublisherState.READING
     assert "v2" in made.missing()
     made.force()
-    assert made.step is Step.READING  # who follows may know more
+    assert made.step is PublisherState.READING  # who follows may know more
     made.tick(0.0, 0)
-    made.kept("o0", Keeps(9, Version(7, 5), False), book(7, 5, BLOCK))
+    made.kept("o0", VoterReply(9, Version(7, 5), False), book(7, 5, BLOCK))
     made.tick(1.0, 0)
     assert made.book.orders == (BLOCK,)
-    assert made.step is Step.TAKING and made.recovered == 1
+    assert made.step is PublisherState.TAKING and made.recovered == 1
 
 
 def test_other_voters_have_to_take_the_book_before_more_is_published() -> None:
     made = ready()
     roll = Roll(RollId(1, 8), {**VOTERS, "v3": "", "v4": ""}, VOTERS)
     made.adopt(roll)
-    assert made.step is Step.TAKING
+    assert made.step is PublisherState.TAKING
     took(made, "v0", "v1")
-    assert made.step is Step.TAKING  # of five, three
+    assert made.step is PublisherState.TAKING  # of five, three
     took(made, "v3")
-    assert made.step is Step.READY
+    assert made.step is PublisherState.READY
 
 
 def test_orders_end_by_a_book_without_them() -> None:
     made = ready()
-    made.wish(Wish("t1", Order("shed", "class", "view", ends_ms=5_000), False))
+    made.wish(ChangeRequest("t1", Order("shed", "class", "view", ends_ms=5_000), False))
     took(made, "v0", "v1")
     made.tick(0.0, 4_999)
     assert len(made.book.orders) == 1
     made.tick(0.0, 5_000)
-    assert made.book.orders == () and made.step is Step.TAKING
+    assert made.book.orders == () and made.step is PublisherState.TAKING
 
 
 def test_there_are_so_many_orders_at_most_and_the_largest_book_fits_into_datagrams() -> None:
     made = ready()
     wide = [
-        Order("rate", "customer", f"{n:064d}", 1e6, 1e6, 0, 2**52, "o" * 32, "w" * MOST_WHY, f"{n:016x}")
-        for n in range(MOST_ORDERS + 1)
+        Order("rate", "customer", f"{n:064d}", 1e6, 1e6, 0, 2**52, "o" * 32, "w" * MAX_REASON_BYTES, f"{n:016x}")
+        for n in range(MAX_ORDERS + 1)
     ]
     for order in wide:
-        made.wish(Wish(order.ticket, order, False))
+        made.wish(ChangeRequest(order.ticket, order, False))
         took(made, "v0", "v1")
-    assert len(made.book.orders) == MOST_ORDERS
+    assert len(made.book.orders) == MAX_ORDERS
     assert "lift one" in made.done[wide[-1].ticket].why
-    codec, gathering = Codec("x" * 32, "y" * 32, 2**53 - 1, b"k" * 32), Gathering()
-    found = [gathering.add(sheet) for sheet in reversed(sheets(made.book))]
+    codec, gathering = Codec("x" * 32, "y" * 32, 2**53 - 1, b"k" * 32), PageAssembler()
+    found = [gathering.add(sheet) for sheet in reversed(split_into_pages(made.book))]
     assert found[-1] == made.book and set(found[:-1]) == {None}
-    for data in codec.pack(2**53 - 1, [codec.body(sheet) for sheet in sheets(made.book)]):
+    for data in codec.pack(2**53 - 1, [codec.body(sheet) for sheet in split_into_pages(made.book)]):
         assert len(data) <= 1_200
 
 
 def test_a_keeper_remembers_what_it_promised_and_took_where_it_has_a_disk(tmp_path: Path) -> None:
-    keeper = Keeper(tmp_path, "v0")
-    assert keeper.looked(9) == Keeps(9, Version(0, 0), False)
-    assert keeper.told(book(8, 1)) == Keeps(9, Version(0, 0), False)  # of a lower fence than it promised
+    keeper = Voter(tmp_path, "v0")
+    assert keeper.looked(9) == VoterReply(9, Version(0, 0), False)
+    assert keeper.told(book(8, 1)) == VoterReply(9, Version(0, 0), False)  # of a lower fence than it promised
     keeper.told(book(9, 1, BLOCK))
-    again = Keeper(tmp_path, "v0")
+    again = Voter(tmp_path, "v0")
     assert again.kept == keeper.kept and again.kept.whole
     assert again.told(book(9, 1)).id == Version(9, 1) and again.kept.book.orders == (BLOCK,)
     (tmp_path / "v0.orders").write_bytes(b'{"book": 1')
     with pytest.raises(ValidationError, match=r"v0\.orders.*bring it back"):
-        Keeper(tmp_path, "v0")
+        Voter(tmp_path, "v0")
 
 
 def test_a_keeper_that_cannot_write_says_nothing(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
-    keeper = Keeper(tmp_path / "file" / "state", "v0")
+    keeper = Voter(tmp_path / "file" / "state", "v0")
     assert keeper.looked(9) is None and keeper.told(book(9, 1)) is None
     assert keeper.kept.promised == 0
 
 
 def followed(keep: bool) -> Follower:
-    made = Follower(Terms(0.3, 2.0, keep, 0.0))
+    made = Follower(FollowerSettings(0.3, 2.0, keep, 0.0))
     poll = made.tick(10.0)
     assert poll is not None
-    assert not made.standing(10.4, Standing(0, poll.number, 7, Version(7, 2), 2.0))
-    assert made.sheet(10.4, sheets(book(7, 2, BLOCK))[0])
+    assert not made.standing(10.4, PollReply(0, poll.number, 7, Version(7, 2), 2.0))
+    assert made.sheet(10.4, split_into_pages(book(7, 2, BLOCK))[0])
     return made
 
 
@@ -187,10 +187,10 @@
     assert not made.news(10.5, 6, Version(6, 9))
     poll = made.tick(10.5)
     assert poll is not None
-    assert not made.standing(10.5, Standing(0, poll.number, 6, Version(7, 2), 2.0))
+    assert not made.standing(10.5, PollReply(0, poll.number, 6, Version(7, 2), 2.0))
     for now in (10.9, 11.3, 11.7):
         made.tick(now)
-    assert not made.standing(11.7, Standing(0, poll.number, 7, Version(7, 2), 2.0))
+    assert not made.standing(11.7, PollReply(0, poll.number, 7, Version(7, 2), 2.0))
     assert made.until == 12.0
 
 
@@ -208,8 +208,8 @@
     ],
 )
 def test_orders_that_are_none_are_turned_down(order: Order, right: str) -> None:
-    assert right in judged(order)
-    outcome = ready().wish(Wish("t", order, False))
+    assert right in validate_order(order)
+    outcome = ready().wish(ChangeRequest("t", order, False))
     assert outcome is not None and right in outcome.why
 
 
@@ -224,14 +224,14 @@
 )
 def test_settings_that_cannot_be_taken_name_the_key(raw: dict[str, object], right: str) -> None:
     with pytest.raises(ValidationError, match=right):
-        read_orders(Table(raw, "orders"), 0.02)
+        read_order_settings(Table(raw, "orders"), 0.02)
 
 
 def test_a_module_is_told_limits_by_scope_and_the_rest_by_subject() -> None:
     rate = Order("rate", "pool", "zone-a", 5.0, 5.0)
     most = Order("open", "pool", "zone-a", most=3)
     others = BLOCK, Order("shed", "class", "view"), Order("keep-off", "backend", "t3")
-    assert told((rate, most, *others)) == api.OrdersChanged(
+    assert to_orders_changed((rate, most, *others)) == api.OrdersChanged(
         {("pool", "zone-a"): (rate.limit_name, most.limit_name)},
         ("zone-a",),
         frozenset({"acme"}),
@@ -242,7 +242,7 @@
 
 def test_even_parts_begin_with_nothing_and_an_order_given_anew_brings_none_back() -> None:
     order = Order("rate", "class", "view", 10.0, 10.0)
-    parts = EvenParts(0.4, 4)  # 1 a second, 1 at once
+    parts = EvenShares(0.4, 4)  # 1 a second, 1 at once
     parts.ordered(0.0, [order])
     assert not parts.take(0.9, order.limit_name, 1.0)
     assert parts.take(5.0, order.limit_name, 1.0) and not parts.take(5.0, order.limit_name, 1.0)
--- a/tests/fleet/test_orders_gateways.py
+++ b/tests/fleet/test_orders_gateways.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from roadpulley.fleet.control import ask
-from roadpulley.fleet.orders.terms import Order
+from roadpulley.fleet.orders.messages import Order
 from roadpulley.testbed.installation import Installation, Outcome
 from roadpulley.testbed.ledger import Attempt
 from roadpulley.testbed.limits import Holds, Spent, use
--- a/tests/fleet/test_orders_processes.py
+++ b/tests/fleet/test_orders_processes.py
@@ -13,7 +13,7 @@
 
 from roadpulley.checks import ValidationError
 from roadpulley.fleet.control import ask
-from roadpulley.fleet.orders.terms import Order
+from roadpulley.fleet.orders.messages import Order
 from roadpulley.fleet.rights.messages import Limit
 from roadpulley.testbed.fleet import Fleet, FleetPlan
 from roadpulley.testbed.holders import read_lines
--- a/tests/fleet/test_orders_world.py
+++ b/tests/fleet/test_orders_world.py
@@ -10,9 +10,9 @@
 
 from roadpulley.fleet.orders import publisher as publishing
 from roadpulley.fleet.orders.follower import Follower
-from roadpulley.fleet.orders.keeper import Kept
-from roadpulley.fleet.orders.publisher import Publisher, Step
-from roadpulley.fleet.orders.terms import Book, Keeps, Standing
+from roadpulley.fleet.orders.voter import VoterState
+from roadpulley.fleet.orders.publisher import Publisher, PublisherState
+from roadpulley.fleet.orders.messages import OrderBook, VoterReply, PollReply
 from roadpulley.testbed.orders_world import Draw, World
 
 USUAL = Draw()
@@ -38,24 +38,24 @@
 
 
 def lower_fence(patch: pytest.MonkeyPatch) -> None:
-    def told(self: Kept, book: Book) -> Kept:
-        return Kept(book, max(self.promised, book.id.fence), True)
+    def told(self: VoterState, book: OrderBook) -> VoterState:
+        return VoterState(book, max(self.promised, book.id.fence), True)
 
-    patch.setattr(Kept, "told", told)
+    patch.setattr(VoterState, "told", told)
 
 
 def lost_and_counts(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Kept, "says", lambda self: Keeps(self.promised, self.book.id, True))
+    patch.setattr(VoterState, "says", lambda self: VoterReply(self.promised, self.book.id, True))
 
 
 def not_taken_anew(patch: pytest.MonkeyPatch) -> None:
     real = Publisher._look
 
     def look(self: Publisher) -> None:
-        reading = self.step is Step.READING
+        reading = self.step is PublisherState.READING
         real(self)
-        if reading and self.step is Step.TAKING:
-            self.step, self.published = Step.READY, self.book
+        if reading and self.step is PublisherState.TAKING:
+            self.step, self.published = PublisherState.READY, self.book
 
     patch.setattr(Publisher, "_look", look)
 
@@ -63,9 +63,9 @@
 def without_its_book(patch: pytest.MonkeyPatch) -> None:
     real = Publisher.kept
 
-    def kept(self: Publisher, voter: str, keeps: Keeps, book: Book | None) -> None:
-        if self.step is Step.READING and keeps.promised == self.fence:
-            keeps = Keeps(keeps.promised, min(keeps.id, self.book.id), keeps.whole)
+    def kept(self: Publisher, voter: str, keeps: VoterReply, book: OrderBook | None) -> None:
+        if self.step is PublisherState.READING and keeps.promised == self.fence:
+            keeps = VoterReply(keeps.promised, min(keeps.id, self.book.id), keeps.whole)
         real(self, voter, keeps, book)
 
     patch.setattr(Publisher, "kept", kept)
@@ -78,8 +78,8 @@
 def back_to_a_lower_book(patch: pytest.MonkeyPatch) -> None:
     real = Follower.standing
 
-    def standing(self: Follower, now: float, said: Standing) -> bool:
-        before, self.book = self.book, Book()
+    def standing(self: Follower, now: float, said: PollReply) -> bool:
+        before, self.book = self.book, OrderBook()
         changed = real(self, now, said)
         self.book = self.book if changed or self.answered is said else before
         return changed
@@ -90,7 +90,7 @@
 def any_answer_counts(patch: pytest.MonkeyPatch) -> None:
     real = Follower.standing
 
-    def standing(self: Follower, now: float, said: Standing) -> bool:
+    def standing(self: Follower, now: float, said: PollReply) -> bool:
         self.open.setdefault(said.number, now)
         return real(self, now, said)
 
--- a/tests/fleet/test_rights.py
+++ b/tests/fleet/test_rights.py
@@ -9,7 +9,7 @@
 from roadpulley.checks import Table, ValidationError
 from roadpulley.fleet.rights.allocator import Allocator
 from roadpulley.fleet.rights.holder import Holder, HeldRight, partition_of
-from roadpulley.fleet.rights.settings import read_rights
+from roadpulley.fleet.rights.settings import read_rights_settings
 from roadpulley.fleet.rights.messages import RightsRequest, ReturnedRight, RightsReply, Limit, RightId, Times
 
 TIMES = Times(lease=1.0, drift=0.0, answer=0.1)
@@ -350,14 +350,14 @@
     raw: dict[str, object], where: str, right: str
 ) -> None:
     with pytest.raises(ValidationError) as found:
-        read_rights(Table({"rights": raw}).read_table("rights"), drift=0.02)
+        read_rights_settings(Table({"rights": raw}).read_table("rights"), drift=0.02)
     assert where in str(found.value)
     assert right in str(found.value)
 
 
 def test_only_the_part_that_is_not_split_evenly_is_given_out() -> None:
     raw = {"ceilings": 0.7, "limits": {"paid": {"rate": 10, "burst": 40}}}
-    found = read_rights(Table({"rights": raw}).read_table("rights"), drift=0.02)
+    found = read_rights_settings(Table({"rights": raw}).read_table("rights"), drift=0.02)
     assert found.given_out == {"paid": Limit(7.0, 28.0)}
     assert found.limits == {"paid": Limit(10.0, 40.0)}
 
--- a/tests/fleet/test_verdicts.py
+++ b/tests/fleet/test_verdicts.py
@@ -11,9 +11,9 @@
 from mintford.interface import Outcome
 from roadpulley.checks import Table, ValidationError
 from roadpulley.fleet.duties.terms import Who
-from roadpulley.fleet.verdicts.evidence import Evidence
+from roadpulley.fleet.verdicts.evidence import BackendObservations
 from roadpulley.fleet.verdicts.messages import MAX_ROWS, HealthReport, HealthReportBatch, ObservationRow
-from roadpulley.fleet.verdicts.service import read_verdicts, together
+from roadpulley.fleet.verdicts.service import read_verdict_settings, merge_observations
 from roadpulley.fleet.verdicts.state_machine import HealthReportTable, VerdictSettings
 
 ME, A, B, C = (Who(name, n) for n, name in enumerate(("me", "a", "b", "c"), 1))
@@ -53,7 +53,7 @@
 
 def seen_by_a_gateway(pattern: str, gap_s: float) -> ObservationRow:
     """The row of a gateway whose tries ended so, `.` served and `x` failed, that far apart."""
-    made = Evidence()
+    made = BackendObservations()
     for place, how in enumerate(pattern):
         made.record(place * gap_s, 7, 5.0, Outcome.OK if how == "." else Outcome.FAILED)
     (row,) = made.rows((len(pattern) - 1) * gap_s)
@@ -104,10 +104,10 @@
 
 def test_what_two_processes_of_an_instance_saw_ends_with_who_tried_last() -> None:
     served, failed = ObservationRow(7, 5.0, 2.0, 0.0, 30, 0.0), ObservationRow(7, 5.0, 2.0, 1.0, 10, 1.0)
-    assert together(served, failed) == together(failed, served) == ObservationRow(7, 5.0, 4.0, 1.0, 10, 1.0)
+    assert merge_observations(served, failed) == merge_observations(failed, served) == ObservationRow(7, 5.0, 4.0, 1.0, 10, 1.0)
     later = ObservationRow(7, 5.0, 2.0, 0.0, 5, 0.0)
-    assert together(later, failed) == ObservationRow(7, 5.0, 4.0, 1.0, 5, 0.0)
-    assert together(failed, failed).run == 2.0
+    assert merge_observations(later, failed) == ObservationRow(7, 5.0, 4.0, 1.0, 5, 0.0)
+    assert merge_observations(failed, failed).run == 2.0
 
 
 def test_one_that_saw_everything_fail_says_nothing_and_takes_back_what_it_said() -> None:
@@ -237,7 +237,7 @@
 
 
 def test_evidence_follows_a_backend_that_begins_to_fail_and_fades() -> None:
-    made = Evidence()
+    made = BackendObservations()
     for n in range(50):
         made.record(n / 100, 7, 5.0, Outcome.OK)
     made.record(0.5, 7, 5.0, Outcome.FAILED)
@@ -255,7 +255,7 @@
 
 
 def test_a_process_tells_of_so_many_backends_at_most_those_that_fail_first() -> None:
-    made = Evidence()
+    made = BackendObservations()
     for backend in range(200):
         made.record(0.0, backend, 5.0, Outcome.FAILED if backend >= 190 else Outcome.OK)
     rows = made.rows(0.0)
@@ -265,4 +265,4 @@
 @pytest.mark.parametrize("raw", [{"life_s": 0}, {"most_share": 1.5}, {"say": 1}])
 def test_settings_that_cannot_be_taken_name_the_key(raw: dict[str, object]) -> None:
     with pytest.raises(ValidationError, match=rf"verdicts\.{next(iter(raw))}"):
-        read_verdicts(Table(raw, "verdicts"))
+        read_verdict_settings(Table(raw, "verdicts"))
