--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -32,7 +32,7 @@
 from roadpulley.fleet.peers.envelope import MAC_BYTES
 from roadpulley.fleet.rights.allocator import Allocator
 from roadpulley.fleet.rights.holder import Holder
-from roadpulley.fleet.rights.messages import RightsRequest, RightsReply, Limit, Times
+from roadpulley.fleet.rights.messages import Limit, RightsReply, RightsRequest, Times
 from roadpulley.testbed.auditor import Bucket
 from roadpulley.testbed.fleet import Fleet, FleetPlan, Load
 from roadpulley.testbed.installation import Installation, Outcome
--- a/roadpulley/cli/fleet_orders.py
+++ b/roadpulley/cli/fleet_orders.py
@@ -13,7 +13,13 @@
 
 from roadpulley.checks import ValidationError
 from roadpulley.fleet.control import ask
-from roadpulley.fleet.orders.messages import MAX_DURATION_S, MAX_AUTHOR_BYTES, SCOPES_BY_KIND, Order, validate_order
+from roadpulley.fleet.orders.messages import (
+    MAX_AUTHOR_BYTES,
+    MAX_DURATION_S,
+    SCOPES_BY_KIND,
+    Order,
+    validate_order,
+)
 from roadpulley.fleet.settings import read_settings
 
 from .fleet_commands import AS_JSON, NAME, answer, seen_from, table
--- a/roadpulley/fleet/agent.py
+++ b/roadpulley/fleet/agent.py
@@ -32,14 +32,14 @@
 from .duties.work import Work
 from .members.machine import Members, Tell
 from .members.terms import Ack, Nack, Page, PageAsk, Ping, PingFor, State
-from .orders.voter import Voter
-from .orders.service import OrderService
 from .orders.messages import Body as ForOrders
 from .orders.messages import Order, Poll
+from .orders.service import OrderService
+from .orders.voter import Voter
 from .peers.envelope import Cause, Codec, Envelope
 from .peers.service import Post, Route
-from .rights.service import RightsService
 from .rights.messages import Body as ForRights
+from .rights.service import RightsService
 from .rights.work import DUTY as RIGHTS
 from .settings import DutySettings, FleetSettings, named
 from .settings import address as checked
--- a/roadpulley/fleet/orders/client.py
+++ b/roadpulley/fleet/orders/client.py
@@ -11,12 +11,12 @@
 from roadpulley.core.discovery import host_number
 from roadpulley.fleet.clock import Clock, from_environment, wall_ms
 from roadpulley.fleet.line import Line
-from roadpulley.fleet.rights.client import UnitCost, RightsClient
+from roadpulley.fleet.rights.client import RightsClient, UnitCost
 from roadpulley.fleet.rights.holder import customer_limit_name
 
 from .even_shares import EvenShares
 from .follower import Follower, FollowerSettings
-from .messages import Order, BookPage, PollReply
+from .messages import BookPage, Order, PollReply
 
 TICK_INTERVAL_S = 0.02
 Ended = Callable[[], None]
--- a/roadpulley/fleet/orders/follower.py
+++ b/roadpulley/fleet/orders/follower.py
@@ -7,7 +7,7 @@
 
 from roadpulley.fleet.duties.terms import Mono
 
-from .messages import NO_VERSION, OrderBook, PageAssembler, Poll, BookPage, PollReply, Version
+from .messages import NO_VERSION, BookPage, OrderBook, PageAssembler, Poll, PollReply, Version
 
 REPLY_TIMEOUT_POLLS = 2.0  # polls: after so long an answer counts no more
 
--- a/roadpulley/fleet/orders/messages.py
+++ b/roadpulley/fleet/orders/messages.py
@@ -36,7 +36,7 @@
 
 import msgspec
 
-from roadpulley.fleet.rights.messages import MAX_LIMIT_NAME_BYTES, CONCURRENCY_PREFIX, Limit
+from roadpulley.fleet.rights.messages import CONCURRENCY_PREFIX, MAX_LIMIT_NAME_BYTES, Limit
 
 MAX_ORDERS = 64
 MAX_SUBJECT_BYTES, MAX_REASON_BYTES, MAX_AUTHOR_BYTES = 64, 96, 32  # bytes
@@ -210,11 +210,22 @@
     why: str
 
 
-Body: TypeAlias = PrepareRequest | VoterReply | BookPage | PublisherAnnouncement | Poll | PollReply | ChangeRequest | ChangeOutcome
+Body: TypeAlias = (
+    PrepareRequest
+    | VoterReply
+    | BookPage
+    | PublisherAnnouncement
+    | Poll
+    | PollReply
+    | ChangeRequest
+    | ChangeOutcome
+)
 
 
 def split_into_pages(book: OrderBook, take: bool = False) -> list[BookPage]:
-    parts = [book.orders[n : n + MAX_ORDERS_PER_PAGE] for n in range(0, len(book.orders), MAX_ORDERS_PER_PAGE)] or [()]
+    parts = [
+        book.orders[n : n + MAX_ORDERS_PER_PAGE] for n in range(0, len(book.orders), MAX_ORDERS_PER_PAGE)
+    ] or [()]
     return [BookPage(book.id, len(parts), n, part, take) for n, part in enumerate(parts)]
 
 
--- a/roadpulley/fleet/orders/publisher.py
+++ b/roadpulley/fleet/orders/publisher.py
@@ -10,11 +10,22 @@
 from roadpulley.fleet.duties.roll import Roll, majority
 from roadpulley.fleet.duties.terms import Mono
 
-from .messages import MAX_ORDERS, OrderBook, VoterReply, Order, ChangeOutcome, Version, ChangeRequest, validate_order
+from .messages import (
+    MAX_ORDERS,
+    ChangeOutcome,
+    ChangeRequest,
+    Order,
+    OrderBook,
+    Version,
+    VoterReply,
+    validate_order,
+)
 
 MAX_QUEUED_CHANGES = 64  # that wait for the one that is being made
 MAX_REMEMBERED_OUTCOMES = 256  # outcomes that are remembered, for calls that come again
-FULL_READ_TIMEOUT_RATIO = 3.0  # times the answer: for which those who follow are waited for, if they are needed
+FULL_READ_TIMEOUT_RATIO = (
+    3.0  # times the answer: for which those who follow are waited for, if they are needed
+)
 READY_RETRY_RATIO = 5.0  # times the answer: between two tries at a voter whose vote is not waited for
 FOLLOWER_TIMEOUT_S = 3.0  # since its last poll: a follower counts as there
 
--- a/roadpulley/fleet/orders/service.py
+++ b/roadpulley/fleet/orders/service.py
@@ -18,26 +18,26 @@
 from roadpulley.fleet.peers.service import Route
 
 from .follower import Follower
-from .voter import Voter
-from .publisher import Publisher, PublisherState
-from .settings import OrderSettings
 from .messages import (
     NO_VERSION,
     Body,
+    BookPage,
+    ChangeOutcome,
+    ChangeRequest,
+    Order,
     OrderBook,
     PageAssembler,
-    VoterReply,
-    PrepareRequest,
-    PublisherAnnouncement,
-    Order,
-    ChangeOutcome,
     Poll,
-    BookPage,
     PollReply,
+    PrepareRequest,
+    PublisherAnnouncement,
     Version,
-    ChangeRequest,
+    VoterReply,
     split_into_pages,
 )
+from .publisher import Publisher, PublisherState
+from .settings import OrderSettings
+from .voter import Voter
 from .work import PublisherWork
 
 TICK_INTERVAL_S = 0.02  # between two looks at what is due
@@ -260,7 +260,9 @@
         elif self.where is not None:
             self.tell(self.where, poll)
 
-    def _standing(self, now: Mono, poll: Poll, name: str, say: Callable[[PollReply | BookPage], None]) -> None:
+    def _standing(
+        self, now: Mono, poll: Poll, name: str, say: Callable[[PollReply | BookPage], None]
+    ) -> None:
         """Answer one who follows, as the publisher."""
         publisher = self._publishing()
         if publisher is None or publisher.published is None:
@@ -341,7 +343,9 @@
         if len(self.calls) >= MAX_CALLS:
             return {"error": "too many calls at once: try again"}
         fields = {name: getattr(order, name) for name in order.__struct_fields__}
-        self.calls[ticket] = OperatorCall(ChangeRequest(ticket, Order(**(fields | {"ticket": ticket})), lift), now)
+        self.calls[ticket] = OperatorCall(
+            ChangeRequest(ticket, Order(**(fields | {"ticket": ticket})), lift), now
+        )
         self._tick()
         return self.status(ticket)
 
--- a/roadpulley/fleet/rights/allocator.py
+++ b/roadpulley/fleet/rights/allocator.py
@@ -10,9 +10,21 @@
 
 from roadpulley.fleet.duties.terms import Mono
 
-from .messages import UNIT_EPSILON, RightsRequest, RightsReply, LedgerSnapshot, Limit, RightId, Times, is_concurrency_limit
-
-MAX_SNAPSHOTS, MAX_OUTSTANDING_PER_SNAPSHOT = 2_000, 40  # books in one hand-over; rights out of one, so that it fits a datagram
+from .messages import (
+    UNIT_EPSILON,
+    LedgerSnapshot,
+    Limit,
+    RightId,
+    RightsReply,
+    RightsRequest,
+    Times,
+    is_concurrency_limit,
+)
+
+MAX_SNAPSHOTS, MAX_OUTSTANDING_PER_SNAPSHOT = (
+    2_000,
+    40,
+)  # books in one hand-over; rights out of one, so that it fits a datagram
 MAX_LIMITS = 100_000  # in memory; of a further one nothing is given out
 SWEEP_INTERVAL_S = 5.0
 MAX_CONTENDED_RATIO = 0.5  # of what is there: the most that one ask gets while others ask too
@@ -157,7 +169,9 @@
         heapq.heappush(book.ending, (ends, self.count))
         return self._answer(ask, self.count, units, lease=self.lease(book.limit))
 
-    def _answer(self, ask: RightsRequest, number: int, units: float, wait_ms: int = 0, lease: float = 0.0) -> RightsReply:
+    def _answer(
+        self, ask: RightsRequest, number: int, units: float, wait_ms: int = 0, lease: float = 0.0
+    ) -> RightsReply:
         right, holds = RightId(self.fence, number), self.times.held(lease or self.times.lease)
         return RightsReply(ask.holder, ask.number, ask.limit, right, units, holds, wait_ms)
 
@@ -233,7 +247,11 @@
         for name, book in reversed(self.books.items()):
             self.fill(now, book)
             # Danger: one that was waiting itself knows nothing of what its forerunners gave out.
-            if now >= book.clear_at and len(book.out) <= MAX_OUTSTANDING_PER_SNAPSHOT and len(found) < MAX_SNAPSHOTS:
+            if (
+                now >= book.clear_at
+                and len(book.out) <= MAX_OUTSTANDING_PER_SNAPSHOT
+                and len(found) < MAX_SNAPSHOTS
+            ):
                 out = tuple((o.units, o.ends - now) for o in book.out.values())
                 found.append(LedgerSnapshot(part, self.fence, name, book.level, out))
         return found
@@ -241,7 +259,9 @@
     def _inherit(self, book: LimitLedger, came: Mono, left: LedgerSnapshot) -> None:
         """Go on from a sealed book. Its times count from when it came, which was after it was sealed."""
         # Danger: rights of another fence can't be given up here; under our own numbers it would seem so.
-        book.out = {-n: OutstandingRight(0, units, came + lasts) for n, (units, lasts) in enumerate(left.out, 1)}
+        book.out = {
+            -n: OutstandingRight(0, units, came + lasts) for n, (units, lasts) in enumerate(left.out, 1)
+        }
         book.ending = [(out.ends, n) for n, out in book.out.items()]
         heapq.heapify(book.ending)
         book.held = sum(out.units for out in book.out.values())
--- a/roadpulley/fleet/rights/client.py
+++ b/roadpulley/fleet/rights/client.py
@@ -15,7 +15,7 @@
 from roadpulley.fleet.line import Line
 
 from .holder import NEVER_DUE, Holder, Payment, customer_limit_name
-from .messages import RightsReply, Hello, AllocatorAnnouncement, Welcome, is_concurrency_limit
+from .messages import AllocatorAnnouncement, Hello, RightsReply, Welcome, is_concurrency_limit
 
 MIN_TIMER_DELAY_S = 0.001  # of the timer's own rounding
 
@@ -78,7 +78,9 @@
 
     def wish(self, plan: str, customer: str, units: float, within: float, done: Done) -> None:
         """Spend so much of a customer's limit as soon as it is held, as `wish_all` does."""
-        self.wish_all((UnitCost(customer_limit_name(plan, customer), units),), within, lambda paid, _: done(paid))
+        self.wish_all(
+            (UnitCost(customer_limit_name(plan, customer), units),), within, lambda paid, _: done(paid)
+        )
 
     def wish_all(
         self, needs: tuple[UnitCost, ...], within: float, done: Callable[[bool, Ended | None], None]
--- a/roadpulley/fleet/rights/holder.py
+++ b/roadpulley/fleet/rights/holder.py
@@ -10,7 +10,17 @@
 
 from roadpulley.fleet.duties.terms import Mono
 
-from .messages import MAX_RETURNED_PER_REQUEST, MAX_LIMIT_NAME_BYTES, UNIT_EPSILON, RightsRequest, ReturnedRight, RightsReply, RightId, Times, is_concurrency_limit
+from .messages import (
+    MAX_LIMIT_NAME_BYTES,
+    MAX_RETURNED_PER_REQUEST,
+    UNIT_EPSILON,
+    ReturnedRight,
+    RightId,
+    RightsReply,
+    RightsRequest,
+    Times,
+    is_concurrency_limit,
+)
 
 NEVER_DUE = math.inf
 DEMAND_DECAY_S = 1.0  # of what is wanted: for how long a wish counts
@@ -18,7 +28,10 @@
 REFILL_RATIO = 0.5  # of that: under this more is asked for
 SPARE_CONCURRENCY_RATIO = 0.5  # of what is in use: so much more is held of a limit on what is open at once
 MAX_RETURN_DELAY_RATIO = 0.3  # of a lease: after which a right that is used up is told of by itself
-UNSERVED_CHECK_INTERVAL_S, MIN_CHECK_INTERVAL_S = 0.25, 0.002  # between two looks at one limit at least, the first where nobody serves
+UNSERVED_CHECK_INTERVAL_S, MIN_CHECK_INTERVAL_S = (
+    0.25,
+    0.002,
+)  # between two looks at one limit at least, the first where nobody serves
 IDLE_TIMEOUT_S = 10.0  # without a wish: then a limit is forgotten
 
 
@@ -227,7 +240,9 @@
 
     def _need(self, now: Mono, purse: LimitHolding) -> tuple[float, float]:
         """Units to ask for, and the least that is of use."""
-        ahead = purse.wanted * math.exp((purse.wanted_at - now) / DEMAND_DECAY_S) / DEMAND_DECAY_S * PREFETCH_S
+        ahead = (
+            purse.wanted * math.exp((purse.wanted_at - now) / DEMAND_DECAY_S) / DEMAND_DECAY_S * PREFETCH_S
+        )
         if purse.returns:  # what is in use comes back and is spent again
             ahead = min(ahead, SPARE_CONCURRENCY_RATIO * purse.in_use(now))
         ahead = ahead if ahead >= purse.largest else 0.0  # so few wishes: each is asked for as it comes
@@ -311,7 +326,9 @@
             if purse.lacks:
                 yield purse.rest_until
         # Of a right that is all in use nothing is to be given up yet.
-        yield from (lot.until if purse.returns and lot.units <= UNIT_EPSILON else lot.keep for lot in purse.lots)
+        yield from (
+            lot.until if purse.returns and lot.units <= UNIT_EPSILON else lot.keep for lot in purse.lots
+        )
 
     def _of(self, part: int) -> Iterator[LimitHolding]:
         return (purse for purse in self.purses.values() if purse.part == part)
--- a/roadpulley/fleet/rights/messages.py
+++ b/roadpulley/fleet/rights/messages.py
@@ -199,7 +199,9 @@
     out: tuple[tuple[float, float], ...]
 
 
-Body: TypeAlias = AllocatorAnnouncement | RightsRequest | RightsReply | HandoverOffer | HandoverRequest | LedgerSnapshot
+Body: TypeAlias = (
+    AllocatorAnnouncement | RightsRequest | RightsReply | HandoverOffer | HandoverRequest | LedgerSnapshot
+)
 
 
 # ---- between an instance and the processes beside it that spend ----
--- a/roadpulley/fleet/rights/service.py
+++ b/roadpulley/fleet/rights/service.py
@@ -21,26 +21,29 @@
 from roadpulley.fleet.peers.service import Route
 
 from .allocator import Allocator, InheritedLedgers
-from .settings import RightsSettings
 from .messages import (
     MAX_LIMIT_NAME_BYTES,
-    RightsRequest,
+    AllocatorAnnouncement,
     Body,
     FromHolder,
-    RightsReply,
     HandoverOffer,
     HandoverRequest,
     Hello,
     LedgerSnapshot,
     Limit,
-    AllocatorAnnouncement,
+    RightsReply,
+    RightsRequest,
     Welcome,
 )
+from .settings import RightsSettings
 from .work import AllocatorWork
 
 ANNOUNCE_INTERVAL_S = 0.25  # between two words of an allocator that it serves
 ANNOUNCEMENT_LIFETIME_S = 1.0  # for which one word counts
-HANDOVER_RETRY_INTERVAL_S, HANDOVER_TIMEOUT_S = 0.05, 0.3  # between two words to an heir; for how long it is waited for at most
+HANDOVER_RETRY_INTERVAL_S, HANDOVER_TIMEOUT_S = (
+    0.05,
+    0.3,
+)  # between two words to an heir; for how long it is waited for at most
 SNAPSHOT_DELIVERY_S = 0.05  # that books are left to reach it
 
 log = structlog.get_logger("roadpulley.fleet.rights")
@@ -223,7 +226,9 @@
         self.beside.tell(holder, Welcome(self.settings.parts, self.settings.times))
         for part in list(self.ours):
             if allocator := self.allocator(part):
-                self.beside.tell(holder, AllocatorAnnouncement(part, allocator.fence, int(ANNOUNCEMENT_LIFETIME_S * 1000)))
+                self.beside.tell(
+                    holder, AllocatorAnnouncement(part, allocator.fence, int(ANNOUNCEMENT_LIFETIME_S * 1000))
+                )
         now = self.clock.now()
         for part, (fence, _, until) in self.known.items():
             if part not in self.ours and now < until:
--- a/roadpulley/testbed/orders_world.py
+++ b/roadpulley/testbed/orders_world.py
@@ -17,19 +17,19 @@
 
 from roadpulley.fleet.duties.roll import first
 from roadpulley.fleet.orders.follower import Follower, FollowerSettings
-from roadpulley.fleet.orders.voter import VoterState
-from roadpulley.fleet.orders.publisher import Publisher, PublisherState
 from roadpulley.fleet.orders.messages import (
-    OrderBook,
-    VoterReply,
-    PrepareRequest,
-    PublisherAnnouncement,
+    ChangeRequest,
     Order,
+    OrderBook,
     Poll,
     PollReply,
-    ChangeRequest,
+    PrepareRequest,
+    PublisherAnnouncement,
+    VoterReply,
     split_into_pages,
 )
+from roadpulley.fleet.orders.publisher import Publisher, PublisherState
+from roadpulley.fleet.orders.voter import VoterState
 
 STEP_S = 0.05
 ANSWER_S = 0.1
@@ -169,7 +169,9 @@
                 self._wish(publisher)
             for voter in publisher.tick(now, 0):
                 looks = publisher.step is PublisherState.READING
-                self.send(voter, PrepareRequest(publisher.fence) if looks else ("take", publisher.book), node.name)
+                self.send(
+                    voter, PrepareRequest(publisher.fence) if looks else ("take", publisher.book), node.name
+                )
             self._seen(publisher)
         if (poll := node.follower.tick(now)) and self.holder:
             self.send(self.holder, poll, node.name)
--- a/roadpulley/testbed/rights_world.py
+++ b/roadpulley/testbed/rights_world.py
@@ -17,7 +17,7 @@
 
 from roadpulley.fleet.rights.allocator import Allocator, InheritedLedgers
 from roadpulley.fleet.rights.holder import Holder
-from roadpulley.fleet.rights.messages import RightsRequest, RightsReply, Limit, AllocatorAnnouncement, Times
+from roadpulley.fleet.rights.messages import AllocatorAnnouncement, Limit, RightsReply, RightsRequest, Times
 
 from .limits import Holds, Spent, Use, use
 
--- a/roadpulley/workers/worker.py
+++ b/roadpulley/workers/worker.py
@@ -152,7 +152,7 @@
 
 
 def follow_orders(line: Line, driver: Driver, terms: dict[str, Any]) -> None:
-    from roadpulley.fleet.orders.client import OrderClient, LimitSpender, to_orders_changed
+    from roadpulley.fleet.orders.client import LimitSpender, OrderClient, to_orders_changed
     from roadpulley.fleet.orders.follower import FollowerSettings
     from roadpulley.fleet.orders.messages import Order
 
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -13,22 +13,22 @@
 from roadpulley.fleet.orders.client import to_orders_changed
 from roadpulley.fleet.orders.even_shares import EvenShares
 from roadpulley.fleet.orders.follower import Follower, FollowerSettings
-from roadpulley.fleet.orders.voter import Voter
-from roadpulley.fleet.orders.publisher import Publisher, PublisherState
-from roadpulley.fleet.orders.settings import read_order_settings
 from roadpulley.fleet.orders.messages import (
     MAX_ORDERS,
     MAX_REASON_BYTES,
+    ChangeRequest,
+    Order,
     OrderBook,
     PageAssembler,
-    VoterReply,
-    Order,
     PollReply,
     Version,
-    ChangeRequest,
-    validate_order,
+    VoterReply,
     split_into_pages,
+    validate_order,
 )
+from roadpulley.fleet.orders.publisher import Publisher, PublisherState
+from roadpulley.fleet.orders.settings import read_order_settings
+from roadpulley.fleet.orders.voter import Voter
 from roadpulley.fleet.peers.envelope import Codec
 
 VOTERS = {"v0": "", "v1": "", "v2": ""}
@@ -130,7 +130,9 @@
 def test_there_are_so_many_orders_at_most_and_the_largest_book_fits_into_datagrams() -> None:
     made = ready()
     wide = [
-        Order("rate", "customer", f"{n:064d}", 1e6, 1e6, 0, 2**52, "o" * 32, "w" * MAX_REASON_BYTES, f"{n:016x}")
+        Order(
+            "rate", "customer", f"{n:064d}", 1e6, 1e6, 0, 2**52, "o" * 32, "w" * MAX_REASON_BYTES, f"{n:016x}"
+        )
         for n in range(MAX_ORDERS + 1)
     ]
     for order in wide:
--- a/tests/fleet/test_orders_world.py
+++ b/tests/fleet/test_orders_world.py
@@ -10,9 +10,9 @@
 
 from roadpulley.fleet.orders import publisher as publishing
 from roadpulley.fleet.orders.follower import Follower
-from roadpulley.fleet.orders.voter import VoterState
+from roadpulley.fleet.orders.messages import OrderBook, PollReply, VoterReply
 from roadpulley.fleet.orders.publisher import Publisher, PublisherState
-from roadpulley.fleet.orders.messages import OrderBook, VoterReply, PollReply
+from roadpulley.fleet.orders.voter import VoterState
 from roadpulley.testbed.orders_world import Draw, World
 
 USUAL = Draw()
--- a/tests/fleet/test_rights.py
+++ b/tests/fleet/test_rights.py
@@ -8,9 +8,9 @@
 
 from roadpulley.checks import Table, ValidationError
 from roadpulley.fleet.rights.allocator import Allocator
-from roadpulley.fleet.rights.holder import Holder, HeldRight, partition_of
+from roadpulley.fleet.rights.holder import HeldRight, Holder, partition_of
+from roadpulley.fleet.rights.messages import Limit, ReturnedRight, RightId, RightsReply, RightsRequest, Times
 from roadpulley.fleet.rights.settings import read_rights_settings
-from roadpulley.fleet.rights.messages import RightsRequest, ReturnedRight, RightsReply, Limit, RightId, Times
 
 TIMES = Times(lease=1.0, drift=0.0, answer=0.1)
 KEY = "paid/acme"
@@ -64,7 +64,9 @@
     new = allocator()
     first = new.asked(FULL, ask(1, 4.0))
     assert new.asked(FULL + 0.1, ask(1, 4.0)) == first
-    assert new.asked(FULL + 0.1, ask(1, 9.0, ReturnedRight(RightId(FENCE, 1), 4.0))) == first  # nothing of it counts
+    assert (
+        new.asked(FULL + 0.1, ask(1, 9.0, ReturnedRight(RightId(FENCE, 1), 4.0))) == first
+    )  # nothing of it counts
     assert new.books[KEY].held == pytest.approx(4.0)
     assert new.asked(FULL + 0.2, ask(2, 1.0)) is not None
     assert new.asked(FULL + 0.3, ask(1, 4.0)) is None  # of the past
@@ -264,7 +266,9 @@
     assert asked is not None
     for now in (0.2, 0.4, 0.6):
         made.tick(now)
-    assert not made.heard(0.6, RightsReply(1, asked.number, KEY, RightId(FENCE, 2), 2.0, HOLDS))  # it was let go of
+    assert not made.heard(
+        0.6, RightsReply(1, asked.number, KEY, RightId(FENCE, 2), 2.0, HOLDS)
+    )  # it was let go of
 
 
 def test_what_was_held_for_long_is_given_up_once_and_not_spent_any_more() -> None:
--- a/tests/fleet/test_rights_world.py
+++ b/tests/fleet/test_rights_world.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from roadpulley.fleet.rights.allocator import Allocator, LimitLedger, InheritedLedgers, OutstandingRight
-from roadpulley.fleet.rights.holder import Holder, HeldRight, Payment, LimitHolding
-from roadpulley.fleet.rights.messages import RightsRequest, RightsReply, LedgerSnapshot, Limit, RightId, Times
+from roadpulley.fleet.rights.allocator import Allocator, InheritedLedgers, LimitLedger, OutstandingRight
+from roadpulley.fleet.rights.holder import HeldRight, Holder, LimitHolding, Payment
+from roadpulley.fleet.rights.messages import LedgerSnapshot, Limit, RightId, RightsReply, RightsRequest, Times
 from roadpulley.testbed import open_world
 from roadpulley.testbed.limits import Holds, Spent, use
 from roadpulley.testbed.rights_world import Plan, World, drawn, sharp
@@ -201,7 +201,9 @@
     def lease(self, limit: Limit) -> float:
         return self.times.lease
 
-    def _answer(self, ask: RightsRequest, number: int, units: float, wait_ms: int = 0, lease: float = 0.0) -> RightsReply:
+    def _answer(
+        self, ask: RightsRequest, number: int, units: float, wait_ms: int = 0, lease: float = 0.0
+    ) -> RightsReply:
         limit = self.limit(ask.limit)
         return super()._answer(ask, number, units, wait_ms, limit.lease if limit else lease)
 
@@ -232,7 +234,9 @@
 
 
 def replaced(left: LedgerSnapshot, out: tuple[tuple[float, float], ...]) -> LedgerSnapshot:
-    return LedgerSnapshot(left.part, left.fence, left.limit, left.level + sum(units for units, _ in left.out), out)
+    return LedgerSnapshot(
+        left.part, left.fence, left.limit, left.level + sum(units for units, _ in left.out), out
+    )
 
 
 @pytest.mark.parametrize("kind", [GivesOn, ForgetsOut, PassesOnWaiting], ids=lambda kind: kind.__name__)
--- a/tests/fleet/test_verdicts.py
+++ b/tests/fleet/test_verdicts.py
@@ -13,7 +13,7 @@
 from roadpulley.fleet.duties.terms import Who
 from roadpulley.fleet.verdicts.evidence import BackendObservations
 from roadpulley.fleet.verdicts.messages import MAX_ROWS, HealthReport, HealthReportBatch, ObservationRow
-from roadpulley.fleet.verdicts.service import read_verdict_settings, merge_observations
+from roadpulley.fleet.verdicts.service import merge_observations, read_verdict_settings
 from roadpulley.fleet.verdicts.state_machine import HealthReportTable, VerdictSettings
 
 ME, A, B, C = (Who(name, n) for n, name in enumerate(("me", "a", "b", "c"), 1))
@@ -104,7 +104,11 @@
 
 def test_what_two_processes_of_an_instance_saw_ends_with_who_tried_last() -> None:
     served, failed = ObservationRow(7, 5.0, 2.0, 0.0, 30, 0.0), ObservationRow(7, 5.0, 2.0, 1.0, 10, 1.0)
-    assert merge_observations(served, failed) == merge_observations(failed, served) == ObservationRow(7, 5.0, 4.0, 1.0, 10, 1.0)
+    assert (
+        merge_observations(served, failed)
+        == merge_observations(failed, served)
+        == ObservationRow(7, 5.0, 4.0, 1.0, 10, 1.0)
+    )
     later = ObservationRow(7, 5.0, 2.0, 0.0, 5, 0.0)
     assert merge_observations(later, failed) == ObservationRow(7, 5.0, 4.0, 1.0, 5, 0.0)
     assert merge_observations(failed, failed).run == 2.0
