--- a/roadpulley/fleet/orders/settings.py
+++ b/roadpulley/fleet/orders/settings.py
@@ -30,4 +30,4 @@
         raise ValidationError(
             table.path_of("holds_s"), f"is {holds:g}, and is asked for every {poll:g} s", right
         )
-    return OrderSettings(Terms(poll, holds, cut_off == "keep", drift), lease)
+    return OrderSettings(FollowerSettings(poll, holds, cut_off == "keep", drift), lease)
--- a/roadpulley/fleet/orders/work.py
+++ b/roadpulley/fleet/orders/work.py
@@ -31,4 +31,4 @@
         if self.low > duty.fence:
             # Danger: a fence that voters refuse would be held, and renewed, while nobody publishes.
             raise StaleFenceError(self.low)
-        return LOOK_S
+        return FENCE_CHECK_INTERVAL_S
