--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -17,7 +17,7 @@
 
 from report import markdown, quantile, report, side_by_side  # noqa: E402
 
-from roadpulley.fleet.members.terms import Times  # noqa: E402
+from roadpulley.fleet.members.messages import SwimParameters  # noqa: E402
 from roadpulley.testbed.members_world import MembersWorld  # noqa: E402
 
 OUT = Path(__file__).resolve().parent / "out" / "members.json"
@@ -30,7 +30,7 @@
 
 def played(job: Job) -> dict[str, Any]:
     count, trouble, careful, seed = job
-    world = MembersWorld(count, seed, LOSS.get(trouble, 0.0), Times(careful=careful))
+    world = MembersWorld(count, seed, LOSS.get(trouble, 0.0), SwimParameters(careful=careful))
     world.run(MEET_S)
     met = world.all_seen()
     sent, size, false = world.seen.datagrams, world.seen.bytes, len(world.seen.false)
--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -33,9 +33,9 @@
 from roadpulley.checks import ValidationError
 from roadpulley.core.clock import Timers, now_ms
 from roadpulley.core.discovery import host_number
-from roadpulley.fleet.control import ask
-from roadpulley.fleet.counts.client import PeerCounter
-from roadpulley.fleet.line import Line
+from roadpulley.fleet.agent_link import AgentLink
+from roadpulley.fleet.control import call_agent
+from roadpulley.fleet.counts.client import ReplicatedCounter
 from roadpulley.fleet.orders.messages import Order
 from roadpulley.fleet.rights.messages import Limit
 from roadpulley.testbed import terms
@@ -276,7 +276,7 @@
         while True:
             for name in world.gateways:
                 with contextlib.suppress(ValidationError):
-                    found = await asyncio.to_thread(ask, world.folder / "fleet", name, "verdicts")
+                    found = await asyncio.to_thread(call_agent, world.folder / "fleet", name, "verdicts")
                     rows = [row["backend"] for row in found["verdicts"] if row["level"] != "none"]
                     held_by.update({name} if failing in rows else ())
             await asyncio.sleep(POLL_S)
@@ -321,7 +321,7 @@
     end = time.monotonic() + TIMEOUT_S
     while True:
         try:
-            return await asyncio.to_thread(ask, fleet.folder / f"run-{name}", name, what, **args)
+            return await asyncio.to_thread(call_agent, fleet.folder / f"run-{name}", name, what, **args)
         except ValidationError:
             if time.monotonic() > end:
                 raise
@@ -351,9 +351,9 @@
 class Adder:
     """Adds to one counter at one instance, and remembers what was surely added."""
 
-    def __init__(self, line: Line) -> None:
+    def __init__(self, line: AgentLink) -> None:
         self.line, self.sure, self.tried = line, 0.0, 0.0
-        self.counter = PeerCounter(line, Timers(asyncio.get_running_loop()), 200.0)
+        self.counter = ReplicatedCounter(line, Timers(asyncio.get_running_loop()), 200.0)
 
     async def add(self, amount: float) -> float | None:
         done: asyncio.Future[tuple[Outcome, float]] = asyncio.get_running_loop().create_future()
@@ -397,7 +397,7 @@
         await fleet.all_held()
         adders = []
         for name in PLAN.names:
-            line = Line(fleet.folder / f"run-{name}" / f"{name}.beside")
+            line = AgentLink(fleet.folder / f"run-{name}" / f"{name}.beside")
             await line.open()
             adders.append(Adder(line))
         for name in PLAN.names[:3]:
--- a/benchmarks/orders.py
+++ b/benchmarks/orders.py
@@ -19,7 +19,7 @@
 from report import markdown, quantile, report, side_by_side
 
 from roadpulley.fleet.clock import Clock
-from roadpulley.fleet.control import ask
+from roadpulley.fleet.control import call_agent
 from roadpulley.fleet.orders.messages import Order
 from roadpulley.fleet.rights.messages import Limit
 from roadpulley.testbed import open_world, orders_world
@@ -42,10 +42,12 @@
     async def order(self, name: str, order: Order) -> list[int]:
         folder = self.fleet.folder / f"run-{name}"
         values = [getattr(order, field) for field in order.__struct_fields__]
-        status = await asyncio.to_thread(ask, folder, name, "order", order=values, lift=False)
+        status = await asyncio.to_thread(call_agent, folder, name, "order", order=values, lift=False)
         while status["step"] == "waiting":
             await asyncio.sleep(0.005)
-            status = await asyncio.to_thread(ask, folder, name, "order-status", ticket=status["ticket"])
+            status = await asyncio.to_thread(
+                call_agent, folder, name, "order-status", ticket=status["ticket"]
+            )
         if status["step"] != "done":
             raise RuntimeError(str(status))
         return list(status["id"])
@@ -79,7 +81,7 @@
         await play.order(plan.names[-1], Order("block", "customer", "first"))
         if links:
             fleet.links.disturb(**links)
-        now = Clock().true
+        now = Clock().unscaled_now
         for n in range(orders):
             began = now()
             id = await play.order(plan.names[n % size], Order("block", "customer", f"c{n % 40}", why=str(n)))
--- a/roadpulley/__main__.py
+++ b/roadpulley/__main__.py
@@ -26,8 +26,8 @@
 from .core.driver import Driver
 from .core.settings import Config, ConfigError, load_again, load_config
 from .core.tallies import Tallies
-from .edges.clients import ClientServer
-from .edges.terms import Terms
+from .edges.request_parser import RequestParser
+from .edges.resp_server import RespServer
 from .operations.address import OperatorAddress
 from .operations.life import Life
 from .operations.lifecycle import Event, Lifecycle, Times
@@ -100,7 +100,7 @@
             log.warning("listen and admin are taken up at a restart only")
         driver, settings = self.life.driver, config.settings
         if config.told != standing.told:
-            self.life.server.retune(Terms(settings, config.workers))
+            self.life.server.retune(RequestParser(settings, config.workers))
             driver.backends.retune(config.connect_timeout, config.keepalive, settings.rules.drain_grace)
             driver.retune(settings, config.max_open)
             self.life.machine.times = times(settings)
@@ -202,11 +202,11 @@
         version = known.version
         driver.members(ListScope.SAVED, known.members, now_ms())
     discovery = Discovery(config.discovery, version, driver.members, random.Random(config.seed))
-    server = ClientServer(
+    server = RespServer(
         loop,
         timers,
         driver,
-        Terms(config.settings, config.workers),
+        RequestParser(config.settings, config.workers),
         int(sockets * CLIENT_SHARE),
         memory,
         tallies,
@@ -258,9 +258,7 @@
     operators.close()
 
 
-async def drained(
-    life: Life, server: ClientServer, driver: Driver, closing: Callable[[], None] | None
-) -> None:
+async def drained(life: Life, server: RespServer, driver: Driver, closing: Callable[[], None] | None) -> None:
     """Wait for the end of what was taken; what is open at the last time is failed, and nothing more taken."""
     await life.left.wait()
     if closing is not None:
--- a/roadpulley/cli/fleet.py
+++ b/roadpulley/cli/fleet.py
@@ -59,7 +59,7 @@
     clock = Clock()
 
     def times(_: Any, __: str, event: Any) -> Any:
-        event["true_s"] = round(clock.true(), 4)
+        event["true_s"] = round(clock.unscaled_now(), 4)
         return event
 
     structlog.configure(
--- a/roadpulley/cli/fleet_commands.py
+++ b/roadpulley/cli/fleet_commands.py
@@ -11,7 +11,7 @@
 import click
 
 from roadpulley.checks import ValidationError
-from roadpulley.fleet.control import ask, running
+from roadpulley.fleet.control import call_agent, list_instances
 from roadpulley.fleet.settings import FleetSettings, read_settings
 
 from .fleet import SETTINGS, WORDS, agent
@@ -153,8 +153,8 @@
         raise ValidationError(
             "DUTY", f"{duty!r} is none", f"the duties are: {', '.join(sorted(found.duties)) or 'none'}"
         )
-    for instance in [name] if name else running(found.control):
-        result = ask(found.control, instance, "hand-over", duty=duty)
+    for instance in [name] if name else list_instances(found.control):
+        result = call_agent(found.control, instance, "hand-over", duty=duty)
         if result["done"]:
             click.echo(json.dumps(result) if as_json else f"{instance} hands {duty} over")
             return 0
@@ -218,10 +218,10 @@
     """Ask for one change, and wait for its end."""
     found = read_settings(settings)
     instance = name or str(answer(settings, None, "voters")["instance"])
-    ask(found.control, instance, "change", add=add, remove=remove)
+    call_agent(found.control, instance, "change", add=add, remove=remove)
     end, said = time.monotonic() + CHANGE_S + 3 * found.times.silence, ""
     while time.monotonic() < end:
-        status = ask(found.control, instance, "change-status")
+        status = call_agent(found.control, instance, "change-status")
         if status["step"] != said:
             said = status["step"]
             click.echo(f"{said}: {status['why']}" if status["why"] else said)
@@ -241,11 +241,11 @@
     """Of the instance that is named, or the first of this machine that answers. Raises ValidationError."""
     found: FleetSettings = read_settings(settings)
     if name:
-        return ask(found.control, name, call)
-    names = running(found.control)
+        return call_agent(found.control, name, call)
+    names = list_instances(found.control)
     for each in names:
         try:
-            return ask(found.control, each, call)
+            return call_agent(found.control, each, call)
         except ValidationError:
             continue
     raise ValidationError(
--- a/roadpulley/cli/fleet_orders.py
+++ b/roadpulley/cli/fleet_orders.py
@@ -12,7 +12,7 @@
 import click
 
 from roadpulley.checks import ValidationError
-from roadpulley.fleet.control import ask
+from roadpulley.fleet.control import call_agent
 from roadpulley.fleet.orders.messages import (
     MAX_AUTHOR_BYTES,
     MAX_DURATION_S,
@@ -55,14 +55,14 @@
     found = read_settings(settings)
     instance = name or str(answer(settings, None, "members")["instance"])
     values = [getattr(order, key) for key in order.__struct_fields__]
-    status = ask(found.control, instance, "order", order=values, lift=lift)
+    status = call_agent(found.control, instance, "order", order=values, lift=lift)
     end, said = time.monotonic() + WAIT_S, ""
     while status["step"] == "waiting" and time.monotonic() < end:
         if status["why"] != said:
             said = status["why"]
             click.echo(f"waiting {said}", err=True)
         time.sleep(LOOK_S)
-        status = ask(found.control, instance, "order-status", ticket=status["ticket"])
+        status = call_agent(found.control, instance, "order-status", ticket=status["ticket"])
     if status["step"] != "done":
         click.echo(f"{status['step']}: {status['why']}", err=True)
         return 1
--- a/roadpulley/cli/plan.py
+++ b/roadpulley/cli/plan.py
@@ -94,10 +94,10 @@
 
 def asked(fleet: Path, work: str) -> str:
     """Have the instance whose duty it is do it now, if it runs on this machine; gives what came of it."""
+    from roadpulley.fleet.duty_trigger import trigger_duty
     from roadpulley.fleet.settings import read_settings as read_fleet
-    from roadpulley.fleet.wake import wake
 
-    return wake(read_fleet(fleet), work)[1]
+    return trigger_duty(read_fleet(fleet), work)[1]
 
 
 def now() -> int:
--- a/roadpulley/cli/quota_error.py
+++ b/roadpulley/cli/quota_error.py
@@ -14,7 +14,13 @@
 from mintford.reading import read_settings
 from roadpulley.checks import ValidationError
 from roadpulley.core.judging import gateway
-from roadpulley.limits.bounds import CHANGES, EVENTS, Case, ceiling_alone, sensitivity
+from roadpulley.limits.bounds import (
+    CHANGES,
+    EVENTS,
+    Scenario,
+    compute_lone_ceiling_ratio,
+    compute_sensitivity,
+)
 
 from . import frame
 from .check import parsed
@@ -57,8 +63,8 @@
     return 0
 
 
-def case_of(plan: api.Plan, settings: api.Settings, args: argparse.Namespace) -> Case:
-    return Case(plan, args.gateways or settings.gateways, settings.most_units, args.seconds, args.parted)
+def case_of(plan: api.Plan, settings: api.Settings, args: argparse.Namespace) -> Scenario:
+    return Scenario(plan, args.gateways or settings.gateways, settings.most_units, args.seconds, args.parted)
 
 
 def rows_of(plan: api.Plan, settings: api.Settings, args: argparse.Namespace) -> list[dict[str, Any]]:
@@ -71,14 +77,14 @@
             "over": round(bound(case).over, 1),
             "over_of_due": round(bound(case).over / due, 3),
             "less": round(min(due, bound(case).less), 1),
-            "changes": sensitivity(bound, case),
+            "changes": compute_sensitivity(bound, case),
         }
         for event, bound in EVENTS.items()
     ]
 
 
 def ceiling(plan: api.Plan, settings: api.Settings, args: argparse.Namespace) -> dict[str, Any]:
-    alone = ceiling_alone(case_of(plan, settings, args), settings.rights)
+    alone = compute_lone_ceiling_ratio(case_of(plan, settings, args), settings.rights)
     return {"plan": plan.name, "over": 0.0, "alone": round(alone, 4)}
 
 
--- a/roadpulley/cli/usage.py
+++ b/roadpulley/cli/usage.py
@@ -171,10 +171,10 @@
     from roadpulley.usage.pushing import Pushing
 
     if settings.fleet is not None:
+        from roadpulley.fleet.duty_trigger import trigger_duty
         from roadpulley.fleet.settings import read_settings as read_fleet
-        from roadpulley.fleet.wake import wake
 
-        begun, words = wake(read_fleet(settings.fleet), "usage-push")
+        begun, words = trigger_duty(read_fleet(settings.fleet), "usage-push")
         print(words)
         return 0 if begun else 1
     if not settings.sink:
--- a/roadpulley/edges/connection.py
+++ b/roadpulley/edges/connection.py
@@ -35,35 +35,39 @@
 from roadpulley.core.clock import now_ms
 from roadpulley.core.resp import CommandReader, Malformed, bulk
 
-from .slots import LongReply, Slot
-from .terms import VERBS
+from .request_parser import REQUEST_VERBS
+from .slots import Slot, StreamingReply
 
 if TYPE_CHECKING:
-    from .clients import ClientServer
-
-MOST_WAITING = 32  # commands of one connection that may wait for their answers before it is read no further
-MOST_HELD = 128 * 1024  # bytes of these commands, likewise
-MOST_UNREAD = 128 * 1024  # bytes of answers that a client may leave unread, likewise
-BODY_MS = 30_000.0  # for all of a long body, and for the room that it needs
+    from .resp_server import RespServer
+
+MAX_PENDING_COMMANDS = (
+    32  # commands of one connection that may wait for their answers before it is read no further
+)
+MAX_PENDING_COMMAND_BYTES = 128 * 1024  # bytes of these commands, likewise
+MAX_UNSENT_BYTES = 128 * 1024  # bytes of answers that a client may leave unread, likewise
+BODY_TIMEOUT_MS = 30_000.0  # for all of a long body, and for the room that it needs
 # From connecting, or from its first byte, until a command has to be whole. A client may take 2 s for a head,
 # and one that never ends it is owed an end within 3 s of connecting; a sweep comes between.
-WHOLE_MS = 2_400.0
-SLOW_MS = 5_000.0  # how long a client may leave answers unread without taking any
+COMMAND_TIMEOUT_MS = 2_400.0
+WRITE_STALL_TIMEOUT_MS = 5_000.0  # how long a client may leave answers unread without taking any
 # The same in a long value, of which little is held here: a kernel tells of room only when much of its buffer
 # is free, so that a reader of some KiB a second seems to stand still for long.
-LONG_SLOW_MS = 30_000.0
-IDLE_MS = 30_000.0  # unused for this long: closed
-FIRST_MS = 400.0  # in a drain, from being taken in until its first command: a round trip and a slow client
+STREAM_STALL_TIMEOUT_MS = 30_000.0
+IDLE_TIMEOUT_MS = 30_000.0  # unused for this long: closed
+FIRST_COMMAND_GRACE_MS = (
+    400.0  # in a drain, from being taken in until its first command: a round trip and a slow client
+)
 # From FIN until it is closed at the latest: far over a round trip, so that the last answer has arrived, and
 # short beside a drain. What a flood may send in it is bounded too.
-LINGER_MS, LINGER_BYTES = 500.0, 256 * 1024
-HARMLESS = {b"CLIENT", b"SELECT"}  # commands of connection set-up
-OPEN, LAST, LINGERING, CLOSED = range(4)
-ESTABLISHED = 1  # of the states of TCP, as the kernel numbers them
+LINGER_TIMEOUT_MS, MAX_LINGER_BYTES = 500.0, 256 * 1024
+SETUP_COMMANDS = {b"CLIENT", b"SELECT"}  # commands of connection set-up
+OPEN, FLUSHING, LINGERING, CLOSED = range(4)
+TCP_ESTABLISHED = 1  # of the states of TCP, as the kernel numbers them
 
 
 class ClientConnection:
-    def __init__(self, server: ClientServer, accepted: socket.socket) -> None:
+    def __init__(self, server: RespServer, accepted: socket.socket) -> None:
         self.server, self.socket, self.fd = server, accepted, accepted.fileno()
         self.reader = CommandReader()
         self.slots: deque[Slot] = deque()
@@ -76,7 +80,9 @@
         self.state = OPEN
         self.reading = self.writing = self.pumping = self.unread = False
         self.used_at = self.moved_at = now_ms()  # moved: answers were last taken by the client
-        self.due: float | None = self.used_at + WHOLE_MS  # of a command that is owed; None: between commands
+        self.due: float | None = (
+            self.used_at + COMMAND_TIMEOUT_MS
+        )  # of a command that is owed; None: between commands
         self._throttle()
 
     # ---- from the event loop ----
@@ -127,7 +133,7 @@
         finally:
             self.pumping = False
         if not self.slots and not self.unsent:
-            if self.state == LAST:
+            if self.state == FLUSHING:
                 self.linger()
             elif self.server.draining and self.at_rest:
                 self.leave()
@@ -139,9 +145,9 @@
         return (
             self.state != OPEN
             or self.long > 0
-            or self.held > MOST_HELD
-            or len(self.slots) >= MOST_WAITING
-            or len(self.unsent) > MOST_UNREAD
+            or self.held > MAX_PENDING_COMMAND_BYTES
+            or len(self.slots) >= MAX_PENDING_COMMANDS
+            or len(self.unsent) > MAX_UNSENT_BYTES
             or self.reader.wants > 0
         )
 
@@ -157,11 +163,11 @@
                     if self.reader.wants or self.reader.long:
                         # A long body has its time from its last piece, and in all.
                         if not self.reader.wants:
-                            self.due = min(now_ms() + WHOLE_MS, self.granted_at + BODY_MS)
+                            self.due = min(now_ms() + COMMAND_TIMEOUT_MS, self.granted_at + BODY_TIMEOUT_MS)
                     elif not self.reader.held:
                         self.due = None
                     elif self.due is None:
-                        self.due = now_ms() + WHOLE_MS
+                        self.due = now_ms() + COMMAND_TIMEOUT_MS
                     return
                 self.due = None
                 self.command(args)
@@ -178,7 +184,7 @@
         if granted:
             self._grant(size)
         else:
-            self.due = now_ms() + BODY_MS
+            self.due = now_ms() + BODY_TIMEOUT_MS
         return granted
 
     def _grant(self, size: int) -> None:
@@ -210,7 +216,7 @@
         if self.slots and self.state < LINGERING and (long := self.slots[0].long) and not long.started:
             long.start()
 
-    def push(self, long: LongReply, data: bytes | bytearray | memoryview) -> None:
+    def push(self, long: StreamingReply, data: bytes | bytearray | memoryview) -> None:
         """Write a piece of the value whose turn it is."""
         waiting = bool(self.unsent)
         self.unsent += data
@@ -252,7 +258,7 @@
         slot = Slot(self)
         slot.answered, slot.reply = True, b"-ERR protocol error\r\n"
         self.slots.append(slot)
-        self.state = LAST
+        self.state = FLUSHING
         self.server.refused[reason] += 1
 
     def command(self, args: list[bytes]) -> None:
@@ -262,7 +268,7 @@
         self.held += slot.size
         self.slots.append(slot)
         verb = args[0].upper()
-        if verb in VERBS:
+        if verb in REQUEST_VERBS:
             if self.server.handler.strained and (away := self.server.turn_away(args)):
                 slot.kind, reply = away
                 return slot.answer(reply)
@@ -280,10 +286,10 @@
                 slot.answer(b"-ERR takes no clients now\r\n")
             else:
                 slot.answer(bulk(args[1]) if len(args) > 1 else b"+PONG\r\n")
-        elif verb in HARMLESS:
+        elif verb in SETUP_COMMANDS:
             slot.answer(b"+OK\r\n")
         elif verb == b"QUIT":
-            self.state = LAST
+            self.state = FLUSHING
             slot.answer(b"+OK\r\n")
         else:
             slot.answer(b"-ERR unknown command\r\n")
@@ -322,7 +328,7 @@
                 told = self.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)
             except OSError:
                 return False  # not TCP: only reading tells
-            if told and told[0] != ESTABLISHED:
+            if told and told[0] != TCP_ESTABLISHED:
                 self.close()
         return self.state >= LINGERING
 
@@ -347,7 +353,7 @@
         """
         if self.state != OPEN or not self.server.draining:
             return
-        if self in self.server.silent and (due := self.used_at + FIRST_MS) > now_ms():
+        if self in self.server.silent and (due := self.used_at + FIRST_COMMAND_GRACE_MS) > now_ms():
             self.server.timers.at(due, self.leave)
         else:
             self.retire()
@@ -357,17 +363,19 @@
         if self.state == OPEN and self.reading:
             self._readable()
         if self.state == OPEN:
-            self.state = LAST
+            self.state = FLUSHING
             self.pump()
 
     def check(self, now: float) -> None:
         """End what the client has begun and does not go on with, and what it has left."""
         if self.state == LINGERING:
-            if now > self.moved_at + LINGER_MS:
+            if now > self.moved_at + LINGER_TIMEOUT_MS:
                 self.close()
         elif not self.reading and self.gone():
             return
-        elif self.unsent and now - self.moved_at > (LONG_SLOW_MS if self.long else SLOW_MS):
+        elif self.unsent and now - self.moved_at > (
+            STREAM_STALL_TIMEOUT_MS if self.long else WRITE_STALL_TIMEOUT_MS
+        ):
             self.server.refused["answers left unread"] += 1
             self.close()
         elif self.overdue(now) and self.waits_for_bytes:
@@ -379,7 +387,7 @@
             elif self.overdue(now):
                 self.refuse_protocol("command not whole in time")
                 self.pump()
-        elif self.idle and now - self.used_at > IDLE_MS:
+        elif self.idle and now - self.used_at > IDLE_TIMEOUT_MS:
             self.retire()
 
     def linger(self) -> None:
@@ -413,7 +421,7 @@
         except OSError:
             count = 0
         self.dropped += count
-        if not count or self.dropped > LINGER_BYTES:
+        if not count or self.dropped > MAX_LINGER_BYTES:
             self.close()
 
     def close(self) -> None:
--- a/roadpulley/edges/terms.py
+++ b/roadpulley/edges/request_parser.py
@@ -8,24 +8,29 @@
 from roadpulley.core.command import Command
 from roadpulley.core.resp import bulk
 
-VERBS = {b"API.READ": True, b"API.WRITE": False}  # whether it serves the classes that are safe to repeat
-
-NUMBER = re.compile(rb"\d{1,12}(?:\.\d{1,12})?")  # `float` and `int` take far more: nan, 1_0, +1, spaces
-WHOLE = re.compile(rb"\d{1,6}")
-CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
-CUSTOMERS = 2**33
-NAME = re.compile(rb"[!-~]{1,64}")  # of a request, and of its effect
+REQUEST_VERBS = {
+    b"API.READ": True,
+    b"API.WRITE": False,
+}  # whether it serves the classes that are safe to repeat
+
+DECIMAL_PATTERN = re.compile(
+    rb"\d{1,12}(?:\.\d{1,12})?"
+)  # `float` and `int` take far more: nan, 1_0, +1, spaces
+INTEGER_PATTERN = re.compile(rb"\d{1,6}")
+CUSTOMER_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
+CUSTOMER_ID_LIMIT = 2**33
+NAME_PATTERN = re.compile(rb"[!-~]{1,64}")  # of a request, and of its effect
 # The attributes as clients write them; what stands otherwise is read the long way.
-PLAIN = re.compile(
+ATTRIBUTES_PATTERN = re.compile(
     rb"(c=([^,=]{1,64}),t=([^,=]{1,64}),d=)(\d{1,12})((?:,k=([!-+\--~]{1,64}))?"
     rb",units=(\d{1,12}),spread=(\d{1,6}),first=(\d{1,6})(,r=1)?)"
 )
-NAMED = re.compile(rb"(?:^|,)c=([^,=]{1,64})(?:,|$)")
-MOST_TERMS = 4_096  # combinations of class, plan, units and set that are remembered as right
-LONGEST_WAIT = 2.0  # times the class's deadline, which the client's whole patience does not exceed
+CLASS_PATTERN = re.compile(rb"(?:^|,)c=([^,=]{1,64})(?:,|$)")
+MAX_CACHED_ATTRIBUTES = 4_096  # combinations of class, plan, units and set that are remembered as right
+MAX_WAIT_RATIO = 2.0  # times the class's deadline, which the client's whole patience does not exceed
 
 
-class Terms:
+class RequestParser:
     """What the settings let a request name."""
 
     def __init__(self, settings: api.Settings, workers: int = 1) -> None:
@@ -47,7 +52,7 @@
         if not 4 <= len(args) <= 5:
             raise ValueError("wrong number of arguments")
         verb, customer, request, listed = args[:4]
-        if plain := PLAIN.fullmatch(listed):
+        if plain := ATTRIBUTES_PATTERN.fullmatch(listed):
             before, named, title, left, after, key, *rest, repeat = plain.groups()
             known = self.right.get((verb, named, title, *rest))
             if known is not None and (key or known[0].effect is not api.Effect.KEYED):
@@ -63,12 +68,12 @@
             raise ValueError("unknown class")
         if plan is None:
             raise ValueError("unknown plan")
-        if VERBS[verb.upper()] != (kind.effect is api.Effect.SAFE):
+        if REQUEST_VERBS[verb.upper()] != (kind.effect is api.Effect.SAFE):
             raise ValueError("class of another command")
-        if kind.effect is api.Effect.KEYED and not NAME.fullmatch(given.get(b"k", b"")):
+        if kind.effect is api.Effect.KEYED and not NAME_PATTERN.fullmatch(given.get(b"k", b"")):
             raise ValueError("key missing")
-        wait, units = decimal(given, b"d"), decimal(given, b"units")
-        spread, first = integer(given, b"spread"), integer(given, b"first")
+        wait, units = parse_decimal(given, b"d"), parse_decimal(given, b"units")
+        spread, first = parse_integer(given, b"spread"), parse_integer(given, b"first")
         if not 0 < units <= self.most_units:
             raise ValueError("units out of range")
         if not (1 <= spread <= self.gateways and first < self.gateways):
@@ -77,7 +82,7 @@
         before, after = listed[: at + 2], listed[at + 2 + len(given[b"d"]) :]
         known = (kind, plan, units, spread * self.workers, first * self.workers)
         if plain:
-            if len(self.right) >= MOST_TERMS:
+            if len(self.right) >= MAX_CACHED_ATTRIBUTES:
                 self.right.clear()
             self.right[verb, named, title, *rest] = known
         return self.command(args, known, wait, before, after, given.get(b"r") == b"1", body)
@@ -95,11 +100,11 @@
         """The request, once its class, plan, units and set are known to be right."""
         kind, plan, units, spread, first = known
         verb, customer, request = args[:3]
-        if not CUSTOMER.fullmatch(customer) or (number := int(customer, 16)) >= CUSTOMERS:
+        if not CUSTOMER_PATTERN.fullmatch(customer) or (number := int(customer, 16)) >= CUSTOMER_ID_LIMIT:
             raise ValueError("malformed customer")
-        if not NAME.fullmatch(request):
+        if not NAME_PATTERN.fullmatch(request):
             raise ValueError("malformed id")
-        if not 0 < wait <= kind.deadline * LONGEST_WAIT:
+        if not 0 < wait <= kind.deadline * MAX_WAIT_RATIO:
             raise ValueError("time left out of range")
         return Command(
             b"$%d\r\n%b\r\n$16\r\n%b\r\n$%d\r\n%b\r\n" % (len(verb), verb, customer, len(request), request),
@@ -120,13 +125,13 @@
         )
 
 
-def decimal(given: dict[bytes, bytes], name: bytes) -> float:
-    if not NUMBER.fullmatch(text := given.get(name, b"")):
+def parse_decimal(given: dict[bytes, bytes], name: bytes) -> float:
+    if not DECIMAL_PATTERN.fullmatch(text := given.get(name, b"")):
         raise ValueError(f"{name.decode()} is no number")
     return float(text)
 
 
-def integer(given: dict[bytes, bytes], name: bytes) -> int:
-    if not WHOLE.fullmatch(text := given.get(name, b"")):
+def parse_integer(given: dict[bytes, bytes], name: bytes) -> int:
+    if not INTEGER_PATTERN.fullmatch(text := given.get(name, b"")):
         raise ValueError(f"{name.decode()} is no number")
     return int(text)
--- a/roadpulley/edges/clients.py
+++ b/roadpulley/edges/resp_server.py
@@ -19,20 +19,22 @@
 from roadpulley.core.tallies import Tallies
 
 from .connection import ClientConnection
-from .slots import LEAST_WATER, MOST_WATER
-from .terms import NAMED, PLAIN, Terms
+from .request_parser import ATTRIBUTES_PATTERN, CLASS_PATTERN, RequestParser
+from .slots import MAX_HIGH_WATER_BYTES, MIN_HIGH_WATER_BYTES
 
 log = logging.getLogger(__name__)
 
-READ_BYTES = 32 * 1024
+READ_BUFFER_BYTES = 32 * 1024
 BACKLOG = 1024  # connections that wait to be taken in, at no cost in descriptors
-TAKEN_AT_ONCE = 32  # so that those taken in are also read between
-TAKEN_OF_SHARED = 2  # so that a rush does not all go to the worker that woke first
-SWEEP_MS, SUMMARY_MS = 250.0, 1_000.0
-SPARE_MS = 2_000.0  # unused for this long: may be closed when room is short
-YOUNG_MS = 100.0  # in which a new connection is let say something, however short room is
-LINGER_PART = 4  # of the bound on connections: so many may stand only until their clients have seen the end
-RETRY_MS = 20.0  # until there may be room, or a descriptor, again
+MAX_ACCEPTS_PER_WAKEUP = 32  # so that those taken in are also read between
+MAX_SHARED_ACCEPTS_PER_WAKEUP = 2  # so that a rush does not all go to the worker that woke first
+SWEEP_INTERVAL_MS, LOG_INTERVAL_MS = 250.0, 1_000.0
+MIN_EVICTABLE_IDLE_MS = 2_000.0  # unused for this long: may be closed when room is short
+NEW_CONNECTION_GRACE_MS = 100.0  # in which a new connection is let say something, however short room is
+MAX_LINGERING_DIVISOR = (
+    4  # of the bound on connections: so many may stand only until their clients have seen the end
+)
+ACCEPT_RETRY_INTERVAL_MS = 20.0  # until there may be room, or a descriptor, again
 
 
 class Handler(Protocol):
@@ -45,7 +47,7 @@
     def on_client_gone(self, request: str) -> None: ...
 
 
-class ClientServer:
+class RespServer:
     """Listens, and bounds the connections of clients and what they may hold."""
 
     def __init__(
@@ -53,7 +55,7 @@
         loop: asyncio.AbstractEventLoop,
         timers: Timers,
         handler: Handler,
-        terms: Terms,
+        terms: RequestParser,
         most: int,
         memory: int,
         tallies: Tallies | None = None,
@@ -64,7 +66,9 @@
         self.long = 0  # long values under way
         self.bodies = Budget(max(LARGEST_BODY, memory // 2))
         self.most_unsent, self.unsent = memory, 0  # bytes of answers that are not taken yet, of all clients
-        self.buffer = bytearray(READ_BYTES)  # of all connections: each takes out at once what it has read
+        self.buffer = bytearray(
+            READ_BUFFER_BYTES
+        )  # of all connections: each takes out at once what it has read
         self.view = memoryview(self.buffer)
         self.connections: dict[ClientConnection, None] = {}  # the longest unused first
         self.silent: dict[ClientConnection, None] = {}  # of these, those that never asked, the oldest first
@@ -104,10 +108,10 @@
         if self.listener is not None and self.accepting:
             self.accepting = False
             self.loop.remove_reader(self.listener.fileno())
-            self.waiting = self.timers.at(now_ms() + RETRY_MS, self._accept_more)
+            self.waiting = self.timers.at(now_ms() + ACCEPT_RETRY_INTERVAL_MS, self._accept_more)
 
     def _accept(self) -> None:
-        for turn in range(TAKEN_OF_SHARED if self.shared else TAKEN_AT_ONCE):
+        for turn in range(MAX_SHARED_ACCEPTS_PER_WAKEUP if self.shared else MAX_ACCEPTS_PER_WAKEUP):
             # Room is made only for one that is known to wait, as on the first turn.
             if (turn and len(self.connections) >= self.most) or not self._accept_one():
                 return
@@ -145,12 +149,12 @@
             return True
         now = now_ms()
         oldest = next((c for c in self.silent if c.idle), None)
-        if oldest is not None and now - oldest.used_at > YOUNG_MS:
+        if oldest is not None and now - oldest.used_at > NEW_CONNECTION_GRACE_MS:
             oldest.retire(room=True)
             if oldest.closed:
                 return True
         spare = next((c for c in self.connections if c.idle and c not in self.silent), None)
-        if spare is not None and now - spare.used_at > SPARE_MS:
+        if spare is not None and now - spare.used_at > MIN_EVICTABLE_IDLE_MS:
             spare.retire(room=True)
         return spare is not None and spare.closed
 
@@ -167,25 +171,27 @@
 
     def turn_away(self, args: list[bytes]) -> tuple[str, bytes] | None:
         """Class and refusal of a request that is not worth reading whole just now, if seen before."""
-        plain = PLAIN.fullmatch(args[3]) if len(args) > 3 else None
+        plain = ATTRIBUTES_PATTERN.fullmatch(args[3]) if len(args) > 3 else None
         known = self.terms.right.get((args[0], *plain.group(2, 3, 7, 8, 9))) if plain else None
         reply = self.handler.turn_away(known[0].name) if known else None
         return (known[0].name, reply) if known and reply else None
 
     def named(self, args: list[bytes]) -> str | None:
         """The class that a wrong request names, if it is or was one."""
-        found = NAMED.search(args[3]) if len(args) > 3 else None
+        found = CLASS_PATTERN.search(args[3]) if len(args) > 3 else None
         name = found[1].decode(errors="replace") if found else ""
         return name if name in self.tallies.answers else None
 
     def water(self) -> int:
         """Bytes of a long value that may wait for its client: of all of them together, half of the budget."""
-        return max(LEAST_WATER, min(MOST_WATER, self.most_unsent // (2 * max(1, self.long))))
+        return max(
+            MIN_HIGH_WATER_BYTES, min(MAX_HIGH_WATER_BYTES, self.most_unsent // (2 * max(1, self.long)))
+        )
 
     def lingers(self, connection: ClientConnection) -> None:
         self.silent.pop(connection, None)
         self.lingering[connection] = None
-        if len(self.lingering) > self.most // LINGER_PART:
+        if len(self.lingering) > self.most // MAX_LINGERING_DIVISOR:
             next(iter(self.lingering)).close()
 
     def forget(self, connection: ClientConnection) -> None:
@@ -207,13 +213,13 @@
         now = now_ms()
         for connection in list(self.connections):
             connection.check(now)
-        if self.refused and now - self.told_at >= SUMMARY_MS:  # one line tells of all
+        if self.refused and now - self.told_at >= LOG_INTERVAL_MS:  # one line tells of all
             log.warning("refused: %s", dict(self.refused))
             self.refused.clear()
             self.told_at = now
-        self.timers.at(now + SWEEP_MS, self.sweep)
+        self.timers.at(now + SWEEP_INTERVAL_MS, self.sweep)
 
-    def retune(self, terms: Terms) -> None:
+    def retune(self, terms: RequestParser) -> None:
         """Other terms from the next request on. What was counted of a class that is dropped stays."""
         self.terms = terms
         for name in terms.classes:
--- a/roadpulley/edges/slots.py
+++ b/roadpulley/edges/slots.py
@@ -9,7 +9,10 @@
 if TYPE_CHECKING:
     from .connection import ClientConnection
 
-LEAST_WATER, MOST_WATER = 4 * 1024, 64 * 1024  # of a long value that may wait here, however many there are
+MIN_HIGH_WATER_BYTES, MAX_HIGH_WATER_BYTES = (
+    4 * 1024,
+    64 * 1024,
+)  # of a long value that may wait here, however many there are
 
 
 class Slot:
@@ -24,12 +27,12 @@
         self.kind: str | None = None  # the class it names, where that is known
         self.answered = False
         self.granted = 0  # bytes of the budget that its body holds
-        self.long: LongReply | None = None  # its answer, where that comes in pieces
+        self.long: StreamingReply | None = None  # its answer, where that comes in pieces
 
     def begin(self, length: int, source: Source) -> Sink:
         """The client that leaves is told of as before: `request` stays until the value has ended."""
         self.answered = True
-        self.long = LongReply(self, length, source)
+        self.long = StreamingReply(self, length, source)
         self.connection.long += 1
         self.connection.server.long += 1
         return self.long
@@ -52,7 +55,7 @@
         self.connection.server.bodies.give_back(granted)
 
 
-class LongReply:
+class StreamingReply:
     """A long value on its way to a client, a piece at a time; what waits for the client is bounded."""
 
     __slots__ = ("paused", "pending", "slot", "source", "started")
@@ -76,7 +79,9 @@
 
     def wants(self) -> int:
         connection = self.slot.connection
-        return max(LEAST_WATER, connection.server.water() - len(connection.unsent) - len(self.pending))
+        return max(
+            MIN_HIGH_WATER_BYTES, connection.server.water() - len(connection.unsent) - len(self.pending)
+        )
 
     def start(self) -> None:
         """The answers before it are written."""
--- a/roadpulley/fleet/agent.py
+++ b/roadpulley/fleet/agent.py
@@ -18,26 +18,25 @@
 
 from roadpulley.checks import ValidationError
 
-from .beside import Beside, Said
 from .clock import Clock, from_environment, wall_ms
-from .control import Control
-from .counts.service import Counting
-from .counts.terms import Add, Digest, Parts
-from .counts.terms import Body as ForCounts
+from .control import ControlServer
+from .counts.messages import AddRequest, Digest, PartBatch
+from .counts.messages import ReplicaMessage as ForCounts
+from .counts.service import CounterReplicator
 from .duties.electing import Electing, Electoral, RollFile, Wish
 from .duties.memory import Memory
 from .duties.roll import DUTY, Roll, RollAsk, RollTaken, changed
 from .duties.service import Duties
 from .duties.terms import NOBODY, Accept, Granted, Prepare, Promise, Question, Refused, Release, Who
 from .duties.work import Work
-from .members.machine import Members, Tell
-from .members.terms import Ack, Nack, Page, PageAsk, Ping, PingFor, State
+from .members.messages import Ack, MemberState, Nack, Page, PageRequest, Ping, PingRequest
+from .members.state_machine import Membership, OutboundMessage
 from .orders.messages import Body as ForOrders
 from .orders.messages import Order, Poll
 from .orders.service import OrderService
 from .orders.voter import Voter
-from .peers.envelope import Cause, Codec, Envelope
-from .peers.service import Post, Route
+from .peers.envelope import Codec, DropReason, Envelope
+from .peers.service import DatagramEndpoint, Route
 from .rights.messages import Body as ForRights
 from .rights.service import RightsService
 from .rights.work import DUTY as RIGHTS
@@ -45,6 +44,7 @@
 from .settings import address as checked
 from .verdicts.messages import HealthReportBatch, ObservationBatch
 from .verdicts.service import VerdictService
+from .worker_socket import WorkerMessage, WorkerSocket
 
 log = structlog.get_logger("roadpulley.fleet")
 
@@ -62,7 +62,7 @@
     fence: int = 0
 
 
-ForMembers: TypeAlias = Ping | PingFor | Ack | Nack | PageAsk | Page
+ForMembers: TypeAlias = Ping | PingRequest | Ack | Nack | PageRequest | Page
 ForVoters: TypeAlias = Prepare | Accept | Release
 ForElecting: TypeAlias = Roll | RollAsk | RollTaken
 Body: TypeAlias = (
@@ -79,7 +79,7 @@
     | HealthReportBatch
 )
 DECODER: msgspec.msgpack.Decoder[Body] = msgspec.msgpack.Decoder(Body)
-MEMBERS = (Ping, PingFor, Ack, Nack, PageAsk, Page)
+MEMBERS = (Ping, PingRequest, Ack, Nack, PageRequest, Page)
 
 
 class Agent:
@@ -97,7 +97,9 @@
         self.settings, self.name = settings, name
         self.clock, self.rng = clock or from_environment(), rng or random.Random(secrets.randbits(64))
         self.me = Who(name, secrets.randbits(BOOT_BITS) or 1)
-        self.post = Post(Codec(settings.installation, name, self.me.boot, settings.key), self._taken)
+        self.post = DatagramEndpoint(
+            Codec(settings.installation, name, self.me.boot, settings.key), self._taken
+        )
         self.bits = {duty: bit for bit, duty in enumerate(sorted(settings.duties))}
         self.can = sum(1 << self.bits[d] for d in works)
         self.executor = ThreadPoolExecutor(min(MOST_THREADS, len(works) + 1), "duty")
@@ -118,17 +120,17 @@
         )
         electoral = Electoral(self.electing, self._soon)
         self.duties.add(DutySettings(DUTY, "voters", None, "", 1.0, (), ()), electoral)
-        self.members: Members | None = None  # once our address is known
+        self.members: Membership | None = None  # once our address is known
         self.met: dict[str, Who] = {}  # who was heard at an address last
         self.timer: asyncio.TimerHandle | None = None
         self.setting = False
         self.tasks: list[asyncio.Task[None]] = []
         self.loop: asyncio.AbstractEventLoop
-        self.control = Control(settings.control, name, self._answer)
+        self.control = ControlServer(settings.control, name, self._answer)
         self.problems: dict[str, str] = {}
-        self.beside = Beside(settings.control / f"{name}.beside", self._beside_said)
+        self.beside = WorkerSocket(settings.control / f"{name}.beside", self._beside_said)
         self.rights: RightsService | None = None
-        self.counting: Counting | None = None
+        self.counting: CounterReplicator | None = None
         self.orders: OrderService | None = None
         self.verdicts: VerdictService | None = None
         if settings.verdicts is not None:
@@ -142,7 +144,7 @@
             )
             self.duties.handing = self._handing
         if settings.counts is not None:
-            self.counting = Counting(
+            self.counting = CounterReplicator(
                 settings.counts, self.me, self.beside, self.clock, self.rng, self._tell_route, self._routes
             )
 
@@ -200,7 +202,7 @@
             self.tasks.append(asyncio.get_running_loop().create_task(self._bind_again(wanted)))
         settings, at_home = self.settings, self.post.address == wanted
         address = "" if at_home else self.post.address
-        self.members = Members(
+        self.members = Membership(
             self.me,
             address,
             self.can,
@@ -260,7 +262,7 @@
         for who, state in self.members.news:
             log.info("member", who=who.name, its_boot=who.boot, state=state.name.lower())
         self.members.news.clear()
-        there = [m for m in self.members.there() if m.state is State.ALIVE]
+        there = [m for m in self.members.there() if m.state is MemberState.ALIVE]
         self.duties.arrange(there, self.bits)
 
     # ---- time ----
@@ -288,21 +290,21 @@
         now = self.clock.now()
         if now >= self.members.next_at():
             self._tell(self.members.tick(now))
-        if any(state is not State.SUSPECT for _, state in self.members.news):
+        if any(state is not MemberState.SUSPECT for _, state in self.members.news):
             self._look()
         self._set()
 
     # ---- datagrams ----
 
-    def _taken(self, envelope: Envelope, address: str) -> Cause | None:
+    def _taken(self, envelope: Envelope, address: str) -> DropReason | None:
         if self.members is None:
-            return Cause.OLD  # it comes before this process knows its own address
+            return DropReason.STALE  # it comes before this process knows its own address
         who = Who(envelope.name, envelope.boot)
         for_us = envelope.to_boot == self.me.boot
         try:
             bodies = [DECODER.decode(raw) for raw in envelope.bodies]
         except (msgspec.DecodeError, msgspec.ValidationError):
-            return Cause.GARBLED
+            return DropReason.MALFORMED
         self.met[address] = who
         for body in bodies:
             if isinstance(body, MEMBERS):
@@ -311,16 +313,16 @@
                 # Danger: what was meant for the process before this one must not be taken up by it. The
                 # sender is told who is here now.
                 self.post.send(address, who.boot, Ping(0, ()))
-                return Cause.OLD
+                return DropReason.STALE
             elif cause := self._about_duties(who, address, body):
                 return cause
         return None
 
-    def _about_duties(self, who: Who, address: str, body: Any) -> Cause | None:
+    def _about_duties(self, who: Who, address: str, body: Any) -> DropReason | None:
         if isinstance(body, ForRights):
             if self.rights is not None:
                 self.rights.heard((address, who.boot), body)
-        elif isinstance(body, Parts | Digest):
+        elif isinstance(body, PartBatch | Digest):
             if self.counting is not None:
                 self.counting.heard((address, who.boot), body)
         elif isinstance(body, ForOrders):
@@ -341,28 +343,28 @@
                 self.electing.heard(who.name, body)
         elif isinstance(body, Prepare | Accept | Release):
             if body.ballot.who != who:
-                return Cause.STRANGE
+                return DropReason.UNKNOWN_SENDER
             if answer := self.duties.asked(body):
                 self.post.send(address, who.boot, answer)
             if not isinstance(body, Release):
                 self._compare(who, address, body.roll)
         elif who.name not in self.electing.roll.voters or self.address_of(who.name) != address:
             # Danger: a second process under a voter's name would be counted as that voter.
-            return Cause.STRANGE
+            return DropReason.UNKNOWN_SENDER
         else:
             self.duties.answered(who.name, body)
         return None
 
-    def _tell(self, tells: list[Tell]) -> None:
+    def _tell(self, tells: list[OutboundMessage]) -> None:
         for tell in tells:
             self.post.send(tell.address, tell.who.boot, tell.body)
 
-    def _parts(self) -> list[RightsService | Counting | OrderService | VerdictService]:
+    def _parts(self) -> list[RightsService | CounterReplicator | OrderService | VerdictService]:
         parts = (self.rights, self.counting, self.orders, self.verdicts)
         return [part for part in parts if part is not None]
 
-    def _beside_said(self, body: Said) -> None:
-        if isinstance(body, Add):
+    def _beside_said(self, body: WorkerMessage) -> None:
+        if isinstance(body, AddRequest):
             if self.counting is not None:
                 self.counting.asked(body)
         elif isinstance(body, ObservationBatch):
@@ -491,18 +493,24 @@
     # ---- people ----
 
     def _answer(self, call: str, args: dict[str, Any]) -> dict[str, Any]:
-        from .report import duties, limits, members, verdicts, voters
+        from .report import (
+            describe_duties,
+            describe_limits,
+            describe_members,
+            describe_verdicts,
+            describe_voters,
+        )
 
         if call == "members":
-            return members(self)
+            return describe_members(self)
         if call == "duties":
-            return duties(self)
+            return describe_duties(self)
         if call == "voters":
-            return voters(self)
+            return describe_voters(self)
         if call == "limits":
-            return limits(self)
+            return describe_limits(self)
         if call == "verdicts":
-            return verdicts(self)
+            return describe_verdicts(self)
         if call in ("order", "order-status", "orders", "orders-force"):
             return self._about_orders(call, args)
         if call == "hand-over":
@@ -519,12 +527,12 @@
         return {"error": f"{call!r} is no call; there are {known}"}
 
     def _about_orders(self, call: str, args: dict[str, Any]) -> dict[str, Any]:
-        from .report import orders
+        from .report import describe_orders
 
         if self.orders is None:
             return {"error": "no orders are followed here: [orders] is missing in the fleet's settings"}
         if call == "orders":
-            return orders(self, self.orders)
+            return describe_orders(self, self.orders)
         if call == "order-status":
             return self.orders.status(str(args.get("ticket")))
         if call == "orders-force":
--- a/roadpulley/fleet/line.py
+++ b/roadpulley/fleet/agent_link.py
@@ -1,4 +1,4 @@
-"""The way of a process to the instance of the fleet beside it: the other end of `beside.py`.
+"""The way of a process to the instance of the fleet beside it: the other end of `worker_socket.py`.
 
 Nothing here blocks. Where the instance is silent, what is said is lost, as on a link.
 """
@@ -13,35 +13,35 @@
 
 import msgspec
 
-from .counts.terms import Added
+from .counts.messages import AddReply
 from .orders.messages import BookPage, PollReply
-from .place import Datagrams, Place
 from .rights.messages import Hello, ToHolder
+from .unix_socket import DatagramSocket, SocketPath
 from .verdicts.messages import VerdictSnapshot
 
-HELLO_S = 0.5
-NUMBER_BITS = 53
+HELLO_INTERVAL_S = 0.5
+WORKER_ID_BITS = 53
 
-Heard: TypeAlias = ToHolder | Added | PollReply | BookPage | VerdictSnapshot
-DECODER: msgspec.msgpack.Decoder[Heard] = msgspec.msgpack.Decoder(Heard)
+AgentMessage: TypeAlias = ToHolder | AddReply | PollReply | BookPage | VerdictSnapshot
+DECODER: msgspec.msgpack.Decoder[AgentMessage] = msgspec.msgpack.Decoder(AgentMessage)
 ENCODER = msgspec.msgpack.Encoder()
 
 
-class Line(asyncio.DatagramProtocol):
+class AgentLink(asyncio.DatagramProtocol):
     """`instance`: its socket, `NAME.beside` in the folder of the fleet's sockets. `number`: this process."""
 
     def __init__(self, instance: Path) -> None:
         self.instance = instance
-        self.number = secrets.randbits(NUMBER_BITS) or 1
+        self.number = secrets.randbits(WORKER_ID_BITS) or 1
         self.path = instance.with_name(f"{instance.name}.{self.number:x}")
-        self.listeners: list[Callable[[Heard], None]] = []
+        self.listeners: list[Callable[[AgentMessage], None]] = []
         self.hello: asyncio.TimerHandle | None = None
-        self.socket: Datagrams | None = None
+        self.socket: DatagramSocket | None = None
         self.unsent = 0
 
     async def open(self) -> None:
         """Raises OSError where the folder can't be written."""
-        self.socket = await Place(self.path).datagrams(self)
+        self.socket = await SocketPath(self.path).datagrams(self)
         self._hello()
 
     def close(self) -> None:
@@ -53,7 +53,7 @@
 
     def _hello(self) -> None:
         self.send(Hello(self.number))
-        self.hello = asyncio.get_running_loop().call_later(HELLO_S, self._hello)
+        self.hello = asyncio.get_running_loop().call_later(HELLO_INTERVAL_S, self._hello)
 
     def send(self, body: Any) -> None:
         if self.socket is None:
--- a/roadpulley/fleet/clock.py
+++ b/roadpulley/fleet/clock.py
@@ -12,10 +12,10 @@
 
 from .duties.terms import Mono
 
-RATE = "ROADPULLEY_CLOCK_RATE"  # of the testbed: how fast this process's own clock runs
+CLOCK_RATE_VARIABLE = "ROADPULLEY_CLOCK_RATE"  # of the testbed: how fast this process's own clock runs
 
 
-OFFSET = "ROADPULLEY_WALL_OFFSET_MS"  # of the testbed: how far this process's wall clock is off
+WALL_OFFSET_VARIABLE = "ROADPULLEY_WALL_OFFSET_MS"  # of the testbed: how far this process's wall clock is off
 
 
 class Clock:
@@ -28,14 +28,14 @@
     def now(self) -> Mono:
         return time.clock_gettime(self.id) * self.rate
 
-    def true(self) -> float:
+    def unscaled_now(self) -> float:
         """What all processes of this machine agree on: for histories that are judged, for nothing else."""
         return time.clock_gettime(self.id)
 
 
 def wall_ms() -> int:
-    return int(time.time() * 1000) + int(os.environ.get(OFFSET, "0"))
+    return int(time.time() * 1000) + int(os.environ.get(WALL_OFFSET_VARIABLE, "0"))
 
 
 def from_environment() -> Clock:
-    return Clock(float(os.environ.get(RATE, "1")))
+    return Clock(float(os.environ.get(CLOCK_RATE_VARIABLE, "1")))
--- a/roadpulley/fleet/control.py
+++ b/roadpulley/fleet/control.py
@@ -12,35 +12,35 @@
 
 from roadpulley.checks import ValidationError
 
-from .place import Place
+from .unix_socket import SocketPath
 
-MOST_LINE = 64 * 1024
-ANSWER_S = 5.0
-LONGEST_PATH = 100  # bytes; sockets allow 107
+MAX_LINE_BYTES = 64 * 1024
+ANSWER_TIMEOUT_S = 5.0
+MAX_PATH_BYTES = 100  # bytes; sockets allow 107
 
-Answer = Callable[[str, dict[str, Any]], dict[str, Any]]
+CallHandler = Callable[[str, dict[str, Any]], dict[str, Any]]
 
 
-class Control:
-    def __init__(self, folder: Path, name: str, answer: Answer) -> None:
+class ControlServer:
+    def __init__(self, folder: Path, name: str, answer: CallHandler) -> None:
         self.path, self.answer = folder / f"{name}.sock", answer
         self.server: asyncio.Server | None = None
-        self.place = Place(self.path)
+        self.place = SocketPath(self.path)
 
     async def open(self) -> None:
         """Take the path, also from a process that has it still: the newer one answers. Raises OSError,
         ValidationError."""
-        if len(os.fsencode(self.path)) > LONGEST_PATH:
+        if len(os.fsencode(self.path)) > MAX_PATH_BYTES:
             raise ValidationError(
-                "control", f"{self.path} is too long for a socket", f"give at most {LONGEST_PATH} bytes"
+                "control", f"{self.path} is too long for a socket", f"give at most {MAX_PATH_BYTES} bytes"
             )
         self.place.clear()
-        self.server = await asyncio.start_unix_server(self._serve, str(self.path), limit=MOST_LINE)
+        self.server = await asyncio.start_unix_server(self._serve, str(self.path), limit=MAX_LINE_BYTES)
         self.place.taken()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            async with asyncio.timeout(ANSWER_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 asked = json.loads(await reader.readline())
                 call, args = asked["call"], asked.get("args", {})
                 writer.write(json.dumps(self.answer(call, args)).encode() + b"\n")
@@ -56,11 +56,11 @@
             self.place.leave()
 
 
-def ask(folder: Path, name: str, call: str, **args: Any) -> dict[str, Any]:
+def call_agent(folder: Path, name: str, call: str, **args: Any) -> dict[str, Any]:
     """What the instance answers. Raises ValidationError if it does not run here, or says nothing."""
     path = folder / f"{name}.sock"
     with socket.socket(socket.AF_UNIX) as sock:
-        sock.settimeout(ANSWER_S)
+        sock.settimeout(ANSWER_TIMEOUT_S)
         try:
             sock.connect(str(path))
             sock.sendall(json.dumps({"call": call, "args": args}).encode() + b"\n")
@@ -73,6 +73,6 @@
     return dict(found)
 
 
-def running(folder: Path) -> list[str]:
+def list_instances(folder: Path) -> list[str]:
     """Names of the instances that may run on this machine."""
     return sorted(path.stem for path in folder.glob("*.sock"))
--- a/roadpulley/fleet/counts/client.py
+++ b/roadpulley/fleet/counts/client.py
@@ -11,19 +11,19 @@
 from roadpulley.core.clock import Timers, now_ms
 from roadpulley.core.counter import Call, Counter, Done
 from roadpulley.core.settings import Address
-from roadpulley.fleet.line import Line
+from roadpulley.fleet.agent_link import AgentLink
 
-from .terms import Add, Added
+from .messages import AddReply, AddRequest
 
-AGAIN_MS = 15.0  # after which an addition is asked for again
-NOWHERE: Address = ("", 0)
+RETRY_INTERVAL_MS = 15.0  # after which an addition is asked for again
+NO_ADDRESS: Address = ("", 0)
 
 
-class PeerCounter(Counter):
+class ReplicatedCounter(Counter):
     """Its calls go to the instance beside this process; all else is as at the counter service's client."""
 
-    def __init__(self, line: Line, timers: Timers, wait: float) -> None:
-        super().__init__(asyncio.get_running_loop(), timers, NOWHERE, wait)
+    def __init__(self, line: AgentLink, timers: Timers, wait: float) -> None:
+        super().__init__(asyncio.get_running_loop(), timers, NO_ADDRESS, wait)
         self.line = line
         self.asked: dict[int, Call] = {}  # by their numbers
         self.number = 0
@@ -31,23 +31,25 @@
 
     def add(self, name: str, amount: float, expire_in: float, done: Done) -> None:
         self.number += 1
-        ask = Add(self.line.number, self.number, name, amount, max(1, int(expire_in)))
+        ask = AddRequest(self.line.number, self.number, name, amount, max(1, int(expire_in)))
         call = self.asked[self.number] = Call(self, name, b"", done)
         self.calls.setdefault(name, deque()).append(call)
         self._send(call, ask, now_ms() + self.wait)
 
-    def _send(self, call: Call, ask: Add, due: float) -> None:
+    def _send(self, call: Call, ask: AddRequest, due: float) -> None:
         self.line.send(ask)
-        call.timer = self.timers.at(min(now_ms() + AGAIN_MS, due), partial(self._again, call, ask, due))
+        call.timer = self.timers.at(
+            min(now_ms() + RETRY_INTERVAL_MS, due), partial(self._again, call, ask, due)
+        )
 
-    def _again(self, call: Call, ask: Add, due: float) -> None:
+    def _again(self, call: Call, ask: AddRequest, due: float) -> None:
         if now_ms() < due:
             return self._send(call, ask, due)  # an instance takes each number once
         del self.asked[ask.number]
         call.end(Outcome.TIMED_OUT)
 
     def _heard(self, body: Any) -> None:
-        if isinstance(body, Added) and body.holder == self.line.number:
+        if isinstance(body, AddReply) and body.holder == self.line.number:
             if call := self.asked.pop(body.number, None):
                 call.end(Outcome.OK, body.total)
 
--- a/roadpulley/fleet/counts/terms.py
+++ b/roadpulley/fleet/counts/messages.py
@@ -17,12 +17,12 @@
 
 from roadpulley.fleet.duties.terms import Who
 
-MOST_NAME = 80  # bytes of a number's name
-PAGE = 16  # parts in one body, so that it fits into a datagram
-BUCKETS = 16  # of the numbers of one owner, compared by one hash each
+MAX_NAME_BYTES = 80  # bytes of a number's name
+MAX_PARTS_PER_BATCH = 16  # parts in one body, so that it fits into a datagram
+BUCKET_COUNT = 16  # of the numbers of one owner, compared by one hash each
 
 
-class Part(msgspec.Struct, array_like=True, frozen=True):
+class CounterPart(msgspec.Struct, array_like=True, frozen=True):
     """What one owner has added to one number. `left_ms`: until everybody forgets the number."""
 
     name: str
@@ -31,11 +31,11 @@
     left_ms: int
 
 
-class Parts(msgspec.Struct, tag="c-parts", array_like=True, frozen=True):
+class PartBatch(msgspec.Struct, tag="c-parts", array_like=True, frozen=True):
     """Of one owner, whoever sends them."""
 
     owner: Who
-    parts: tuple[Part, ...]
+    parts: tuple[CounterPart, ...]
 
 
 class Digest(msgspec.Struct, tag="c-digest", array_like=True, frozen=True):
@@ -45,13 +45,13 @@
     buckets: tuple[int, ...]
 
 
-Body: TypeAlias = Parts | Digest
+ReplicaMessage: TypeAlias = PartBatch | Digest
 
 
 # ---- between an instance and the processes beside it ----
 
 
-class Add(msgspec.Struct, tag="c-add", array_like=True, frozen=True):
+class AddRequest(msgspec.Struct, tag="c-add", array_like=True, frozen=True):
     """Add to a number, once: asked again it has the same `number`, counted by the process that asks."""
 
     holder: int
@@ -61,7 +61,7 @@
     keep_ms: int
 
 
-class Added(msgspec.Struct, tag="c-added", array_like=True, frozen=True):
+class AddReply(msgspec.Struct, tag="c-added", array_like=True, frozen=True):
     """The number as this instance sees it, with what was added."""
 
     holder: int
--- a/roadpulley/fleet/counts/service.py
+++ b/roadpulley/fleet/counts/service.py
@@ -13,46 +13,46 @@
 from typing import Any
 
 from roadpulley.checks import Table
-from roadpulley.fleet.beside import Beside
 from roadpulley.fleet.clock import Clock
 from roadpulley.fleet.duties.terms import Mono, Who
 from roadpulley.fleet.peers.service import Route
+from roadpulley.fleet.worker_socket import WorkerSocket
 
-from .machine import Counts
-from .terms import MOST_NAME, Add, Body
+from .messages import MAX_NAME_BYTES, AddRequest, ReplicaMessage
+from .state_machine import ReplicatedCounters
 
-SWEEP_S = 5.0
+SWEEP_INTERVAL_S = 5.0
 
 
 @dataclass(frozen=True)
-class CountsSettings:
+class ReplicationSettings:
     """Seconds. `say`: between two words of what was added; `compare`: between two digests."""
 
     say: float
     compare: float
 
 
-def read_counts(table: Table) -> CountsSettings:
+def read_replication_settings(table: Table) -> ReplicationSettings:
     """Raises ValidationError."""
     say, compare = table.read_number("say_s", 0.05, 0.005, 5), table.read_number("compare_s", 1.0, 0.05, 60)
     table.reject_unknown_keys()
-    return CountsSettings(say, compare)
+    return ReplicationSettings(say, compare)
 
 
-class Counting:
+class CounterReplicator:
     def __init__(
         self,
-        settings: CountsSettings,
+        settings: ReplicationSettings,
         me: Who,
-        beside: Beside,
+        beside: WorkerSocket,
         clock: Clock,
         rng: random.Random,
-        tell: Callable[[Route, Body], None],
+        tell: Callable[[Route, ReplicaMessage], None],
         everybody: Callable[[], list[Route]],
     ) -> None:
         self.settings, self.beside, self.clock, self.rng = settings, beside, clock, rng
         self.tell, self.everybody = tell, everybody
-        self.machine = Counts(me)
+        self.machine = ReplicatedCounters(me)
         self.adds = self.refused = 0
         self.saying: asyncio.TimerHandle | None = None  # while there is something to say
         self.comparing: asyncio.TimerHandle | None = None
@@ -68,9 +68,9 @@
                 timer.cancel()
         self._say()
 
-    def asked(self, ask: Add) -> None:
+    def asked(self, ask: AddRequest) -> None:
         self.adds += 1
-        answer = self.machine.add(self.clock.now(), ask) if len(ask.name.encode()) <= MOST_NAME else None
+        answer = self.machine.add(self.clock.now(), ask) if len(ask.name.encode()) <= MAX_NAME_BYTES else None
         if answer is None:
             self.refused += 1
         else:
@@ -78,7 +78,7 @@
             if self.saying is None and self.machine.changed:
                 self.saying = asyncio.get_running_loop().call_later(self.settings.say, self._say)
 
-    def heard(self, route: Route, body: Body) -> None:
+    def heard(self, route: Route, body: ReplicaMessage) -> None:
         for answer in self.machine.heard(self.clock.now(), body):
             self.tell(route, answer)
 
@@ -86,7 +86,7 @@
         now = self.clock.now()
         self._compare()
         if now >= self.sweep_at:
-            self.sweep_at = now + SWEEP_S
+            self.sweep_at = now + SWEEP_INTERVAL_S
             self.machine.sweep(now)
         wait = self.settings.compare * self.rng.uniform(0.5, 1.5)  # not all at once
         self.comparing = asyncio.get_running_loop().call_later(wait, self._look)
--- a/roadpulley/fleet/counts/machine.py
+++ b/roadpulley/fleet/counts/state_machine.py
@@ -10,15 +10,24 @@
 
 from roadpulley.fleet.duties.terms import Mono, Who
 
-from .terms import BUCKETS, PAGE, Add, Added, Body, Digest, Part, Parts
-
-MOST_PARTS = 200_000  # kept; of whom nothing more is taken up beyond that
-ANSWERED_S = 5.0  # for which an addition is known that may be asked for again
-MOST_ANSWERED = 50_000
+from .messages import (
+    BUCKET_COUNT,
+    MAX_PARTS_PER_BATCH,
+    AddReply,
+    AddRequest,
+    CounterPart,
+    Digest,
+    PartBatch,
+    ReplicaMessage,
+)
+
+MAX_PARTS = 200_000  # kept; of whom nothing more is taken up beyond that
+REPLY_CACHE_S = 5.0  # for which an addition is known that may be asked for again
+MAX_CACHED_REPLIES = 50_000
 
 
 @dataclass(slots=True)
-class Kept:
+class StoredPart:
     version: int
     total: float
     until: Mono
@@ -26,18 +35,18 @@
 
 
 @dataclass(slots=True)
-class Owned:
+class OwnerIndex:
     """The numbers of one owner. `hashes` by bucket: of names and versions, whatever their order."""
 
     names: set[str] = field(default_factory=set)
-    hashes: list[int] = field(default_factory=lambda: [0] * BUCKETS)
+    hashes: list[int] = field(default_factory=lambda: [0] * BUCKET_COUNT)
 
 
-class Counts:
+class ReplicatedCounters:
     def __init__(self, me: Who) -> None:
         self.me = me
-        self.numbers: dict[str, dict[Who, Kept]] = {}  # by name, what each owner added
-        self.owners: dict[Who, Owned] = defaultdict(Owned)
+        self.numbers: dict[str, dict[Who, StoredPart]] = {}  # by name, what each owner added
+        self.owners: dict[Who, OwnerIndex] = defaultdict(OwnerIndex)
         self.version = 0
         self.changed: dict[str, None] = {}  # of ours: not told yet, the oldest first
         self.answered: OrderedDict[tuple[int, int], tuple[Mono, float]] = OrderedDict()
@@ -46,7 +55,7 @@
 
     # ---- to add and to read ----
 
-    def add(self, now: Mono, ask: Add) -> Added | None:
+    def add(self, now: Mono, ask: AddRequest) -> AddReply | None:
         """Once for each number that a process gives its asks; None for nonsense."""
         if not math.isfinite(ask.amount) or ask.keep_ms <= 0:
             return None
@@ -55,7 +64,7 @@
         if (known := self.answered.get(key)) is None:
             known = self.answered[key] = now, self._add(now, ask.name, ask.amount, ask.keep_ms / 1000)
         self._forget_answers(now)
-        return Added(ask.holder, ask.number, known[1])
+        return AddReply(ask.holder, ask.number, known[1])
 
     def _add(self, now: Mono, name: str, amount: float, keep: float) -> float:
         mine = self._of(name, self.me)
@@ -76,13 +85,13 @@
     def _forget_answers(self, now: Mono) -> None:
         while self.answered:
             at, _ = next(iter(self.answered.values()))
-            if now - at < ANSWERED_S and len(self.answered) <= MOST_ANSWERED:
+            if now - at < REPLY_CACHE_S and len(self.answered) <= MAX_CACHED_REPLIES:
                 return
             self.answered.popitem(last=False)
 
     # ---- to tell ----
 
-    def news(self, now: Mono) -> list[Parts]:
+    def news(self, now: Mono) -> list[PartBatch]:
         """What was added here since the last call, for everybody."""
         names, self.changed = list(self.changed), {}
         return list(self._pages(now, self.me, names))
@@ -90,10 +99,10 @@
     def digests(self) -> list[Digest]:
         """Of all owners, for one other instance."""
         if self.me not in self.owners:
-            self.owners[self.me] = Owned()
+            self.owners[self.me] = OwnerIndex()
         return [Digest(owner, tuple(owned.hashes)) for owner, owned in self.owners.items()]
 
-    def heard(self, now: Mono, body: Body) -> list[Body]:
+    def heard(self, now: Mono, body: ReplicaMessage) -> list[ReplicaMessage]:
         """Take in what another instance says; gives what to answer it."""
         if isinstance(body, Digest):
             return list(self._compare(now, body))
@@ -101,13 +110,13 @@
             self._merge(now, body.owner, part)
         return []
 
-    def _merge(self, now: Mono, owner: Who, part: Part) -> None:
+    def _merge(self, now: Mono, owner: Who, part: CounterPart) -> None:
         if owner == self.me:
             return  # nobody knows better what was added here
         known = self._of(part.name, owner)
         if (known is not None and known.version >= part.version) or part.left_ms <= 0:
             return
-        if known is None and self.parts >= MOST_PARTS:
+        if known is None and self.parts >= MAX_PARTS:
             self.full += 1
             return
         if not math.isfinite(part.total):
@@ -116,10 +125,10 @@
         until = known.until if known is not None else now + part.left_ms / 1000
         self._keep(part.name, owner, part.version, part.total, until)
 
-    def _compare(self, now: Mono, digest: Digest) -> Iterator[Body]:
+    def _compare(self, now: Mono, digest: Digest) -> Iterator[ReplicaMessage]:
         """What the other lacks of an owner; and our own digest, if it may have what we lack."""
         owned = self.owners.get(digest.owner)
-        ours = tuple(owned.hashes) if owned is not None else (0,) * BUCKETS
+        ours = tuple(owned.hashes) if owned is not None else (0,) * BUCKET_COUNT
         differ = {n for n, (a, b) in enumerate(zip(ours, digest.buckets, strict=False)) if a != b}
         if not differ:
             return
@@ -128,28 +137,28 @@
         if digest.owner != self.me and any(digest.buckets):
             yield Digest(digest.owner, ours)
 
-    def _pages(self, now: Mono, owner: Who, names: Iterable[str]) -> Iterator[Parts]:
-        some: list[Part] = []
+    def _pages(self, now: Mono, owner: Who, names: Iterable[str]) -> Iterator[PartBatch]:
+        some: list[CounterPart] = []
         for name in names:
             kept = self._of(name, owner)
             if kept is None or kept.until <= now:
                 continue
-            some.append(Part(name, kept.version, kept.total, math.ceil((kept.until - now) * 1000)))
-            if len(some) == PAGE:
-                yield Parts(owner, tuple(some))
+            some.append(CounterPart(name, kept.version, kept.total, math.ceil((kept.until - now) * 1000)))
+            if len(some) == MAX_PARTS_PER_BATCH:
+                yield PartBatch(owner, tuple(some))
                 some = []
         if some:
-            yield Parts(owner, tuple(some))
+            yield PartBatch(owner, tuple(some))
 
     # ---- what is kept ----
 
-    def _of(self, name: str, owner: Who) -> Kept | None:
+    def _of(self, name: str, owner: Who) -> StoredPart | None:
         return self.numbers.get(name, {}).get(owner)
 
     def _keep(self, name: str, owner: Who, version: int, total: float, until: Mono) -> None:
         self._drop(name, owner)
         bucket = bucket_of(name)
-        self.numbers.setdefault(name, {})[owner] = Kept(version, total, until, bucket)
+        self.numbers.setdefault(name, {})[owner] = StoredPart(version, total, until, bucket)
         owned = self.owners[owner]
         owned.names.add(name)
         owned.hashes[bucket] ^= hash_of(name, version)
@@ -177,7 +186,7 @@
 
 
 def bucket_of(name: str) -> int:
-    return hashlib.blake2b(name.encode(), digest_size=1).digest()[0] % BUCKETS
+    return hashlib.blake2b(name.encode(), digest_size=1).digest()[0] % BUCKET_COUNT
 
 
 def hash_of(name: str, version: int) -> int:
--- a/roadpulley/fleet/duties/service.py
+++ b/roadpulley/fleet/duties/service.py
@@ -13,7 +13,7 @@
 import structlog
 
 from roadpulley.fleet.clock import Clock
-from roadpulley.fleet.members.terms import Claim as Member
+from roadpulley.fleet.members.messages import Claim as Member
 from roadpulley.fleet.settings import DutySettings, FleetSettings
 
 from .candidate import NEVER_DUE, Action, Began, Candidate, Claim, Ended, Renewed, Send, State
--- a/roadpulley/fleet/wake.py
+++ b/roadpulley/fleet/duty_trigger.py
@@ -5,11 +5,11 @@
 
 from roadpulley.checks import ValidationError
 
-from .control import ask, running
+from .control import call_agent, list_instances
 from .settings import FleetSettings
 
 
-def wake(settings: FleetSettings, work: str) -> tuple[bool, str]:
+def trigger_duty(settings: FleetSettings, work: str) -> tuple[bool, str]:
     """Whether the holder runs on this machine and begins a round now, in words. Raises ValidationError.
 
     Danger: a command that did it itself, beside the holder, would be a second one under no fence.
@@ -20,9 +20,9 @@
             "duties", f"none has work {work!r}", "add one, or take `fleet` out of the settings"
         )
     holder = ""
-    for instance in running(settings.control):
+    for instance in list_instances(settings.control):
         try:
-            answers = [ask(settings.control, instance, "run", duty=name) for name in names]
+            answers = [call_agent(settings.control, instance, "run", duty=name) for name in names]
         except ValidationError:
             continue  # it has ended, and its socket is left
         if any(answer["done"] for answer in answers):
--- a/roadpulley/fleet/members/terms.py
+++ b/roadpulley/fleet/members/messages.py
@@ -22,7 +22,7 @@
 from roadpulley.fleet.duties.terms import Who
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """By rank: of one incarnation the higher supersedes the lower."""
 
     ALIVE = 0
@@ -36,7 +36,7 @@
 
     who: Who
     incarnation: int
-    state: State
+    state: MemberState
     address: str
     can: int = 0
 
@@ -49,7 +49,7 @@
     claims: tuple[Claim, ...]
 
 
-class PingFor(msgspec.Struct, tag="pfor", array_like=True, frozen=True):
+class PingRequest(msgspec.Struct, tag="pfor", array_like=True, frozen=True):
     """Ping that one for me: I don't hear it."""
 
     number: int
@@ -72,7 +72,7 @@
     number: int
 
 
-class PageAsk(msgspec.Struct, tag="pask", array_like=True, frozen=True):
+class PageRequest(msgspec.Struct, tag="pask", array_like=True, frozen=True):
     """Your members after this one, in order."""
 
     after: Who
@@ -83,10 +83,10 @@
     last: bool  # nothing comes after these
 
 
-Body: TypeAlias = Ping | PingFor | Ack | Nack | PageAsk | Page
+MembershipMessage: TypeAlias = Ping | PingRequest | Ack | Nack | PageRequest | Page
 
 
-class Times(msgspec.Struct, frozen=True):
+class SwimParameters(msgspec.Struct, frozen=True):
     """Seconds, and counts. Defaults after memberlist's for a local network, at half of its period."""
 
     period: float = 0.5  # between two probes
--- a/roadpulley/fleet/members/machine.py
+++ b/roadpulley/fleet/members/state_machine.py
@@ -15,20 +15,35 @@
 
 from roadpulley.fleet.duties.terms import NOBODY, Mono, Who
 
-from .terms import Ack, Body, Claim, Nack, Page, PageAsk, Ping, PingFor, State, Times
-
-MOST_MEMBERS = 4_096
-YOUNG = 5  # exchanges that count as the beginning, in which pages are asked for so many times as often
-LATE = 0.5  # periods that a tick may come late before this process takes itself for the slow one
+from .messages import (
+    Ack,
+    Claim,
+    MembershipMessage,
+    MemberState,
+    Nack,
+    Page,
+    PageRequest,
+    Ping,
+    PingRequest,
+    SwimParameters,
+)
+
+MAX_MEMBERS = 4_096
+JOIN_EXCHANGES = (
+    5  # exchanges that count as the beginning, in which pages are asked for so many times as often
+)
+MAX_TICK_DELAY_PERIODS = (
+    0.5  # periods that a tick may come late before this process takes itself for the slow one
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class OutboundMessage:
     """Send it there; `who` is NOBODY where no process of that address is known yet."""
 
     address: str
     who: Who
-    body: Body
+    body: MembershipMessage
 
 
 @dataclass(slots=True)
@@ -40,7 +55,7 @@
     passed: int = 0  # times that the claim was sent on
 
     def there(self) -> bool:
-        return self.claim.state < State.DEAD
+        return self.claim.state < MemberState.DEAD
 
 
 @dataclass(slots=True)
@@ -53,7 +68,7 @@
     nacks: int = 0
 
 
-class Members:
+class Membership:
     """`address`: how others reach this process, empty where their settings say it; `can`: duties, by bits.
 
     `static`: addresses by name, from the settings; `seeds`: further ones, whose names are not known.
@@ -66,12 +81,12 @@
         can: int,
         static: Mapping[str, str],
         seeds: Iterable[str],
-        times: Times,
+        times: SwimParameters,
         rng: random.Random,
     ) -> None:
         self.me, self.times, self.rng, self.static = me, times, rng, dict(static)
         self.seeds = tuple(dict.fromkeys([*(a for n, a in static.items() if n != me.name), *seeds]))
-        self.mine = Claim(me, 1, State.ALIVE, address, can)
+        self.mine = Claim(me, 1, MemberState.ALIVE, address, can)
         self.table: dict[Who, Member] = {}
         self.suspects: dict[Who, Member] = {}  # of the table, for each look at the clock is over these
         self.fresh: dict[Who, Member] = {}  # of the table: their claims are still passed on
@@ -86,7 +101,7 @@
         self.unmet: dict[str, Mono] = {}
         self.number = 0
         self.health = 0  # 0: well
-        self.news: list[tuple[Who, State]] = []  # what changed, for the shell to log
+        self.news: list[tuple[Who, MemberState]] = []  # what changed, for the shell to log
         self.false_alarms = 0  # claims against this process that it refuted
         self.again = 0  # times that our own claim is still to be passed on
 
@@ -124,8 +139,8 @@
 
     # ---- events ----
 
-    def tick(self, now: Mono) -> list[Tell]:
-        out: list[Tell] = []
+    def tick(self, now: Mono) -> list[OutboundMessage]:
+        out: list[OutboundMessage] = []
         if self.next_probe is None:
             self.next_probe, self.began = now + self.rng.random() * self.times.period, now
             return self._seed(now, out)
@@ -135,12 +150,12 @@
         for member in list(self.suspects.values()):
             if now >= member.since + self.patience(member):
                 claim = member.claim
-                dead = Claim(claim.who, claim.incarnation, State.DEAD, claim.address, claim.can)
+                dead = Claim(claim.who, claim.incarnation, MemberState.DEAD, claim.address, claim.can)
                 self._take(now, dead, self.me)
         for number, (who, address, theirs, until) in list(self.relayed.items()):
             if now >= until:
                 del self.relayed[number]
-                out.append(Tell(address, who, Nack(theirs)))
+                out.append(OutboundMessage(address, who, Nack(theirs)))
         if now >= self.next_remind:
             # Danger: not as slowly as this process probes while it takes itself for slow: a suspect's time
             # runs.
@@ -156,55 +171,55 @@
                 self._ask_page(now, out)
         return out
 
-    def heard(self, now: Mono, who: Who, address: str, body: Body) -> list[Tell]:
+    def heard(self, now: Mono, who: Who, address: str, body: MembershipMessage) -> list[OutboundMessage]:
         """From a process that the datagram names truly, at the address that it came from."""
-        out: list[Tell] = []
+        out: list[OutboundMessage] = []
         self.unmet.pop(address, None)
-        if who not in self.table and len(self.table) < MOST_MEMBERS:
-            self._take(now, Claim(who, 0, State.ALIVE, "", 0), who)
+        if who not in self.table and len(self.table) < MAX_MEMBERS:
+            self._take(now, Claim(who, 0, MemberState.ALIVE, "", 0), who)
         if who in self.table:
             self.table[who].heard_at = address
-        claims = () if isinstance(body, Nack | PageAsk) else body.claims
+        claims = () if isinstance(body, Nack | PageRequest) else body.claims
         fresh = [self._take(now, claim, who) for claim in claims]
         match body:
             case Ping(number, _):
-                out.append(Tell(address, who, Ack(number, self.me, self._news(who))))
-            case PingFor(number, target, at, _):
+                out.append(OutboundMessage(address, who, Ack(number, self.me, self._news(who))))
+            case PingRequest(number, target, at, _):
                 self.number += 1
                 self.relayed[self.number] = (who, address, number, now + self.times.answer * 0.8)
-                out.append(Tell(at, target, Ping(self.number, self._news(target))))
+                out.append(OutboundMessage(at, target, Ping(self.number, self._news(target))))
             case Ack(number, answered, _):
                 self._acked(number, answered, out)
             case Nack(number):
                 if self.probe is not None and self.probe.number == number:
                     self.probe.nacks += 1
-            case PageAsk(after):
-                out.append(Tell(address, who, self._page(after)))
+            case PageRequest(after):
+                out.append(OutboundMessage(address, who, self._page(after)))
             case Page(page, last):
                 self.page_after = NOBODY if last or not page else page[-1].who
                 if any(fresh) and not last:  # there may be more that is not known here
-                    out.append(Tell(address, who, PageAsk(self.page_after)))
+                    out.append(OutboundMessage(address, who, PageRequest(self.page_after)))
         return out
 
-    def leave(self, now: Mono) -> list[Tell]:
+    def leave(self, now: Mono) -> list[OutboundMessage]:
         """This process ends: say so to a few, who tell the others."""
-        self.mine = self._of_me(State.LEFT)
+        self.mine = self._of_me(MemberState.LEFT)
         some = self._some(self.times.helpers, lambda m: m.there())
-        return [Tell(self.where(m), m.claim.who, Ping(0, (self.mine,))) for m in some]
+        return [OutboundMessage(self.where(m), m.claim.who, Ping(0, (self.mine,))) for m in some]
 
     def move(self, address: str) -> None:
         """This process is reached elsewhere from now on."""
-        claim = self._of_me(State.ALIVE)
+        claim = self._of_me(MemberState.ALIVE)
         self.mine = Claim(claim.who, claim.incarnation, claim.state, address, claim.can)
 
     def able(self, can: int) -> None:
         """Which duties this process may hold from now on, by bits."""
         if can != self.mine.can:
-            self.mine = self._of_me(State.ALIVE, can)
+            self.mine = self._of_me(MemberState.ALIVE, can)
 
     # ---- inside ----
 
-    def _of_me(self, state: State, can: int | None = None) -> Claim:
+    def _of_me(self, state: MemberState, can: int | None = None) -> Claim:
         self.again = self._resends()
         mine = self.mine
         return Claim(self.me, mine.incarnation + 1, state, mine.address, mine.can if can is None else can)
@@ -216,7 +231,7 @@
         """Danger: a process that was stopped finds all its waits over, and answers that lie unread."""
         assert self.next_probe is not None
         late = now - min(self.next_probe, self.probe.ends if self.probe else math.inf)
-        if not self.times.careful or late <= LATE * self.times.period:
+        if not self.times.careful or late <= MAX_TICK_DELAY_PERIODS * self.times.period:
             return
         self.health = min(self.times.health, self.health + 1)
         for member in self.suspects.values():
@@ -228,23 +243,23 @@
         gone = [
             who
             for who, m in self.table.items()
-            if m.claim.state >= State.DEAD and now - m.since > self.times.forget
+            if m.claim.state >= MemberState.DEAD and now - m.since > self.times.forget
         ]
         for who in gone:
             del self.table[who]
             self.fresh.pop(who, None)
 
-    def _seed(self, now: Mono, out: list[Tell]) -> list[Tell]:
+    def _seed(self, now: Mono, out: list[OutboundMessage]) -> list[OutboundMessage]:
         """Whom the settings name and nobody has met. Each is tried now and then, also after a cut."""
         known = {self.where(m) for m in self.table.values() if m.there()}
         for address in self.seeds:
             if address not in known and now >= self.unmet.get(address, 0.0):
                 self.unmet[address] = now + self.times.period * (1 + self.rng.random())
                 self.number += 1
-                out.append(Tell(address, NOBODY, Ping(self.number, (self.mine,))))
+                out.append(OutboundMessage(address, NOBODY, Ping(self.number, (self.mine,))))
         return out
 
-    def _probe(self, now: Mono, out: list[Tell]) -> None:
+    def _probe(self, now: Mono, out: list[OutboundMessage]) -> None:
         if self.probe is not None:
             return
         for _ in range(len(self.order) + len(self.table) + 1):
@@ -262,23 +277,25 @@
         self.number += 1
         wait = self.times.answer * self.slow
         self.probe = Probe(who, self.number, now + wait)
-        out.append(Tell(self.where(member), who, Ping(self.number, self._news(who))))
+        out.append(OutboundMessage(self.where(member), who, Ping(self.number, self._news(who))))
 
-    def _remind(self, out: list[Tell]) -> None:
+    def _remind(self, out: list[OutboundMessage]) -> None:
         """Lifeguard's buddy, each period: suspects are told what is said of them, a few, the oldest first.
 
         One of the dead is told too: it may have been cut off, and nobody probes it any more.
         """
         suspects = sorted(self.suspects.values(), key=lambda m: m.since)
-        dead = [m for m in self.table.values() if m.claim.state is State.DEAD]
+        dead = [m for m in self.table.values() if m.claim.state is MemberState.DEAD]
         told = [*suspects[: self.times.helpers], *self.rng.sample(dead, min(1, len(dead)))]
         for member in told if self.times.careful else ():
             self.number += 1
             out.append(
-                Tell(self.where(member), member.claim.who, Ping(self.number, self._news(member.claim.who)))
+                OutboundMessage(
+                    self.where(member), member.claim.who, Ping(self.number, self._news(member.claim.who))
+                )
             )
 
-    def _spread(self, out: list[Tell]) -> None:
+    def _spread(self, out: list[OutboundMessage]) -> None:
         """While there is news it goes to a few by chance, each period, however slowly this process probes.
 
         Danger: piggybacked on probes alone, a refutation waits for processes that take themselves for slow.
@@ -287,13 +304,15 @@
             self.again or any(m.claim.incarnation for m in self.fresh.values())
         ):
             return
-        for member in self._some(self.times.spread, lambda m: m.claim.state is State.ALIVE):
+        for member in self._some(self.times.spread, lambda m: m.claim.state is MemberState.ALIVE):
             self.number += 1
             out.append(
-                Tell(self.where(member), member.claim.who, Ping(self.number, self._news(member.claim.who)))
+                OutboundMessage(
+                    self.where(member), member.claim.who, Ping(self.number, self._news(member.claim.who))
+                )
             )
 
-    def _unanswered(self, now: Mono, probe: Probe, out: list[Tell]) -> None:
+    def _unanswered(self, now: Mono, probe: Probe, out: list[OutboundMessage]) -> None:
         member = self.table.get(probe.who)
         if member is None:
             self.probe = None
@@ -301,11 +320,11 @@
             probe.helped = True
             probe.ends = now + self.times.answer * 1.2 * self.slow
             helpers = self._some(
-                self.times.helpers, lambda m: m.claim.state is State.ALIVE and m.claim.who != probe.who
+                self.times.helpers, lambda m: m.claim.state is MemberState.ALIVE and m.claim.who != probe.who
             )
             probe.helpers = len(helpers)
-            ask = PingFor(probe.number, probe.who, self.where(member), ())
-            out += [Tell(self.where(h), h.claim.who, ask) for h in helpers]
+            ask = PingRequest(probe.number, probe.who, self.where(member), ())
+            out += [OutboundMessage(self.where(h), h.claim.who, ask) for h in helpers]
         else:
             self.probe = None
             missed = probe.helpers - probe.nacks
@@ -313,13 +332,13 @@
             worse = missed if probe.helpers else 1
             self.health = min(self.times.health, self.health + max(0, worse))
             claim = member.claim
-            suspect = Claim(claim.who, claim.incarnation, State.SUSPECT, claim.address, claim.can)
+            suspect = Claim(claim.who, claim.incarnation, MemberState.SUSPECT, claim.address, claim.can)
             self._take(now, suspect, self.me)
 
-    def _acked(self, number: int, answered: Who, out: list[Tell]) -> None:
+    def _acked(self, number: int, answered: Who, out: list[OutboundMessage]) -> None:
         if number in self.relayed:
             who, address, theirs, _ = self.relayed.pop(number)
-            out.append(Tell(address, who, Ack(theirs, answered, ())))
+            out.append(OutboundMessage(address, who, Ack(theirs, answered, ())))
         if self.probe is not None and self.probe.number == number and self.probe.who == answered:
             self.probe = None
             self.health = max(0, self.health - 1)
@@ -331,25 +350,25 @@
             return False
         member = self.table.get(claim.who)
         if member is None:
-            if claim.state is not State.ALIVE or len(self.table) >= MOST_MEMBERS:
+            if claim.state is not MemberState.ALIVE or len(self.table) >= MAX_MEMBERS:
                 return False  # the dead whom nobody knows here are forgotten
             self.table[claim.who] = self.fresh[claim.who] = Member(claim, now)
-            self.news.append((claim.who, State.ALIVE))
+            self.news.append((claim.who, MemberState.ALIVE))
             self.order.insert(self.rng.randint(0, len(self.order)), claim.who)
             return True
         old = member.claim
         if claim.over(old):
             if claim.state is not old.state:
                 member.since = now
-                member.by = {by} if claim.state is State.SUSPECT and by != self.me else set()
+                member.by = {by} if claim.state is MemberState.SUSPECT and by != self.me else set()
                 self.news.append((claim.who, claim.state))
             member.claim, member.passed = claim, 0
             self.fresh[claim.who] = member
             self.suspects.pop(claim.who, None)
-            if claim.state is State.SUSPECT:
+            if claim.state is MemberState.SUSPECT:
                 self.suspects[claim.who] = member
             return True
-        if claim.state is State.SUSPECT and claim.incarnation == old.incarnation:
+        if claim.state is MemberState.SUSPECT and claim.incarnation == old.incarnation:
             if by != self.me and by not in member.by and len(member.by) < self.times.confirmations:
                 member.by.add(by)
                 member.passed, self.fresh[claim.who] = 0, member  # that others suspect it too is news
@@ -357,17 +376,17 @@
 
     def _of_us(self, claim: Claim) -> None:
         """Danger: what others say of this process is refuted, never believed."""
-        if self.mine.state is State.LEFT or claim.state is State.ALIVE:
-            if claim.incarnation > self.mine.incarnation and self.mine.state is not State.LEFT:
+        if self.mine.state is MemberState.LEFT or claim.state is MemberState.ALIVE:
+            if claim.incarnation > self.mine.incarnation and self.mine.state is not MemberState.LEFT:
                 self.mine = Claim(
-                    self.me, claim.incarnation + 1, State.ALIVE, self.mine.address, self.mine.can
+                    self.me, claim.incarnation + 1, MemberState.ALIVE, self.mine.address, self.mine.can
                 )
             return
         if claim.incarnation >= self.mine.incarnation:
             self.false_alarms += 1
             self.health = min(self.times.health, self.health + 1)
-            self.mine = Claim(self.me, claim.incarnation, State.ALIVE, self.mine.address, self.mine.can)
-            self.mine = self._of_me(State.ALIVE)
+            self.mine = Claim(self.me, claim.incarnation, MemberState.ALIVE, self.mine.address, self.mine.can)
+            self.mine = self._of_me(MemberState.ALIVE)
 
     def _news(self, to: Who) -> tuple[Claim, ...]:
         """The claims that were passed on least, ours first while it is news; bounded, each so often."""
@@ -376,7 +395,7 @@
             del self.fresh[who]
         fresh = sorted((m for m in self.fresh.values() if m.claim.incarnation), key=lambda m: m.passed)
         first: list[Claim] = []
-        if (theirs := self.table.get(to)) is not None and theirs.claim.state is not State.ALIVE:
+        if (theirs := self.table.get(to)) is not None and theirs.claim.state is not MemberState.ALIVE:
             # Danger: one that is not told what is said of it can't refute it, and stays dead to us for ever.
             first.append(theirs.claim)
             fresh = [m for m in fresh if m is not theirs]
@@ -392,12 +411,14 @@
         fit = [m for m in self.table.values() if which(m)]
         return self.rng.sample(fit, min(count, len(fit)))
 
-    def _ask_page(self, now: Mono, out: list[Tell]) -> None:
+    def _ask_page(self, now: Mono, out: list[OutboundMessage]) -> None:
         # One that has just begun knows few, and what was news before it came reaches it by pages only.
-        young = now - self.began < YOUNG * self.times.exchange
-        self.next_page = now + self.times.exchange * (0.75 + self.rng.random() / 2) / (YOUNG if young else 1)
-        for member in self._some(1, lambda m: m.claim.state is State.ALIVE):
-            out.append(Tell(self.where(member), member.claim.who, PageAsk(self.page_after)))
+        young = now - self.began < JOIN_EXCHANGES * self.times.exchange
+        self.next_page = now + self.times.exchange * (0.75 + self.rng.random() / 2) / (
+            JOIN_EXCHANGES if young else 1
+        )
+        for member in self._some(1, lambda m: m.claim.state is MemberState.ALIVE):
+            out.append(OutboundMessage(self.where(member), member.claim.who, PageRequest(self.page_after)))
 
     def _page(self, after: Who) -> Page:
         claims = [self.mine, *(m.claim for m in self.table.values() if m.claim.incarnation)]
--- a/roadpulley/fleet/orders/client.py
+++ b/roadpulley/fleet/orders/client.py
@@ -9,8 +9,8 @@
 
 from mintford import interface as api
 from roadpulley.core.discovery import host_number
+from roadpulley.fleet.agent_link import AgentLink
 from roadpulley.fleet.clock import Clock, from_environment, wall_ms
-from roadpulley.fleet.line import Line
 from roadpulley.fleet.rights.client import RightsClient, UnitCost
 from roadpulley.fleet.rights.holder import customer_limit_name
 
@@ -45,7 +45,7 @@
 
     def __init__(
         self,
-        line: Line,
+        line: AgentLink,
         terms: FollowerSettings,
         changed: Callable[[tuple[Order, ...]], None],
         clock: Clock | None = None,
--- a/roadpulley/fleet/orders/service.py
+++ b/roadpulley/fleet/orders/service.py
@@ -10,12 +10,12 @@
 
 import structlog
 
-from roadpulley.fleet.beside import Beside
 from roadpulley.fleet.clock import Clock, wall_ms
 from roadpulley.fleet.duties.roll import Roll
 from roadpulley.fleet.duties.terms import Mono
 from roadpulley.fleet.duties.work import Duty
 from roadpulley.fleet.peers.service import Route
+from roadpulley.fleet.worker_socket import WorkerSocket
 
 from .follower import Follower
 from .messages import (
@@ -66,7 +66,7 @@
         settings: OrderSettings,
         keeper: Voter,
         name: str,
-        beside: Beside,
+        beside: WorkerSocket,
         works: Mapping[str, Any],
         clock: Clock,
         answer: float,
--- a/roadpulley/fleet/peers/envelope.py
+++ b/roadpulley/fleet/peers/envelope.py
@@ -21,12 +21,12 @@
 import msgspec
 
 FORMAT = 1
-MOST_BYTES = 1_200  # under the least MTU of IPv6, 1,280, with headers: it is never fragmented
+MAX_DATAGRAM_BYTES = 1_200  # under the least MTU of IPv6, 1,280, with headers: it is never fragmented
 MAC_BYTES = 16
-LEAST_KEY, MOST_KEY = 32, 64  # bytes; BLAKE2b takes no more
+MIN_KEY_BYTES, MAX_KEY_BYTES = 32, 64  # bytes; BLAKE2b takes no more
 PERSON = b"roadpulley-peers"  # so that the key's other uses give other MACs
-WINDOW = 1_024  # numbers of one sender that may come out of order
-MOST_SENDERS = 4_096  # whose windows are kept; the one heard least lately goes
+REPLAY_WINDOW_SIZE = 1_024  # numbers of one sender that may come out of order
+MAX_SENDERS = 4_096  # whose windows are kept; the one heard least lately goes
 OVERHEAD = 160  # bytes for all but the bodies: names are at most 32, numbers at most 9 each
 
 
@@ -40,36 +40,42 @@
     bodies: list[msgspec.Raw]
 
 
-class Cause(Enum):
+class DropReason(Enum):
     """Why a datagram was dropped."""
 
     OVERSIZED = "oversized"
-    GARBLED = "garbled"
-    UNSIGNED = "unsigned"  # its MAC does not fit our key
-    FORMAT = "format"
-    FOREIGN = "foreign"  # of another installation
-    OWN = "own"
-    REPEATED = "repeated"
-    OLD = "old"  # behind the window, or meant for an earlier boot
-    STRANGE = "strange"  # from no address that is known for that voter, or not for those who are not met yet
-    REMOTE = "remote"  # not from this machine, and there is no key
+    MALFORMED = "garbled"
+    INVALID_MAC = "unsigned"  # its MAC does not fit our key
+    UNKNOWN_FORMAT = "format"
+    OTHER_INSTALLATION = "foreign"  # of another installation
+    OWN_DATAGRAM = "own"
+    REPLAYED = "repeated"
+    STALE = "old"  # behind the window, or meant for an earlier boot
+    UNKNOWN_SENDER = (
+        "strange"  # from no address that is known for that voter, or not for those who are not met yet
+    )
+    REMOTE_WITHOUT_KEY = "remote"  # not from this machine, and there is no key
 
 
 @dataclass(slots=True)
-class Window:
+class ReplayWindow:
     highest: int = -1
     seen: int = 0  # bit k: `highest - k` was taken
 
-    def take(self, number: int) -> Cause | None:
+    def take(self, number: int) -> DropReason | None:
         ahead = number - self.highest
         if ahead > 0:
-            self.seen = ((self.seen << ahead) | 1) & ((1 << WINDOW) - 1) if ahead < WINDOW else 1
+            self.seen = (
+                ((self.seen << ahead) | 1) & ((1 << REPLAY_WINDOW_SIZE) - 1)
+                if ahead < REPLAY_WINDOW_SIZE
+                else 1
+            )
             self.highest = number
             return None
-        if -ahead >= WINDOW:
-            return Cause.OLD
+        if -ahead >= REPLAY_WINDOW_SIZE:
+            return DropReason.STALE
         if self.seen >> -ahead & 1:
-            return Cause.REPEATED
+            return DropReason.REPLAYED
         self.seen |= 1 << -ahead
         return None
 
@@ -80,9 +86,9 @@
     def __init__(self, installation: str, name: str, boot: int, key: bytes | None) -> None:
         self.installation, self.name, self.boot, self.key = installation, name, boot, key
         self.encoder, self.decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Envelope)
-        self.windows: OrderedDict[tuple[str, int], Window] = OrderedDict()
+        self.windows: OrderedDict[tuple[str, int], ReplayWindow] = OrderedDict()
         self.number = 0
-        self.room = MOST_BYTES - OVERHEAD - (MAC_BYTES if key else 0)
+        self.room = MAX_DATAGRAM_BYTES - OVERHEAD - (MAC_BYTES if key else 0)
 
     def body(self, message: Any) -> msgspec.Raw:
         return msgspec.Raw(self.encoder.encode(message))
@@ -116,33 +122,33 @@
         assert self.key is not None
         return hashlib.blake2b(data, digest_size=MAC_BYTES, key=self.key, person=PERSON).digest()
 
-    def unpack(self, data: bytes) -> Envelope | Cause:
+    def unpack(self, data: bytes) -> Envelope | DropReason:
         """What is to be believed, or why it is not. Nothing of it counts before its MAC was checked."""
-        if len(data) > MOST_BYTES:
-            return Cause.OVERSIZED
+        if len(data) > MAX_DATAGRAM_BYTES:
+            return DropReason.OVERSIZED
         if self.key:
             data, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
             if not hmac.compare_digest(self._mac(data), mac):
-                return Cause.UNSIGNED
+                return DropReason.INVALID_MAC
         try:
             found = self.decoder.decode(data)
         except (msgspec.DecodeError, msgspec.ValidationError, RecursionError):
-            return Cause.GARBLED
+            return DropReason.MALFORMED
         if found.format != FORMAT:
-            return Cause.FORMAT
+            return DropReason.UNKNOWN_FORMAT
         if found.installation != self.installation:
-            return Cause.FOREIGN
+            return DropReason.OTHER_INSTALLATION
         if found.boot <= 0 or found.number <= 0 or len(found.name) > 32:
-            return Cause.GARBLED
+            return DropReason.MALFORMED
         if found.boot == self.boot and found.name == self.name:
-            return Cause.OWN
+            return DropReason.OWN_DATAGRAM
         if cause := self._window(found.name, found.boot).take(found.number):
             return cause
         return found
 
-    def _window(self, name: str, boot: int) -> Window:
-        window = self.windows.setdefault((name, boot), Window())
+    def _window(self, name: str, boot: int) -> ReplayWindow:
+        window = self.windows.setdefault((name, boot), ReplayWindow())
         self.windows.move_to_end((name, boot))
-        if len(self.windows) > MOST_SENDERS:
+        if len(self.windows) > MAX_SENDERS:
             self.windows.popitem(last=False)
         return window
--- a/roadpulley/fleet/peers/service.py
+++ b/roadpulley/fleet/peers/service.py
@@ -11,21 +11,21 @@
 
 import msgspec
 
-from .envelope import Cause, Codec, Envelope
+from .envelope import Codec, DropReason, Envelope
 
-MOST_SEND_BUFFER = (
+SEND_BUFFER_BYTES = (
     256 * 1024
 )  # bytes that the kernel may hold for us; beyond that datagrams are lost, as on a link
 
 Route = tuple[str, int]  # address and boot of an instance
 
-Taken = Callable[
-    [Envelope, str], Cause | None
+EnvelopeHandler = Callable[
+    [Envelope, str], DropReason | None
 ]  # with the sender's address; gives why it was dropped after all
 
 
-class Post(asyncio.DatagramProtocol):
-    def __init__(self, codec: Codec, taken: Taken) -> None:
+class DatagramEndpoint(asyncio.DatagramProtocol):
+    def __init__(self, codec: Codec, taken: EnvelopeHandler) -> None:
         self.codec, self.taken = codec, taken
         self.transport: asyncio.DatagramTransport | None = None
         self.waiting: dict[tuple[str, int], list[msgspec.Raw]] = {}
@@ -42,7 +42,7 @@
         try:
             # Danger: no reuse of the address. Two processes that vote under one name would be one vote twice.
             sock.bind((host, int(port)))
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, MOST_SEND_BUFFER)
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         except OSError:
             sock.close()
             raise
@@ -81,10 +81,10 @@
         self.received += 1
         self.received_bytes += len(data)
         if self.codec.key is None and not ipaddress.ip_address(addr[0]).is_loopback:
-            self.dropped[Cause.REMOTE.value] += 1
+            self.dropped[DropReason.REMOTE_WITHOUT_KEY.value] += 1
             return
         found = self.codec.unpack(data)
-        cause = found if isinstance(found, Cause) else self.taken(found, f"{addr[0]}:{addr[1]}")
+        cause = found if isinstance(found, DropReason) else self.taken(found, f"{addr[0]}:{addr[1]}")
         if cause is not None:
             self.dropped[cause.value] += 1
 
--- a/roadpulley/fleet/report.py
+++ b/roadpulley/fleet/report.py
@@ -13,7 +13,7 @@
     from .orders.service import OrderService
 
 
-def members(agent: Agent) -> dict[str, Any]:
+def describe_members(agent: Agent) -> dict[str, Any]:
     assert agent.members is not None
     now, machine = agent.clock.now(), agent.members
     rows = [
@@ -54,7 +54,7 @@
     }
 
 
-def duties(agent: Agent) -> dict[str, Any]:
+def describe_duties(agent: Agent) -> dict[str, Any]:
     """Who holds what, as this instance knows: its own holdings for sure, the others' by what voters told."""
     now, rows = agent.clock.now(), []
     voter = agent.duties.voter
@@ -100,12 +100,12 @@
     return {
         "instance": agent.name,
         "duties": rows,
-        "unseen": unseen_voters(agent),
+        "unseen": list_unseen_voters(agent),
         "problems": agent.problems,
     }
 
 
-def voters(agent: Agent) -> dict[str, Any]:
+def describe_voters(agent: Agent) -> dict[str, Any]:
     now = agent.clock.now()
     rows = []
     for name in agent.electing.roll.voters:
@@ -118,7 +118,7 @@
                 "name": name,
                 "address": address,
                 "boot": agent.me.boot if ours else who.boot,
-                "seen": ours or name not in unseen_voters(agent),
+                "seen": ours or name not in list_unseen_voters(agent),
                 "silent_s": max(0, silent),
             }
         )
@@ -128,11 +128,11 @@
         "change": agent.electing.status(),
         "voters": rows,
         "majority": len(rows) // 2 + 1,
-        "unseen": unseen_voters(agent),
+        "unseen": list_unseen_voters(agent),
     }
 
 
-def limits(agent: Agent) -> dict[str, Any]:
+def describe_limits(agent: Agent) -> dict[str, Any]:
     """Which rights are given out here, and what is counted."""
     found: dict[str, Any] = {"instance": agent.name, "unseen": []}
     if agent.rights is not None:
@@ -142,19 +142,19 @@
     return found
 
 
-def orders(agent: Agent, found: OrderService) -> dict[str, Any]:
+def describe_orders(agent: Agent, found: OrderService) -> dict[str, Any]:
     """What operators have ordered, as it holds here."""
-    return {"instance": agent.name, "unseen": unseen_voters(agent), **found.report()}
+    return {"instance": agent.name, "unseen": list_unseen_voters(agent), **found.report()}
 
 
-def verdicts(agent: Agent) -> dict[str, Any]:
+def describe_verdicts(agent: Agent) -> dict[str, Any]:
     """Which backends are found failing, by whom."""
     if agent.verdicts is None:
         return {"error": "no verdicts are told here: [verdicts] is missing in the fleet's settings"}
-    return {"instance": agent.name, "unseen": unseen_voters(agent), **agent.verdicts.report()}
+    return {"instance": agent.name, "unseen": list_unseen_voters(agent), **agent.verdicts.report()}
 
 
-def unseen_voters(agent: Agent) -> list[str]:
+def list_unseen_voters(agent: Agent) -> list[str]:
     assert agent.members is not None
     alive = {m.who.name for m in agent.members.there() if m.state.name == "ALIVE"}
     return sorted(set(agent.electing.roll.voters) - alive)
--- a/roadpulley/fleet/rights/client.py
+++ b/roadpulley/fleet/rights/client.py
@@ -11,8 +11,8 @@
 from functools import partial
 from typing import Any
 
+from roadpulley.fleet.agent_link import AgentLink
 from roadpulley.fleet.clock import Clock, from_environment
-from roadpulley.fleet.line import Line
 
 from .holder import NEVER_DUE, Holder, Payment, customer_limit_name
 from .messages import AllocatorAnnouncement, Hello, RightsReply, Welcome, is_concurrency_limit
@@ -45,7 +45,7 @@
 class RightsClient:
     """What a process holds of all limits."""
 
-    def __init__(self, line: Line, clock: Clock | None = None) -> None:
+    def __init__(self, line: AgentLink, clock: Clock | None = None) -> None:
         self.line, self.clock = line, clock or from_environment()
         self.machine: Holder | None = None  # until an instance has told the settings
         self.waiting: dict[str, list[PendingSpend]] = {}
--- a/roadpulley/fleet/rights/service.py
+++ b/roadpulley/fleet/rights/service.py
@@ -14,11 +14,11 @@
 
 import structlog
 
-from roadpulley.fleet.beside import Beside
 from roadpulley.fleet.clock import Clock
 from roadpulley.fleet.duties.terms import Mono
 from roadpulley.fleet.duties.work import Duty
 from roadpulley.fleet.peers.service import Route
+from roadpulley.fleet.worker_socket import WorkerSocket
 
 from .allocator import Allocator, InheritedLedgers
 from .messages import (
@@ -55,7 +55,7 @@
     def __init__(
         self,
         settings: RightsSettings,
-        beside: Beside,
+        beside: WorkerSocket,
         works: Mapping[str, Any],
         clock: Clock,
         rng: random.Random,
--- a/roadpulley/fleet/settings.py
+++ b/roadpulley/fleet/settings.py
@@ -15,13 +15,13 @@
 
 from roadpulley.checks import Table, ValidationError, read_toml
 
-from .counts.service import CountsSettings, read_counts
+from .counts.service import ReplicationSettings, read_replication_settings
 from .duties.roll import MOST_VOTERS
 from .duties.terms import Times
-from .members.terms import Times as MemberTimes
+from .members.messages import SwimParameters as MemberTimes
 from .orders.settings import OrderSettings, read_order_settings
 from .orders.work import DUTY as ORDERS
-from .peers.envelope import LEAST_KEY, MOST_KEY
+from .peers.envelope import MAX_KEY_BYTES, MIN_KEY_BYTES
 from .rights.settings import RightsSettings, read_rights_settings
 from .rights.work import DUTY as RIGHTS
 from .verdicts.service import read_verdict_settings
@@ -58,7 +58,7 @@
     members: MemberTimes
     duties: Mapping[str, DutySettings]
     settle_s: float  # for which another instance has to be the better one before a duty is handed to it
-    counts: CountsSettings | None = None  # numbers that all add to, in place of a counter
+    counts: ReplicationSettings | None = None  # numbers that all add to, in place of a counter
     rights: RightsSettings | None = None  # to spend of the limits that hold over all gateways
     orders: OrderSettings | None = None  # of operators, followed by all
     verdicts: VerdictSettings | None = None  # of backends, by what all find out
@@ -106,7 +106,7 @@
         member_times(table.read_table("members")),
         {**duties(table.read_table("duties"), folder, {*voters, *others}), **own(rights, orders)},
         table.read_number("settle_s", 10.0, 0.1, 3600),
-        read_counts(table.read_table("counts")) if table.has("counts") else None,
+        read_replication_settings(table.read_table("counts")) if table.has("counts") else None,
         rights,
         orders,
         read_verdict_settings(table.read_table("verdicts")) if table.has("verdicts") else None,
@@ -133,8 +133,8 @@
     except OSError as error:
         right = "name a file that this process may read, made by `openssl rand 32`"
         raise ValidationError("key", f"{path} can't be read ({error.strerror})", right) from error
-    if not LEAST_KEY <= len(found) <= MOST_KEY:
-        right = f"give {LEAST_KEY} to {MOST_KEY}, such as `openssl rand 32` makes"
+    if not MIN_KEY_BYTES <= len(found) <= MAX_KEY_BYTES:
+        right = f"give {MIN_KEY_BYTES} to {MAX_KEY_BYTES}, such as `openssl rand 32` makes"
         raise ValidationError("key", f"{path} has {len(found)} bytes", right)
     if mode & (stat.S_IRWXG | stat.S_IRWXO):
         raise ValidationError("key", f"{path} may be read by others", "let its owner alone: chmod 600")
--- a/roadpulley/fleet/place.py
+++ b/roadpulley/fleet/unix_socket.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 
-class Place:
+class SocketPath:
     def __init__(self, path: Path) -> None:
         self.path, self.inode = path, 0
 
@@ -28,7 +28,7 @@
             if self.path.stat().st_ino == self.inode:  # else another process has it by now
                 self.path.unlink()
 
-    async def datagrams(self, protocol: asyncio.DatagramProtocol) -> Datagrams:
+    async def datagrams(self, protocol: asyncio.DatagramProtocol) -> DatagramSocket:
         """Listen there. Raises OSError."""
         self.clear()
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
@@ -37,13 +37,13 @@
         self.taken()
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(lambda: protocol, sock=sock)
-        return Datagrams(self, transport, sock)
+        return DatagramSocket(self, transport, sock)
 
 
-class Datagrams:
+class DatagramSocket:
     """Sends at once or not at all; what event loops add to that is not needed on one machine."""
 
-    def __init__(self, place: Place, transport: asyncio.DatagramTransport, sock: socket.socket) -> None:
+    def __init__(self, place: SocketPath, transport: asyncio.DatagramTransport, sock: socket.socket) -> None:
         self.place, self.transport, self.sock = place, transport, sock
 
     def send(self, data: bytes, to: str) -> None:
--- a/roadpulley/fleet/verdicts/client.py
+++ b/roadpulley/fleet/verdicts/client.py
@@ -8,8 +8,8 @@
 from mintford.interface import Outcome, PeerVerdictsChanged
 from roadpulley.core.clock import now_ms
 from roadpulley.core.driver import Driver
+from roadpulley.fleet.agent_link import AgentLink
 from roadpulley.fleet.clock import Clock, from_environment
-from roadpulley.fleet.line import Line
 
 from .evidence import FAILURES, BackendObservations
 from .messages import ObservationBatch, VerdictSnapshot
@@ -22,7 +22,7 @@
     """See `core.driver.AttemptObserver`. `report_interval_s`: seconds between two reports."""
 
     def __init__(
-        self, line: Line, driver: Driver, report_interval_s: float, clock: Clock | None = None
+        self, line: AgentLink, driver: Driver, report_interval_s: float, clock: Clock | None = None
     ) -> None:
         self.line, self.driver, self.report_interval_s = line, driver, report_interval_s
         self.clock = clock or from_environment()
--- a/roadpulley/fleet/verdicts/service.py
+++ b/roadpulley/fleet/verdicts/service.py
@@ -10,10 +10,10 @@
 import structlog
 
 from roadpulley.checks import Table
-from roadpulley.fleet.beside import Beside
 from roadpulley.fleet.clock import Clock, wall_ms
 from roadpulley.fleet.duties.terms import Mono, Who
 from roadpulley.fleet.peers.service import Route
+from roadpulley.fleet.worker_socket import WorkerSocket
 
 from .messages import Body, ObservationBatch, ObservationRow, Verdict, VerdictSnapshot
 from .state_machine import HealthReportTable, VerdictSettings
@@ -50,7 +50,7 @@
         self,
         settings: VerdictSettings,
         me: Who,
-        beside: Beside,
+        beside: WorkerSocket,
         clock: Clock,
         tell: Callable[[Route, Body], None],
         everybody: Callable[[], list[Route]],
--- a/roadpulley/fleet/beside.py
+++ b/roadpulley/fleet/worker_socket.py
@@ -14,31 +14,31 @@
 
 import msgspec
 
-from .counts.terms import Add
+from .counts.messages import AddRequest
 from .orders.messages import Poll
-from .place import Datagrams, Place
 from .rights.messages import FromHolder
+from .unix_socket import DatagramSocket, SocketPath
 from .verdicts.messages import ObservationBatch
 
-MOST_HOLDERS = 1_024  # processes beside this instance; those heard least lately go
+MAX_WORKERS = 1_024  # processes beside this instance; those heard least lately go
 
-Said: TypeAlias = FromHolder | Add | Poll | ObservationBatch
-DECODER: msgspec.msgpack.Decoder[Said] = msgspec.msgpack.Decoder(Said)
+WorkerMessage: TypeAlias = FromHolder | AddRequest | Poll | ObservationBatch
+DECODER: msgspec.msgpack.Decoder[WorkerMessage] = msgspec.msgpack.Decoder(WorkerMessage)
 ENCODER = msgspec.msgpack.Encoder()
 
 
-class Beside(asyncio.DatagramProtocol):
+class WorkerSocket(asyncio.DatagramProtocol):
     """`taken` gets what a process says; `tell` answers it by its number."""
 
-    def __init__(self, path: Path, taken: Callable[[Said], None]) -> None:
+    def __init__(self, path: Path, taken: Callable[[WorkerMessage], None]) -> None:
         self.path, self.taken = path, taken
         self.holders: OrderedDict[int, str] = OrderedDict()  # by number, the path of its socket
         self.counts: Counter[str] = Counter()
-        self.socket: Datagrams | None = None
+        self.socket: DatagramSocket | None = None
 
     async def open(self) -> None:
         """Raises OSError."""
-        self.socket = await Place(self.path).datagrams(self)
+        self.socket = await SocketPath(self.path).datagrams(self)
 
     def close(self) -> None:
         if self.socket is not None:
@@ -55,7 +55,7 @@
             return
         self.holders[body.holder] = addr
         self.holders.move_to_end(body.holder)
-        if len(self.holders) > MOST_HOLDERS:
+        if len(self.holders) > MAX_WORKERS:
             self.holders.popitem(last=False)
         self.taken(body)
 
--- a/roadpulley/limits/bounds.py
+++ b/roadpulley/limits/bounds.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True)
-class Case:
+class Scenario:
     """One plan and one event. `gateways`: that a customer's requests come to; `unit`: the largest request;
     `seconds`: of the event; `parted`: gateways that it happens to; `lease`: seconds for which one lasts."""
 
@@ -58,13 +58,13 @@
     less: float
 
 
-def surge(case: Case) -> Bound:
+def bound_simultaneous_burst(case: Scenario) -> Bound:
     """Nothing fails, and all gateways are asked for everything at once after a calm time: each has read that
     all is there. Until it reads again it sends on what may stay untold, and as much while that is told."""
     return Bound((case.gateways - 1) * 2 * case.untold, 0.0)
 
 
-def silent(case: Case) -> Bound:
+def bound_silent_counter(case: Scenario) -> Bound:
     """The counter answers nobody: each spends its lease, then its even part."""
     plan, more = case.plan, case.gateways - 1
     after = case.seconds - case.leased
@@ -74,18 +74,18 @@
     )
 
 
-def parted(case: Case) -> Bound:
+def bound_partitioned_counter(case: Scenario) -> Bound:
     """The counter answers only some: the rest spend their leases, then even parts that those don't miss."""
     plan, cut = case.plan, min(case.parted, case.gateways)
     if cut == case.gateways:
-        return silent(case)
+        return bound_silent_counter(case)
     after = case.seconds - case.leased
     over = cut * (plan.burst + plan.rate * case.leased) + cut / case.gateways * plan.rate * after
     over += (case.gateways - cut - 1) * 2 * case.untold  # the others may be asked all at once: `surge`
-    return Bound(over, silent(case).less)
+    return Bound(over, bound_silent_counter(case).less)
 
 
-def emptied(case: Case) -> Bound:
+def bound_emptied_counter(case: Scenario) -> Bound:
     """The counter comes back with nothing: what the others told before is not in its totals.
 
     Right after a period's edge little was told under the new number. A total that falls by no more than
@@ -94,29 +94,29 @@
     return Bound((case.gateways - 1) * case.plan.burst + GIVEN_BACK * case.unit, case.plan.burst)
 
 
-def older(case: Case) -> Bound:
+def bound_old_copy(case: Scenario) -> Bound:
     """It comes back with an old copy. Lower numbers are as none; higher ones look as if spent elsewhere."""
-    return Bound(emptied(case).over, 2 * case.plan.burst)
+    return Bound(bound_emptied_counter(case).over, 2 * case.plan.burst)
 
 
-def late(case: Case) -> Bound:
+def bound_late_answers(case: Scenario) -> Bound:
     """It adds and answers too late: whoever asked knows no more than from a silent one, and its totals are
     right when they are heard again."""
-    return silent(case)
+    return bound_silent_counter(case)
 
 
-def higher(case: Case) -> Bound:
+def bound_higher_totals(case: Scenario) -> Bound:
     """An old copy whose numbers are higher than those of now: the difference looks spent elsewhere, until
     nothing is left of the store. Time fills it again; the next period's number is not in the copy."""
     return Bound(0.0, case.plan.burst)
 
 
-def half_lost(case: Case) -> Bound:
+def bound_half_emptied_counter(case: Scenario) -> Bound:
     """Half of its parts come back empty: of a customer whose number was there, as if all had."""
-    return emptied(case)
+    return bound_emptied_counter(case)
 
 
-def restarted(case: Case) -> Bound:
+def bound_gateway_restarts(case: Scenario) -> Bound:
     """Gateways restart while the counter answers: what they had not told is lost, and a total from before
     their start tells when nothing of it was spent: they take their even part of the burst for there. At a
     period's edge one request is let in by the first of two totals, before the other one is read."""
@@ -124,7 +124,7 @@
     return Bound(number * (case.untold + case.even_burst + case.unit), case.plan.burst)
 
 
-def restarted_alone(case: Case) -> Bound:
+def bound_restarts_without_counter(case: Scenario) -> Bound:
     """All gateways restart while the counter is away: each begins with its even part."""
     plan = case.plan
     begins = case.gateways * case.even_burst
@@ -132,33 +132,33 @@
     return Bound(begins + (case.gateways - 1) * plan.burst + case.gateways * case.untold, less)
 
 
-EVENTS: dict[str, Callable[[Case], Bound]] = {
-    "nothing fails, all at once": surge,
-    "the counter is silent": silent,
-    "the counter is cut off from some": parted,
-    "the counter comes back empty": emptied,
-    "the counter comes back as an old copy": older,
-    "the counter comes back with higher numbers": higher,
-    "half of the counter's parts come back empty": half_lost,
-    "the counter adds and answers too late": late,
-    "some gateways restart": restarted,
-    "all restart, the counter is away": restarted_alone,
+EVENTS: dict[str, Callable[[Scenario], Bound]] = {
+    "nothing fails, all at once": bound_simultaneous_burst,
+    "the counter is silent": bound_silent_counter,
+    "the counter is cut off from some": bound_partitioned_counter,
+    "the counter comes back empty": bound_emptied_counter,
+    "the counter comes back as an old copy": bound_old_copy,
+    "the counter comes back with higher numbers": bound_higher_totals,
+    "half of the counter's parts come back empty": bound_half_emptied_counter,
+    "the counter adds and answers too late": bound_late_answers,
+    "some gateways restart": bound_gateway_restarts,
+    "all restart, the counter is away": bound_restarts_without_counter,
 }
 
 
-def in_a_row(bounds: list[Bound]) -> Bound:
+def add_bounds(bounds: list[Bound]) -> Bound:
     """Of events one after the other: each can give what it gives alone, and no more."""
     return Bound(sum(b.over for b in bounds), sum(b.less for b in bounds))
 
 
-def ceiling_alone(case: Case, rights: float = 0.0) -> float:
+def compute_lone_ceiling_ratio(case: Scenario, rights: float = 0.0) -> float:
     """The part of a ceiling that one gateway can spend alone, whatever fails. Over it: never anything."""
     even = 1 / max(1, case.gateways)
     shared = share(case.plan, even, case.unit) if even < 1 and not rights else 0.0
     return (1 - shared) * even * (1 - rights)
 
 
-CHANGES: dict[str, Callable[[Case], Case]] = {
+CHANGES: dict[str, Callable[[Scenario], Scenario]] = {
     "burst a tenth lower": lambda c: replace(c, plan=replace(c.plan, burst=0.9 * c.plan.burst)),
     "rate a tenth lower": lambda c: replace(c, plan=replace(c.plan, rate=0.9 * c.plan.rate)),
     "one gateway fewer": lambda c: replace(c, gateways=max(1, c.gateways - 1)),
@@ -167,7 +167,7 @@
 }
 
 
-def sensitivity(event: Callable[[Case], Bound], case: Case) -> dict[str, float]:
+def compute_sensitivity(event: Callable[[Scenario], Bound], case: Scenario) -> dict[str, float]:
     """By how much of itself each change moves what can be over; the lease is the module's own constant."""
     whole = event(case).over
     return {
--- a/roadpulley/operations/life.py
+++ b/roadpulley/operations/life.py
@@ -11,7 +11,7 @@
 from mintford import interface as api
 from roadpulley.core.clock import Timers, now_ms
 from roadpulley.core.driver import Driver
-from roadpulley.edges.clients import ClientServer
+from roadpulley.edges.resp_server import RespServer
 
 from .calls import Call, error, figures, ok
 from .lifecycle import Event, Lifecycle, Stance, State
@@ -24,7 +24,7 @@
 class Life:
     """One process: its lifecycle beside what that speaks for."""
 
-    def __init__(self, machine: Lifecycle, timers: Timers, driver: Driver, server: ClientServer) -> None:
+    def __init__(self, machine: Lifecycle, timers: Timers, driver: Driver, server: RespServer) -> None:
         self.machine, self.timers, self.driver, self.server = machine, timers, driver, server
         self.left = asyncio.Event()  # nothing more is accepted, for good
         self.ended = asyncio.Event()
--- a/roadpulley/testbed/fleet.py
+++ b/roadpulley/testbed/fleet.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from types import TracebackType
 
-from roadpulley.fleet.clock import OFFSET, RATE
+from roadpulley.fleet.clock import CLOCK_RATE_VARIABLE, WALL_OFFSET_VARIABLE
 from roadpulley.fleet.duties.probe import PAUSE
 from roadpulley.fleet.rights.messages import Limit
 
@@ -216,8 +216,8 @@
 
     async def _spawn(self, member: Member) -> asyncio.subprocess.Process:
         parent = os.getpid()
-        env = {**os.environ, "ROADPULLEY_LOG": "debug", RATE: str(member.rate)}
-        env |= {OFFSET: str(member.offset_ms), SECONDS: str(self.plan.lease * STALL_LEASES)}
+        env = {**os.environ, "ROADPULLEY_LOG": "debug", CLOCK_RATE_VARIABLE: str(member.rate)}
+        env |= {WALL_OFFSET_VARIABLE: str(member.offset_ms), SECONDS: str(self.plan.lease * STALL_LEASES)}
         env[PAUSE] = str(self.plan.pause)
         command = ["-m", "roadpulley.testbed.stalling", "fleet", "--settings", str(member.settings), "agent"]
         with member.log.open("ab") as log:
@@ -243,7 +243,7 @@
 
     async def spend_again(self, spender: Spender) -> None:
         parent, load = os.getpid(), spender.load
-        env = {**os.environ, RATE: str(spender.rate)}
+        env = {**os.environ, CLOCK_RATE_VARIABLE: str(spender.rate)}
         words = (spender.settings, load.limit, load.rate, load.units, load.within, self.rng.randrange(2**32))
         with spender.log.open("ab") as log:
             before = spender.log.read_bytes().count(READY)
--- a/roadpulley/testbed/members_world.py
+++ b/roadpulley/testbed/members_world.py
@@ -9,8 +9,8 @@
 from functools import partial
 
 from roadpulley.fleet.duties.terms import Who
-from roadpulley.fleet.members.machine import Members, Tell
-from roadpulley.fleet.members.terms import State, Times
+from roadpulley.fleet.members.messages import MemberState, SwimParameters
+from roadpulley.fleet.members.state_machine import Membership, OutboundMessage
 from roadpulley.fleet.peers.envelope import Codec
 
 KEY = b"k" * 32  # so that bytes are counted as they are sent
@@ -36,27 +36,27 @@
         count: int,
         seed: int,
         loss: float = 0.0,
-        times: Times | None = None,
+        times: SwimParameters | None = None,
         cut: Callable[[float, str, str], bool] = lambda now, a, b: False,
     ) -> None:
         self.rng, self.loss, self.cut, self.now = random.Random(seed), loss, cut, 0.0
         self.names = [f"m{n:03}" for n in range(count)]
         self.boots = dict.fromkeys(self.names, 1)
-        self.times = times or Times()
+        self.times = times or SwimParameters()
         self.machines = {name: self._made(name) for name in self.names}
         self.codec = Codec("world", "m000", 1, KEY)
         self.dead: set[str] = set()
         self.stopped: dict[str, float] = {}  # until when
-        self.unread: dict[str, list[tuple[Tell, str, Who]]] = {}  # of those that are stopped
+        self.unread: dict[str, list[tuple[OutboundMessage, str, Who]]] = {}  # of those that are stopped
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.count, self.seen = 0, Seen()
         self.wrong: dict[tuple[str, str], float] = {}
         for name in self.names:
             self.at(self.rng.random() * self.times.period, partial(self._tick, name))
 
-    def _made(self, name: str) -> Members:
+    def _made(self, name: str) -> Membership:
         seeds = [n for n in self.names[:3] if n != name]
-        return Members(
+        return Membership(
             Who(name, self.boots[name]), name, 1, {}, seeds, self.times, random.Random(self.rng.random())
         )
 
@@ -102,7 +102,7 @@
         if again:
             self.at(max(self.now + 0.0005, machine.next_at()), lambda: self._tick(name))
 
-    def _send(self, name: str, tells: list[Tell]) -> None:
+    def _send(self, name: str, tells: list[OutboundMessage]) -> None:
         for tell in tells:
             self.seen.datagrams += 1
             self.seen.bytes += sum(map(len, self.codec.pack(1, [self.codec.body(tell.body)])))
@@ -112,7 +112,7 @@
             who = self.machines[name].me
             self.at(self.now + delay, partial(self._arrive, tell, name, who))
 
-    def _arrive(self, tell: Tell, source: str, who: Who) -> None:
+    def _arrive(self, tell: OutboundMessage, source: str, who: Who) -> None:
         target = tell.address
         if target in self.dead or target not in self.machines:
             return
@@ -121,7 +121,7 @@
             return
         self._heard(target, tell, source, who)
 
-    def _heard(self, target: str, tell: Tell, source: str, who: Who) -> None:
+    def _heard(self, target: str, tell: OutboundMessage, source: str, who: Who) -> None:
         self._send(target, self.machines[target].heard(self.now, who, source, tell.body))
         self._look(target)
 
@@ -130,12 +130,12 @@
         machine = self.machines[name]
         for who, state in machine.news:
             key = (name, who.name)
-            if state is State.DEAD and who.name in self.dead:
+            if state is MemberState.DEAD and who.name in self.dead:
                 self.seen.deaths.setdefault(key, self.now)
-            elif state is State.DEAD:
+            elif state is MemberState.DEAD:
                 self.seen.false.append((self.now, name, who.name))
                 self.wrong[key] = self.now
-            elif state is State.ALIVE and key in self.wrong:
+            elif state is MemberState.ALIVE and key in self.wrong:
                 self.seen.wrong_s += self.now - self.wrong.pop(key)
         machine.news.clear()
 
--- a/roadpulley/testbed/quota_plays.py
+++ b/roadpulley/testbed/quota_plays.py
@@ -13,7 +13,7 @@
 
 from mintford import Gateway
 from mintford import interface as api
-from roadpulley.limits.bounds import Case
+from roadpulley.limits.bounds import Scenario
 
 from .limits import Holds, Spent, Use, use
 
@@ -37,7 +37,7 @@
 
 
 class Site:
-    def __init__(self, case: Case, start: float = START_MS) -> None:
+    def __init__(self, case: Scenario, start: float = START_MS) -> None:
         self.case, self.now, self.serial = case, start, count()
         self.counter = Counter()
         self.away: set[int] = set()  # gateways that the counter does not answer
@@ -229,7 +229,7 @@
         site.counter.totals[name] += site.case.plan.burst
 
 
-def less(case: Case, event: Callable[[Site], None] = away, start: float = START_MS) -> float:
+def less(case: Scenario, event: Callable[[Site], None] = away, start: float = START_MS) -> float:
     """Units of its due that a customer is refused in an event and one gateway gets it all."""
     site = Site(case, start)
     site.calm()
@@ -240,7 +240,7 @@
     return due - case.unit * (len(site.spends) - before)
 
 
-def over(event: str, case: Case, start: float = START_MS) -> float:
+def over(event: str, case: Scenario, start: float = START_MS) -> float:
     """Units beyond one exact store. `start`: of the clock that periods go by, in ms."""
     site = Site(case, start)
     PLAYS[event](site)
--- a/roadpulley/testbed/spender.py
+++ b/roadpulley/testbed/spender.py
@@ -19,7 +19,7 @@
 
 import uvloop
 
-from roadpulley.fleet.line import Line
+from roadpulley.fleet.agent_link import AgentLink
 from roadpulley.fleet.rights.client import RightsClient
 
 LONGEST_GAP_S = 5.0
@@ -31,24 +31,24 @@
         self.purses, self.limit, self.units, self.within = purses, limit, units, within
 
     def wish(self) -> None:
-        began = self.purses.clock.true()
+        began = self.purses.clock.unscaled_now()
         plan, _, customer = self.limit.partition("/")
         self.purses.wish(plan, customer, self.units, self.within, partial(self.done, began))
 
     def hold(self) -> None:
         """Have so much given out, and keep it until it is given up or a wish comes."""
         if self.purses.take(self.limit, self.units):
-            self.done(self.purses.clock.true(), True)  # it was there already
+            self.done(self.purses.clock.unscaled_now(), True)  # it was there already
 
     def done(self, began: float, paid: bool) -> None:
         clock = self.purses.clock
-        at = self.purses.paid_at / clock.rate if paid else clock.true()
-        line = f"{at:.6f} {self.limit} {self.units:g} {int(paid)} {clock.true() - began:.6f}\n"
+        at = self.purses.paid_at / clock.rate if paid else clock.unscaled_now()
+        line = f"{at:.6f} {self.limit} {self.units:g} {int(paid)} {clock.unscaled_now() - began:.6f}\n"
         os.write(sys.stdout.fileno(), line.encode())  # one call: a kill leaves whole lines
 
 
 async def run(socket: Path, limit: str, rate: float, units: float, within: float, seed: int) -> None:
-    rng, line = random.Random(seed), Line(socket)
+    rng, line = random.Random(seed), AgentLink(socket)
     purses = RightsClient(line)
     await line.open()
     spending = Spending(purses, limit, units, within)
--- a/roadpulley/workers/worker.py
+++ b/roadpulley/workers/worker.py
@@ -26,7 +26,7 @@
 from roadpulley.core.settings import Config, ConfigError, parse_config
 
 if TYPE_CHECKING:
-    from roadpulley.fleet.line import Line
+    from roadpulley.fleet.agent_link import AgentLink
     from roadpulley.usage.meter import Meter, Versions
 
 
@@ -118,11 +118,11 @@
     return meter
 
 
-async def beside(socket: str) -> Line:
+async def beside(socket: str) -> AgentLink:
     """The way to the instance of the fleet on this machine. Raises ConfigError."""
-    from roadpulley.fleet.line import Line
+    from roadpulley.fleet.agent_link import AgentLink
 
-    found = Line(Path(socket))
+    found = AgentLink(Path(socket))
     try:
         await found.open()
     except OSError as error:
@@ -130,7 +130,7 @@
     return found
 
 
-def use_fleet(line: Line, driver: Driver) -> None:
+def use_fleet(line: AgentLink, driver: Driver) -> None:
     """Spend rights of its limits, and count with it, as the supervisor said."""
     if told := os.environ.get(RIGHTS_TOLD):
         from roadpulley.fleet.orders.client import LimitSpender
@@ -146,12 +146,12 @@
     if terms := os.environ.get(ORDERS):
         follow_orders(line, driver, json.loads(terms))
     if os.environ.get(COUNTS):
-        from roadpulley.fleet.counts.client import PeerCounter
+        from roadpulley.fleet.counts.client import ReplicatedCounter
 
-        driver.counter = PeerCounter(line, driver.timers, driver.settings.count_wait)
+        driver.counter = ReplicatedCounter(line, driver.timers, driver.settings.count_wait)
 
 
-def follow_orders(line: Line, driver: Driver, terms: dict[str, Any]) -> None:
+def follow_orders(line: AgentLink, driver: Driver, terms: dict[str, Any]) -> None:
     from roadpulley.fleet.orders.client import LimitSpender, OrderClient, to_orders_changed
     from roadpulley.fleet.orders.follower import FollowerSettings
     from roadpulley.fleet.orders.messages import Order
--- a/setup.py
+++ b/setup.py
@@ -31,10 +31,10 @@
     "roadpulley/core/freshness.py",
     "roadpulley/core/outcomes.py",
     "roadpulley/core/resp.py",
-    "roadpulley/edges/clients.py",
+    "roadpulley/edges/resp_server.py",
     "roadpulley/edges/connection.py",
     "roadpulley/edges/slots.py",
-    "roadpulley/edges/terms.py",
+    "roadpulley/edges/request_parser.py",
 )
 
 
--- a/tests/cli/test_serve.py
+++ b/tests/cli/test_serve.py
@@ -8,7 +8,7 @@
 from roadpulley.cli import main
 from roadpulley.cli.serve import workers
 from roadpulley.core.settings import ConfigError, parse_config
-from roadpulley.edges.terms import Terms
+from roadpulley.edges.request_parser import RequestParser
 from roadpulley.testbed import terms
 
 RAW = {
@@ -52,7 +52,7 @@
 def test_each_worker_is_a_gateway_of_its_own_and_sets_of_gateways_are_sets_of_workers() -> None:
     places = [parse_config({**RAW, "workers": 4, "worker": worker}).settings for worker in range(4)]
     assert [(s.index, s.gateways) for s in places] == [(4, 12), (5, 12), (6, 12), (7, 12)]
-    of = Terms(places[0], workers=4)
+    of = RequestParser(places[0], workers=4)
     listed = b"c=tile-view,t=basic,d=480,units=1,spread=2,first=1"
     asked = of.parse([b"API.READ", b"00000000b4d65521", b"r1", listed])
     assert (asked.spread, asked.first) == (8, 4)
--- a/tests/core/test_driver.py
+++ b/tests/core/test_driver.py
@@ -14,10 +14,10 @@
 from roadpulley.core.backends import Backends
 from roadpulley.core.clock import Timers, now_ms
 from roadpulley.core.driver import FAILED, Driver
-from roadpulley.edges.clients import ClientServer
 from roadpulley.edges.connection import ClientConnection
+from roadpulley.edges.request_parser import RequestParser
+from roadpulley.edges.resp_server import RespServer
 from roadpulley.edges.slots import Slot
-from roadpulley.edges.terms import Terms
 
 pytestmark = pytest.mark.patches_inside  # a module of its own
 
@@ -50,8 +50,8 @@
         self.driver = Driver(terms, 1, timers, self.backends, None, max_open)
         self.module = Module()
         self.driver.gateway = self.module  # type: ignore[assignment]
-        self.terms = Terms(self.driver.settings)
-        server = ClientServer(loop, timers, self.driver, self.terms, 10, 1_000_000)
+        self.terms = RequestParser(self.driver.settings)
+        server = RespServer(loop, timers, self.driver, self.terms, 10, 1_000_000)
         self.near, self.far = socket.socketpair()
         self.connection = ClientConnection(server, self.near)
 
--- a/tests/edges/test_gone.py
+++ b/tests/edges/test_client_disconnects.py
@@ -19,9 +19,9 @@
 from roadpulley.core import driver as driver_module
 from roadpulley.core.backends import REST_MS
 from roadpulley.core.driver import Driver
-from roadpulley.edges import clients, connection
-from roadpulley.edges.clients import ClientServer
+from roadpulley.edges import connection, resp_server
 from roadpulley.edges.connection import ClientConnection
+from roadpulley.edges.resp_server import RespServer
 from roadpulley.testbed.counter import Counter
 
 SERVED = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
@@ -44,7 +44,7 @@
 
 
 class Scene:
-    def __init__(self, world: World, server: ClientServer, driver: Driver) -> None:
+    def __init__(self, world: World, server: RespServer, driver: Driver) -> None:
         self.world, self.server, self.driver = world, server, driver
 
     async def one(self) -> ClientConnection:
@@ -108,7 +108,7 @@
         one = await scene.one()
         await until(lambda: scene.driver.requests)
         assert not scene.driver.attempts
-        one.held = connection.MOST_HELD + 1
+        one.held = connection.MAX_PENDING_COMMAND_BYTES + 1
         one._throttle()
         client.leave(how)
         await until(scene.nothing_is_held)
@@ -130,7 +130,9 @@
     async def scenario(scene: Scene) -> None:
         client = Leaver(scene.world.port)
         if stuck == "pipelined":
-            client.write(b"".join(encode(*request(b"%d" % n)) for n in range(2 * connection.MOST_WAITING)))
+            client.write(
+                b"".join(encode(*request(b"%d" % n)) for n in range(2 * connection.MAX_PENDING_COMMANDS))
+            )
         else:
             client.write(b"".join(keyed(b"%d" % n, b"x" * 60_000) for n in range(4)))
         one = await scene.one()
@@ -191,11 +193,11 @@
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Nothing is read, nothing answered: only the sweep asks the kernel."""
-    monkeypatch.setattr(clients, "SWEEP_MS", 10.0)
+    monkeypatch.setattr(resp_server, "SWEEP_INTERVAL_MS", 10.0)
 
     async def scenario(scene: Scene) -> None:
         client = Leaver(scene.world.port)
-        count = 2 * connection.MOST_WAITING
+        count = 2 * connection.MAX_PENDING_COMMANDS
         client.write(b"".join(encode(*request(b"%d" % n)) for n in range(count)))
         one = await scene.one()
         await until(lambda: one.slots and not one.reading)
@@ -209,7 +211,7 @@
 def test_the_wish_for_room_of_a_client_that_left_goes_with_it(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(clients, "SWEEP_MS", 10.0)
+    monkeypatch.setattr(resp_server, "SWEEP_INTERVAL_MS", 10.0)
 
     async def scenario(scene: Scene) -> None:
         scene.server.bodies.held = scene.server.bodies.most  # by others
--- a/tests/edges/test_closes.py
+++ b/tests/edges/test_connection_close.py
@@ -14,8 +14,8 @@
 from loopback import LOCAL, Backend, Reply, World, encode, in_loop, request, running, server_seen, until
 
 from roadpulley.core.clock import now_ms
-from roadpulley.edges import clients, connection
-from roadpulley.edges.clients import ClientServer
+from roadpulley.edges import connection, resp_server
+from roadpulley.edges.resp_server import RespServer
 
 SERVED = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 VALUE, BUSY = b"$5\r\nvalue\r\n", b"-BUSY 500\r\n"
@@ -54,7 +54,7 @@
 
 
 def played(
-    scenario: Callable[[World, ClientServer], Awaitable[None]], backend: Backend | None = None, **limits: int
+    scenario: Callable[[World, RespServer], Awaitable[None]], backend: Backend | None = None, **limits: int
 ) -> None:
     async def run() -> None:
         with server_seen() as seen:
@@ -81,7 +81,7 @@
 def test_all_that_wait_at_a_closing_listener_are_taken_and_answered() -> None:
     """A listener that closes resets its backlog; 32 of it were taken before."""
 
-    async def scenario(world: World, server: ClientServer) -> None:
+    async def scenario(world: World, server: RespServer) -> None:
         waiting = [Raw(world.port) for _ in range(100)]
         for number, client in enumerate(waiting):
             client.write(encode(*request(b"%d" % number)))
@@ -94,7 +94,7 @@
 
 
 def test_the_backlog_is_taken_in_though_all_places_are_held_by_clients_at_rest() -> None:
-    async def scenario(world: World, server: ClientServer) -> None:
+    async def scenario(world: World, server: RespServer) -> None:
         server.most = 8
         resting = [Raw(world.port) for _ in range(8)]
         for client in resting:
@@ -121,9 +121,9 @@
 def test_an_answer_arrives_though_much_is_unread_behind_the_last_command(said: bytes, answer: bytes) -> None:
     """Closed over it, the connection is reset, and the answer may be lost with what is still on its way."""
 
-    async def scenario(world: World, server: ClientServer) -> None:
+    async def scenario(world: World, server: RespServer) -> None:
         client = Raw(world.port)
-        client.write(said + b"x" * (2 * clients.READ_BYTES))
+        client.write(said + b"x" * (2 * resp_server.READ_BUFFER_BYTES))
         assert await client.rest() == answer
         assert not client.reset
 
@@ -133,7 +133,7 @@
 def test_what_comes_as_the_last_answer_of_a_drain_is_written_is_answered_too() -> None:
     held = Held()
 
-    async def scenario(world: World, server: ClientServer) -> None:
+    async def scenario(world: World, server: RespServer) -> None:
         client = Raw(world.port)
         client.write(encode(*request(b"first")))
         await until(lambda: world.backends[0].got)
@@ -151,7 +151,7 @@
 def test_the_end_of_a_drain_goes_out_with_the_last_answer() -> None:
     """A turn later its client has taken the connection for free, and sent its next request on it."""
 
-    async def scenario(world: World, server: ClientServer) -> None:
+    async def scenario(world: World, server: RespServer) -> None:
         client = Raw(world.port)
         client.write(encode(*request(b"last")))
         await until(lambda: world.backends[0].got)
@@ -165,7 +165,7 @@
 
 
 def test_what_comes_after_the_end_was_told_is_never_sent_on_and_resets_nothing() -> None:
-    async def scenario(world: World, server: ClientServer) -> None:
+    async def scenario(world: World, server: RespServer) -> None:
         client = Raw(world.port)
         client.write(encode(*request(b"first")))
         assert await client.take(len(VALUE)) == VALUE
@@ -180,10 +180,10 @@
 
 
 def test_an_idle_connection_ends_without_a_reset(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection, "IDLE_MS", 50.0)
-    monkeypatch.setattr(clients, "SWEEP_MS", 10.0)
+    monkeypatch.setattr(connection, "IDLE_TIMEOUT_MS", 50.0)
+    monkeypatch.setattr(resp_server, "SWEEP_INTERVAL_MS", 10.0)
 
-    async def scenario(world: World, server: ClientServer) -> None:
+    async def scenario(world: World, server: RespServer) -> None:
         client = Raw(world.port)
         client.write(encode(b"PING"))
         assert await client.rest() == b"+PONG\r\n" and not client.reset
@@ -208,10 +208,10 @@
 def test_what_is_told_at_the_time_of_a_command(
     before: bytes, unread: bytes, answer: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(connection, "WHOLE_MS", 50.0)
-    monkeypatch.setattr(clients, "SWEEP_MS", 60_000.0)  # the check is the test's
+    monkeypatch.setattr(connection, "COMMAND_TIMEOUT_MS", 50.0)
+    monkeypatch.setattr(resp_server, "SWEEP_INTERVAL_MS", 60_000.0)  # the check is the test's
 
-    async def scenario(world: World, server: ClientServer) -> None:
+    async def scenario(world: World, server: RespServer) -> None:
         client = Raw(world.port)
         client.write(before)
         await until(lambda: [c for c in server.connections if bool(c.reader.held) == bool(before)])
@@ -231,10 +231,10 @@
 
 
 def test_a_client_that_never_closes_is_closed_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection, "LINGER_MS", 50.0)
-    monkeypatch.setattr(clients, "SWEEP_MS", 10.0)
+    monkeypatch.setattr(connection, "LINGER_TIMEOUT_MS", 50.0)
+    monkeypatch.setattr(resp_server, "SWEEP_INTERVAL_MS", 10.0)
 
-    async def scenario(world: World, server: ClientServer) -> None:
+    async def scenario(world: World, server: RespServer) -> None:
         client = Raw(world.port)
         client.write(encode(b"QUIT"))
         assert await client.rest() == b"+OK\r\n"
@@ -245,7 +245,7 @@
 
 
 def test_a_client_that_floods_after_the_end_is_closed_by_its_bytes() -> None:
-    async def scenario(world: World, server: ClientServer) -> None:
+    async def scenario(world: World, server: RespServer) -> None:
         client = Raw(world.port)
         client.write(encode(b"QUIT"))
         assert await client.rest() == b"+OK\r\n"
@@ -253,26 +253,26 @@
         def flood() -> int:
             sent = 0
             try:
-                while sent < 64 * connection.LINGER_BYTES:
+                while sent < 64 * connection.MAX_LINGER_BYTES:
                     sent += client.socket.send(b"x" * 65536)
             except OSError:
                 pass
             return sent
 
-        assert await asyncio.to_thread(flood) < 64 * connection.LINGER_BYTES
+        assert await asyncio.to_thread(flood) < 64 * connection.MAX_LINGER_BYTES
         assert not server.connections
 
     played(scenario)
 
 
 def test_those_that_linger_are_few_and_make_room_first() -> None:
-    async def scenario(world: World, server: ClientServer) -> None:
+    async def scenario(world: World, server: RespServer) -> None:
         server.most = 8
         ended = [Raw(world.port) for _ in range(8)]
         for client in ended:
             client.write(encode(b"QUIT"))
         assert await asyncio.gather(*(client.rest() for client in ended)) == [b"+OK\r\n"] * 8
-        assert len(server.lingering) == 8 // clients.LINGER_PART
+        assert len(server.lingering) == 8 // resp_server.MAX_LINGERING_DIVISOR
         server.most = len(server.connections)
         client = Raw(world.port)
         client.write(encode(*request()))
@@ -293,18 +293,18 @@
 ) -> None:
     """Answers given at the end make room for further commands, which nobody answered before."""
     monkeypatch.setattr("roadpulley.__main__.drain_times", lambda settings: (0.05, 0.15))
-    count = 3 * connection.MOST_WAITING
+    count = 3 * connection.MAX_PENDING_COMMANDS
 
-    async def scenario(world: World, server: ClientServer) -> None:
+    async def scenario(world: World, server: RespServer) -> None:
         client = Raw(world.port)
         client.write(b"".join(encode(*request(b"%d" % n)) for n in range(count)))
-        await until(lambda: any(len(c.slots) == connection.MOST_WAITING for c in server.connections))
+        await until(lambda: any(len(c.slots) == connection.MAX_PENDING_COMMANDS for c in server.connections))
         world.stop.set()
         answers = (await client.rest()).splitlines()
         assert not client.reset
         assert len(answers) == count and {answer[:5] for answer in answers} <= {b"-ERR ", b"-BUSY"}
         # What was taken at the end went nowhere.
-        assert {int(got[2]) for got in world.backends[0].got} <= set(range(connection.MOST_WAITING))
+        assert {int(got[2]) for got in world.backends[0].got} <= set(range(connection.MAX_PENDING_COMMANDS))
 
     played(scenario, Backend(silent))
 
@@ -314,7 +314,7 @@
 ) -> None:
     monkeypatch.setattr("roadpulley.__main__.drain_times", lambda settings: (0.05, 0.15))
 
-    async def scenario(world: World, server: ClientServer) -> None:
+    async def scenario(world: World, server: RespServer) -> None:
         client = Raw(world.port)
         whole = encode(*request(b"whole"))
         client.write(whole + encode(*request(b"half"))[:30])
@@ -331,7 +331,7 @@
     """Also where the end comes while the body waits for that room."""
     length = 100_000
 
-    async def scenario(world: World, server: ClientServer) -> None:
+    async def scenario(world: World, server: RespServer) -> None:
         taken = 0 if granted else server.bodies.most
         server.bodies.held = taken  # by others
         client = Raw(world.port)
--- a/tests/edges/test_fast_paths.py
+++ b/tests/edges/test_fast_paths.py
@@ -12,8 +12,8 @@
 from mintford.reading import read_settings
 from roadpulley.core import resp
 from roadpulley.core.resp import CommandReader, Malformed
-from roadpulley.edges import terms as module
-from roadpulley.edges.terms import Terms
+from roadpulley.edges import request_parser as module
+from roadpulley.edges.request_parser import RequestParser
 
 WORD = st.sampled_from([b"view", b"keyed", b"wipe", b"free", b"basic", b"", b"x", b"view,", b"a=b", b"\xff"])
 NUMBER = st.sampled_from([b"1", b"0", b"2", b"480", b"1.0", b"-1", b"9999999", b"1e3", b"", b" 1", b"00"])
@@ -33,7 +33,7 @@
     return b",".join(parts)
 
 
-def outcome(terms: Terms, args: list[bytes]) -> Any:
+def outcome(terms: RequestParser, args: list[bytes]) -> Any:
     try:
         return terms.parse(args)
     except ValueError as error:
@@ -53,22 +53,22 @@
 def test_attributes_seen_before_are_judged_as_the_first_time(
     listed: bytes, verb: bytes, customer: bytes, request: bytes
 ) -> None:
-    terms = Terms(read_settings(SETTINGS))
+    terms = RequestParser(read_settings(SETTINGS))
     args = [verb, customer, request, listed]
-    with mock.patch.object(module, "PLAIN", mock.Mock(fullmatch=lambda listed: None)):
+    with mock.patch.object(module, "ATTRIBUTES_PATTERN", mock.Mock(fullmatch=lambda listed: None)):
         long = outcome(terms, args)
     assert not terms.right
     assert outcome(terms, args) == long == outcome(terms, args)
 
 
 def test_what_was_right_once_takes_the_short_way_and_is_bounded() -> None:
-    terms = Terms(read_settings(SETTINGS))
+    terms = RequestParser(read_settings(SETTINGS))
     args = [b"API.READ", b"00000000b4d65521", b"r1", GOOD]
     terms.parse(args)
     assert len(terms.right) == 1
-    with mock.patch.object(module, "decimal", side_effect=AssertionError("the long way")):
+    with mock.patch.object(module, "parse_decimal", side_effect=AssertionError("the long way")):
         assert terms.parse(args).wait == 480.0
-    with mock.patch.object(module, "MOST_TERMS", 1):
+    with mock.patch.object(module, "MAX_CACHED_ATTRIBUTES", 1):
         terms.parse([b"API.READ", b"00000000b4d65521", b"r1", GOOD.replace(b"free", b"basic")])
     assert len(terms.right) == 1
 
--- a/tests/edges/test_long_bodies.py
+++ b/tests/edges/test_long_bodies.py
@@ -8,8 +8,8 @@
 from loopback import Backend, Reply, World, in_loop, request, running, server_seen
 
 from roadpulley.core.resp import LARGEST_BODY, LARGEST_VALUE, CommandReader, Malformed
-from roadpulley.edges import clients, connection
-from roadpulley.edges.clients import ClientServer
+from roadpulley.edges import connection, resp_server
+from roadpulley.edges.resp_server import RespServer
 
 MIB = 1024 * 1024
 SERVED: bytes = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
@@ -62,7 +62,7 @@
             async with running(World(Backend(), memory_mb=32)) as world:
                 await played(world, *servers, body)
 
-    async def played(world: World, server: ClientServer, body: bytes) -> None:
+    async def played(world: World, server: RespServer, body: bytes) -> None:
         most = 0
         assert server.bodies.most < 2 * len(body)
 
@@ -84,8 +84,8 @@
 
 @pytest.mark.parametrize("then", ["stalls", "leaves"])
 def test_one_that_does_not_go_on_gives_its_room_back(monkeypatch: pytest.MonkeyPatch, then: str) -> None:
-    monkeypatch.setattr(connection, "WHOLE_MS", 100.0)
-    monkeypatch.setattr(clients, "SWEEP_MS", 20.0)
+    monkeypatch.setattr(connection, "COMMAND_TIMEOUT_MS", 100.0)
+    monkeypatch.setattr(resp_server, "SWEEP_INTERVAL_MS", 20.0)
 
     async def scenario() -> None:
         body = body_of(3 * MIB)
@@ -106,8 +106,8 @@
 
 def test_a_value_in_many_pieces_over_time_is_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
     """What is bounded is the silence between its pieces, not the time for all of it."""
-    monkeypatch.setattr(connection, "WHOLE_MS", 200.0)
-    monkeypatch.setattr(clients, "SWEEP_MS", 20.0)
+    monkeypatch.setattr(connection, "COMMAND_TIMEOUT_MS", 200.0)
+    monkeypatch.setattr(resp_server, "SWEEP_INTERVAL_MS", 20.0)
 
     async def scenario() -> None:
         whole = written(b"1", body_of(100_000))
--- a/tests/edges/test_long_values.py
+++ b/tests/edges/test_long_values.py
@@ -13,7 +13,7 @@
 from roadpulley.core.clock import now_ms
 from roadpulley.core.connection import LOOK_MS
 from roadpulley.core.resp import BEGUN_BYTES, LARGEST_ANSWER, LONG_ANSWER, LongValue, Malformed, long_value
-from roadpulley.edges.clients import ClientServer
+from roadpulley.edges.resp_server import RespServer
 from roadpulley.testbed.server import Server
 
 MIB = 1024 * 1024
@@ -236,7 +236,7 @@
             async with running(world(script, memory_mb=32)) as w:
                 await stand_still(w, *servers)
 
-    async def stand_still(w: World, server: ClientServer) -> None:
+    async def stand_still(w: World, server: RespServer) -> None:
         slow: list[socket.socket] = []
         loop = asyncio.get_running_loop()
         for number in range(60):
--- a/tests/edges/test_clients.py
+++ b/tests/edges/test_resp_server.py
@@ -11,8 +11,8 @@
 from loopback import Backend, Peer, Reply, World, encode, in_loop, request, running, server_seen, until
 
 from roadpulley.core.clock import now_ms
-from roadpulley.edges import clients, connection
-from roadpulley.edges.connection import LAST, MOST_UNREAD, MOST_WAITING
+from roadpulley.edges import connection, resp_server
+from roadpulley.edges.connection import FLUSHING, MAX_PENDING_COMMANDS, MAX_UNSENT_BYTES
 
 
 def array(value: bytes) -> bytes:
@@ -202,7 +202,7 @@
                     written += 1
                     await asyncio.sleep(0)
                 held = len(connection.unsent) + sum(len(slot.reply or b"") for slot in connection.slots)
-                assert held <= MOST_UNREAD + 2 * 66_000
+                assert held <= MAX_UNSENT_BYTES + 2 * 66_000
                 for _ in range(written):  # once it reads, it gets all of them
                     assert await peer.receive() == b"x" * 65536
 
@@ -234,8 +234,8 @@
 
 
 def test_a_client_that_never_reads_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connection, "SLOW_MS", 50.0)
-    monkeypatch.setattr(clients, "SWEEP_MS", 10.0)
+    monkeypatch.setattr(connection, "WRITE_STALL_TIMEOUT_MS", 50.0)
+    monkeypatch.setattr(resp_server, "SWEEP_INTERVAL_MS", 10.0)
 
     async def scenario() -> None:
         with server_seen() as seen:
@@ -261,8 +261,8 @@
 )
 def test_what_is_not_whole_in_time_is_closed(monkeypatch: pytest.MonkeyPatch, said: bytes) -> None:
     """Half a command would hold a descriptor for ever."""
-    monkeypatch.setattr(connection, "WHOLE_MS", 500.0)
-    monkeypatch.setattr(clients, "SWEEP_MS", 10.0)
+    monkeypatch.setattr(connection, "COMMAND_TIMEOUT_MS", 500.0)
+    monkeypatch.setattr(resp_server, "SWEEP_INTERVAL_MS", 10.0)
 
     async def scenario() -> None:
         async with running(World(Backend())) as world:
@@ -363,7 +363,7 @@
         backend = Backend(script)
         async with running(World(backend)) as world:
             peer = await world.client()
-            count = MOST_WAITING * 2
+            count = MAX_PENDING_COMMANDS * 2
             ids = [b"%04d" % n for n in range(count)]
             peer.writer.write(b"".join(encode(*request(id)) for id in ids))
             await until(lambda: backend.got)
@@ -377,7 +377,7 @@
 
 
 def test_at_the_bound_an_unused_connection_makes_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(clients, "SPARE_MS", 0.0)
+    monkeypatch.setattr(resp_server, "MIN_EVICTABLE_IDLE_MS", 0.0)
 
     async def scenario() -> None:
         async with running(World(Backend(), sockets=6)) as world:
@@ -450,8 +450,8 @@
                 (connection,) = seen[0].connections
                 peer.writer.write(encode(*request()) + b"?what\r\n" + b"x" * 10_000_000)
                 await until(lambda: backend.got)
-                assert connection.state == LAST and not connection.reading
-                assert connection.reader.held <= clients.READ_BYTES
+                assert connection.state == FLUSHING and not connection.reading
+                assert connection.reader.held <= resp_server.READ_BUFFER_BYTES
                 go_on.set()
                 assert await peer.receive() == b"value"
                 assert failed(await peer.receive())
--- a/tests/fleet/test_counts.py
+++ b/tests/fleet/test_counters.py
@@ -10,22 +10,30 @@
 from hypothesis import strategies as st
 
 from roadpulley.checks import Table, ValidationError
-from roadpulley.fleet.counts.machine import Counts
-from roadpulley.fleet.counts.service import read_counts
-from roadpulley.fleet.counts.terms import PAGE, Add, Body, Part, Parts
+from roadpulley.fleet.counts.messages import (
+    MAX_PARTS_PER_BATCH,
+    AddRequest,
+    CounterPart,
+    PartBatch,
+    ReplicaMessage,
+)
+from roadpulley.fleet.counts.service import read_replication_settings
+from roadpulley.fleet.counts.state_machine import ReplicatedCounters
 from roadpulley.fleet.duties.terms import Who
 
 KEEP_MS = 60_000
 
 
-def machine(name: str = "a", boot: int = 1, kind: type[Counts] = Counts) -> Counts:
+def machine(
+    name: str = "a", boot: int = 1, kind: type[ReplicatedCounters] = ReplicatedCounters
+) -> ReplicatedCounters:
     return kind(Who(name, boot))
 
 
 def added(
-    counts: Counts, now: float, number: int, amount: float, name: str = "n", keep: int = KEEP_MS
+    counts: ReplicatedCounters, now: float, number: int, amount: float, name: str = "n", keep: int = KEEP_MS
 ) -> float:
-    answer = counts.add(now, Add(1, number, name, amount, keep))
+    answer = counts.add(now, AddRequest(1, number, name, amount, keep))
     assert answer is not None
     return answer.total
 
@@ -34,7 +42,7 @@
 
 OWNERS = (Who("a", 1), Who("a", 2), Who("b", 1))
 PARTS = st.builds(
-    lambda owner, name, version: Parts(owner, (Part(name, version, version * 1.5, KEEP_MS),)),
+    lambda owner, name, version: PartBatch(owner, (CounterPart(name, version, version * 1.5, KEEP_MS),)),
     st.sampled_from(OWNERS),
     st.sampled_from("xyz"),
     st.integers(1, 9),
@@ -44,7 +52,7 @@
 @settings(max_examples=200, deadline=None)
 @given(st.lists(PARTS, max_size=12), st.randoms(use_true_random=False))
 def test_the_order_of_messages_and_their_repeats_change_nothing(
-    told: list[Parts], rng: random.Random
+    told: list[PartBatch], rng: random.Random
 ) -> None:
     first, second = machine("z"), machine("z")
     for body in told:
@@ -64,14 +72,14 @@
     assert added(counts, 0.0, 1, 2.0) == 2.0
     assert added(counts, 0.1, 1, 2.0) == 2.0
     assert added(counts, 0.2, 2, 2.0) == 4.0
-    assert counts.add(0.3, Add(2, 1, "n", 1.0, KEEP_MS)).total == 5.0  # type: ignore[union-attr]
+    assert counts.add(0.3, AddRequest(2, 1, "n", 1.0, KEEP_MS)).total == 5.0  # type: ignore[union-attr]
 
 
 def test_nonsense_is_not_added() -> None:
     counts = machine()
     for amount, keep in ((float("nan"), 10), (float("inf"), 10), (1.0, 0)):
-        assert counts.add(0.0, Add(1, 1, "n", amount, keep)) is None
-    counts.heard(0.0, Parts(Who("b", 1), (Part("n", 1, float("nan"), 10),)))
+        assert counts.add(0.0, AddRequest(1, 1, "n", amount, keep)) is None
+    counts.heard(0.0, PartBatch(Who("b", 1), (CounterPart("n", 1, float("nan"), 10),)))
     assert counts.total(0.0, "n") == 0.0
 
 
@@ -95,15 +103,20 @@
 def test_our_own_part_is_not_taken_from_others() -> None:
     counts = machine()
     added(counts, 0.0, 1, 1.0)
-    counts.heard(0.0, Parts(Who("a", 1), (Part("n", 99, 50.0, KEEP_MS),)))
+    counts.heard(0.0, PartBatch(Who("a", 1), (CounterPart("n", 99, 50.0, KEEP_MS),)))
     assert counts.total(0.0, "n") == 1.0
 
 
 def test_pages_hold_as_much_as_a_datagram_takes() -> None:
     counts = machine()
-    for n in range(3 * PAGE + 1):
+    for n in range(3 * MAX_PARTS_PER_BATCH + 1):
         added(counts, 0.0, n, 1.0, name=f"n{n}")
-    assert [len(p.parts) for p in counts.news(0.0)] == [PAGE, PAGE, PAGE, 1]
+    assert [len(p.parts) for p in counts.news(0.0)] == [
+        MAX_PARTS_PER_BATCH,
+        MAX_PARTS_PER_BATCH,
+        MAX_PARTS_PER_BATCH,
+        1,
+    ]
     assert counts.news(0.0) == []
 
 
@@ -113,17 +126,17 @@
 class Town:
     """Instances that add by chance; links that lose, repeat, delay and are cut; some restart with nothing."""
 
-    def __init__(self, seed: int, kind: type[Counts] = Counts) -> None:
+    def __init__(self, seed: int, kind: type[ReplicatedCounters] = ReplicatedCounters) -> None:
         self.rng, self.kind, self.now = random.Random(seed), kind, 0.0
         self.size = self.rng.randint(2, 6)
         self.machines = [machine(f"i{n}", 1, kind) for n in range(self.size)]
-        self.flying: list[tuple[float, int, int, Body]] = []
+        self.flying: list[tuple[float, int, int, ReplicaMessage]] = []
         self.side = [0] * self.size
         self.loss = self.rng.choice((0.0, 0.1, 0.5))
         self.truth: dict[str, float] = defaultdict(float)
         self.numbers = 0
 
-    def send(self, source: int, target: int, body: Body) -> None:
+    def send(self, source: int, target: int, body: ReplicaMessage) -> None:
         for _ in range(2 if self.rng.random() < 0.1 else 1):
             if self.side[source] == self.side[target] and self.rng.random() >= self.loss:
                 late = self.rng.random() * (2.0 if self.rng.random() < 0.1 else 0.02)
@@ -161,7 +174,7 @@
         return [{n: round(m.total(self.now, n), 6) for n in "xyz"} for m in self.machines]
 
 
-def town(seed: int, kind: type[Counts] = Counts, restarts: bool = True) -> Town:
+def town(seed: int, kind: type[ReplicatedCounters] = ReplicatedCounters, restarts: bool = True) -> Town:
     """A history with cuts; then everything heals, and a few seconds pass."""
     found = Town(seed, kind)
     for _ in range(120):
@@ -187,39 +200,39 @@
             assert found.views()[0] == {n: round(found.truth[n], 6) for n in "xyz"}, f"seed {seed}"
 
 
-class AddsUp(Counts):
+class AddsUp(ReplicatedCounters):
     """A part that comes again is added once more."""
 
-    def _merge(self, now: float, owner: Who, part: Part) -> None:
+    def _merge(self, now: float, owner: Who, part: CounterPart) -> None:
         known = self._of(part.name, owner)
         super()._merge(now, owner, part)
         if known is not None and owner != self.me and part.version == known.version:
             known.total += part.total
 
 
-class AnyVersion(Counts):
+class AnyVersion(ReplicatedCounters):
     """An older part takes the place of a newer one."""
 
-    def _merge(self, now: float, owner: Who, part: Part) -> None:
+    def _merge(self, now: float, owner: Who, part: CounterPart) -> None:
         if owner != self.me:
             self._keep(part.name, owner, part.version, part.total, now + part.left_ms / 1000)
 
 
-class NeverCompares(Counts):
+class NeverCompares(ReplicatedCounters):
     """What was lost stays lost."""
 
     def digests(self):  # type: ignore[no-untyped-def]
         return []
 
 
-class OnlyOwn(Counts):
+class OnlyOwn(ReplicatedCounters):
     """Parts of owners that are gone are passed on by nobody."""
 
     def digests(self):  # type: ignore[no-untyped-def]
         return [d for d in super().digests() if d.owner == self.me]
 
 
-class SameOwner(Counts):
+class SameOwner(ReplicatedCounters):
     """A process that restarts goes on under its old boot, with versions from the start."""
 
     def __init__(self, me: Who) -> None:
@@ -227,7 +240,7 @@
 
 
 @pytest.mark.parametrize("kind", [AddsUp, AnyVersion, NeverCompares, OnlyOwn, SameOwner])
-def test_a_planted_mistake_is_found(kind: type[Counts]) -> None:
+def test_a_planted_mistake_is_found(kind: type[ReplicatedCounters]) -> None:
     for seed in range(40):
         try:
             found = town(seed, kind)
@@ -239,6 +252,6 @@
 
 
 def test_settings_of_counts_are_judged() -> None:
-    assert read_counts(Table({"counts": {}}).read_table("counts")).say == 0.05
+    assert read_replication_settings(Table({"counts": {}}).read_table("counts")).say == 0.05
     with pytest.raises(ValidationError, match=r"counts\.say_s"):
-        read_counts(Table({"counts": {"say_s": 99}}).read_table("counts"))
+        read_replication_settings(Table({"counts": {"say_s": 99}}).read_table("counts"))
--- a/tests/fleet/test_counts_processes.py
+++ b/tests/fleet/test_counters_processes.py
@@ -11,8 +11,8 @@
 
 from mintford.interface import Outcome
 from roadpulley.core.clock import Timers
-from roadpulley.fleet.counts.client import PeerCounter
-from roadpulley.fleet.line import Line
+from roadpulley.fleet.agent_link import AgentLink
+from roadpulley.fleet.counts.client import ReplicatedCounter
 from roadpulley.testbed.fleet import Fleet, FleetPlan
 
 pytestmark = pytest.mark.timeout(90)
@@ -27,7 +27,7 @@
 class Adder:
     """Beside one instance; remembers what was surely added."""
 
-    def __init__(self, line: Line, counter: PeerCounter) -> None:
+    def __init__(self, line: AgentLink, counter: ReplicatedCounter) -> None:
         self.line, self.counter = line, counter
         self.sure: dict[str, float] = dict.fromkeys(NAMES, 0.0)
         self.unsure: dict[str, float] = dict.fromkeys(NAMES, 0.0)
@@ -46,9 +46,9 @@
 async def adders(fleet: Fleet) -> list[Adder]:
     timers, found = Timers(asyncio.get_running_loop()), []
     for name in fleet.plan.names:
-        line = Line(fleet.folder / f"run-{name}" / f"{name}.beside")
+        line = AgentLink(fleet.folder / f"run-{name}" / f"{name}.beside")
         await line.open()
-        found.append(Adder(line, PeerCounter(line, timers, WAIT_MS)))
+        found.append(Adder(line, ReplicatedCounter(line, timers, WAIT_MS)))
     return found
 
 
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -10,18 +10,20 @@
 from hypothesis import strategies as st
 
 from roadpulley.fleet.duties.terms import Who
-from roadpulley.fleet.members.machine import Members
-from roadpulley.fleet.members.terms import Ack, Claim, Ping, State, Times
+from roadpulley.fleet.members.messages import Ack, Claim, MemberState, Ping, SwimParameters
+from roadpulley.fleet.members.state_machine import Membership
 from roadpulley.testbed.members_world import MembersWorld
 
 A, B = Who("a", 1), Who("b", 2)
 
 
-def one(times: Times | None = None) -> Members:
-    return Members(A, "a", 1, {}, (), times or Times(), random.Random(1))
+def one(times: SwimParameters | None = None) -> Membership:
+    return Membership(A, "a", 1, {}, (), times or SwimParameters(), random.Random(1))
 
 
-CLAIMS = st.builds(Claim, st.just(B), st.integers(1, 4), st.sampled_from(State), st.just("b"), st.just(1))
+CLAIMS = st.builds(
+    Claim, st.just(B), st.integers(1, 4), st.sampled_from(MemberState), st.just("b"), st.just(1)
+)
 
 
 @given(claims=st.lists(CLAIMS, min_size=1, max_size=4))
@@ -29,7 +31,7 @@
     ends = set()
     for order in itertools.permutations(claims):
         found = one()
-        found.heard(0.0, B, "b", Ping(1, (Claim(B, 0, State.ALIVE, "b"),)))
+        found.heard(0.0, B, "b", Ping(1, (Claim(B, 0, MemberState.ALIVE, "b"),)))
         for claim in (*order, *order[:1]):
             found.heard(0.0, Who("c", 3), "c", Ping(2, (claim,)))
         last = found.table[B].claim
@@ -40,12 +42,12 @@
 
 def test_what_is_said_of_oneself_is_refuted_with_a_higher_incarnation() -> None:
     found = one()
-    for state in (State.SUSPECT, State.DEAD):
+    for state in (MemberState.SUSPECT, MemberState.DEAD):
         before = found.mine.incarnation
         out = found.heard(0.0, B, "b", Ping(1, (Claim(A, before, state, "a"),)))
         answer = next(t.body for t in out if isinstance(t.body, Ack))
         assert found.mine.incarnation > before and found.mine in answer.claims
-        assert found.mine.state is State.ALIVE
+        assert found.mine.state is MemberState.ALIVE
     assert found.false_alarms == 2
 
 
@@ -79,7 +81,7 @@
     few = MembersWorld(20, seed=4, loss=0.05)
     assert few.run(60.0).false == [] and few.all_seen()
     careful = [MembersWorld(20, seed, 0.2).run(60.0) for seed in (4, 5, 6)]
-    plain = [MembersWorld(20, seed, 0.2, Times(careful=False)).run(60.0) for seed in (4, 5, 6)]
+    plain = [MembersWorld(20, seed, 0.2, SwimParameters(careful=False)).run(60.0) for seed in (4, 5, 6)]
     assert sum(len(s.false) for s in careful) * 4 < sum(len(s.false) for s in plain)
     assert sum(s.wrong_s for s in careful) * 3 < sum(s.wrong_s for s in plain)
 
@@ -111,4 +113,4 @@
     world.kill("m004")
     world.run(13.0)
     states = [m.table[Who("m004", 1)].claim.state for n, m in world.machines.items() if n != "m004"]
-    assert set(states) == {State.LEFT}
+    assert set(states) == {MemberState.LEFT}
--- a/tests/fleet/test_orders_gateways.py
+++ b/tests/fleet/test_orders_gateways.py
@@ -11,7 +11,7 @@
 import pytest
 import uvloop
 
-from roadpulley.fleet.control import ask
+from roadpulley.fleet.control import call_agent
 from roadpulley.fleet.orders.messages import Order
 from roadpulley.testbed.installation import Installation, Outcome
 from roadpulley.testbed.ledger import Attempt
@@ -44,10 +44,10 @@
 async def ordered(world: Installation, name: str, order: Order) -> float:
     """Have it ordered at one instance; gives when it was acknowledged, in ms of the testbed's clock."""
     folder = world.folder / "fleet"
-    status = await asyncio.to_thread(ask, folder, name, "order", order=fields(order), lift=False)
+    status = await asyncio.to_thread(call_agent, folder, name, "order", order=fields(order), lift=False)
     while status["step"] == "waiting":
         await asyncio.sleep(0.05)
-        status = await asyncio.to_thread(ask, folder, name, "order-status", ticket=status["ticket"])
+        status = await asyncio.to_thread(call_agent, folder, name, "order-status", ticket=status["ticket"])
     assert status["step"] == "done", status
     return time.time() * 1000
 
--- a/tests/fleet/test_orders_processes.py
+++ b/tests/fleet/test_orders_processes.py
@@ -12,7 +12,7 @@
 import pytest
 
 from roadpulley.checks import ValidationError
-from roadpulley.fleet.control import ask
+from roadpulley.fleet.control import call_agent
 from roadpulley.fleet.orders.messages import Order
 from roadpulley.fleet.rights.messages import Limit
 from roadpulley.testbed.fleet import Fleet, FleetPlan
@@ -40,7 +40,7 @@
     end = time.monotonic() + WITHIN_S
     while True:
         try:
-            return await asyncio.to_thread(ask, fleet.folder / f"run-{name}", name, what, **args)
+            return await asyncio.to_thread(call_agent, fleet.folder / f"run-{name}", name, what, **args)
         except ValidationError as error:
             if "no instance answers" not in str(error) or time.monotonic() > end:
                 raise
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -13,7 +13,14 @@
 from roadpulley.checks import ValidationError
 from roadpulley.cli import main
 from roadpulley.fleet.duties.terms import Ballot, Prepare, Who
-from roadpulley.fleet.peers.envelope import MOST_BYTES, WINDOW, Cause, Codec, Envelope, Window
+from roadpulley.fleet.peers.envelope import (
+    MAX_DATAGRAM_BYTES,
+    REPLAY_WINDOW_SIZE,
+    Codec,
+    DropReason,
+    Envelope,
+    ReplayWindow,
+)
 from roadpulley.fleet.settings import read_settings
 
 KEY = b"k" * 32
@@ -32,12 +39,12 @@
     here = codec("b", 2)
     found = here.unpack(data)
     assert isinstance(found, Envelope) and (found.name, found.boot, found.to_boot) == ("a", 1, 9)
-    assert here.unpack(data) is Cause.REPEATED
+    assert here.unpack(data) is DropReason.REPLAYED
 
 
 def test_many_bodies_go_into_few_datagrams_none_of_them_too_long() -> None:
     out = packed(codec("a"), 64)
-    assert len(out) <= 4 and max(map(len, out)) <= MOST_BYTES
+    assert len(out) <= 4 and max(map(len, out)) <= MAX_DATAGRAM_BYTES
     here = codec("b", 2)
     found = [here.unpack(d) for d in out]
     assert sum(len(f.bodies) for f in found if isinstance(f, Envelope)) == 64
@@ -49,18 +56,18 @@
 @pytest.mark.parametrize(
     ("change", "cause"),
     [
-        (lambda d: d + b"x" * MOST_BYTES, Cause.OVERSIZED),
-        (lambda d: d[:-1] + bytes([d[-1] ^ 1]), Cause.UNSIGNED),
-        (lambda d: d[:10], Cause.UNSIGNED),
-        (lambda d: b"", Cause.UNSIGNED),
-        (lambda d: packed(codec("a", key=b"z" * 32))[0], Cause.UNSIGNED),
-        (lambda d: packed(codec("a", key=None))[0], Cause.UNSIGNED),
-        (lambda d: packed(codec("a", installation="y"))[0], Cause.FOREIGN),
-        (lambda d: packed(codec("b", 2))[0], Cause.OWN),
-        (lambda d: packed(codec("a", boot=-1))[0], Cause.GARBLED),
+        (lambda d: d + b"x" * MAX_DATAGRAM_BYTES, DropReason.OVERSIZED),
+        (lambda d: d[:-1] + bytes([d[-1] ^ 1]), DropReason.INVALID_MAC),
+        (lambda d: d[:10], DropReason.INVALID_MAC),
+        (lambda d: b"", DropReason.INVALID_MAC),
+        (lambda d: packed(codec("a", key=b"z" * 32))[0], DropReason.INVALID_MAC),
+        (lambda d: packed(codec("a", key=None))[0], DropReason.INVALID_MAC),
+        (lambda d: packed(codec("a", installation="y"))[0], DropReason.OTHER_INSTALLATION),
+        (lambda d: packed(codec("b", 2))[0], DropReason.OWN_DATAGRAM),
+        (lambda d: packed(codec("a", boot=-1))[0], DropReason.MALFORMED),
     ],
 )
-def test_what_is_wrong_is_dropped_and_named(change: Callable[[bytes], bytes], cause: Cause) -> None:
+def test_what_is_wrong_is_dropped_and_named(change: Callable[[bytes], bytes], cause: DropReason) -> None:
     [data] = packed(codec("a"))
     assert codec("b", 2).unpack(change(data)) is cause
 
@@ -68,7 +75,7 @@
 @given(data=st.binary(max_size=300))
 def test_no_bytes_break_the_reader(data: bytes) -> None:
     found = codec("b", 2, key=None).unpack(data)
-    assert isinstance(found, Cause | Envelope)
+    assert isinstance(found, DropReason | Envelope)
 
 
 def test_every_cut_and_every_changed_byte_of_an_unsigned_datagram_is_read_or_named() -> None:
@@ -76,13 +83,13 @@
     for at in range(len(data)):
         for bad in (data[:at], data[:at] + bytes([data[at] ^ 0xFF]) + data[at + 1 :]):
             found = codec("b", 2, key=None).unpack(bad)
-            assert isinstance(found, Cause | Envelope)
-            assert len(bad) == len(data) or found is Cause.GARBLED
+            assert isinstance(found, DropReason | Envelope)
+            assert len(bad) == len(data) or found is DropReason.MALFORMED
 
 
-@given(numbers=st.lists(st.integers(1, 3 * WINDOW), max_size=60), seed=st.integers(0, 9))
+@given(numbers=st.lists(st.integers(1, 3 * REPLAY_WINDOW_SIZE), max_size=60), seed=st.integers(0, 9))
 def test_each_number_is_taken_once(numbers: list[int], seed: int) -> None:
-    window, taken, highest = Window(), set[int](), 0
+    window, taken, highest = ReplayWindow(), set[int](), 0
     random.Random(seed).shuffle(numbers)
     for number in numbers:
         cause = window.take(number)
@@ -90,7 +97,7 @@
             assert number not in taken
             taken.add(number)
         else:
-            assert number in taken or number <= highest - WINDOW
+            assert number in taken or number <= highest - REPLAY_WINDOW_SIZE
         highest = max(highest, number)
 
 
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from roadpulley.fleet.control import ask
+from roadpulley.fleet.control import call_agent
 from roadpulley.fleet.duties.terms import Ballot, Prepare, Who
 from roadpulley.fleet.peers.envelope import Codec
 from roadpulley.testbed.fleet import Fleet, FleetPlan
@@ -244,7 +244,7 @@
         await fleet.all_held()
         assert [fleet.fence(d) for d in fleet.plan.duty_names] == fences
         for name in fleet.plan.names:
-            dropped = ask(tmp_path / f"run-{name}", name, "members")["datagrams"]["dropped"]
+            dropped = call_agent(tmp_path / f"run-{name}", name, "members")["datagrams"]["dropped"]
             assert {"unsigned", "foreign", "oversized"} <= set(dropped)
 
     played(tmp_path, FleetPlan(lease=2.5), play)
@@ -333,7 +333,7 @@
         gone = next(n for n in fleet.plan.names if n != "v0" and n.startswith("v"))
         fleet.kill(gone)
         for how in ({"remove": gone}, {"add": {"o0": ""}}):
-            said = ask(tmp_path / "run-v0", "v0", "change", **how)
+            said = call_agent(tmp_path / "run-v0", "v0", "change", **how)
             assert said["step"] != "failed"
             fleet.kill("o1")  # a candidate dies and comes back meanwhile: its duties are taken anew
             await fleet.gone("o1")
@@ -353,7 +353,7 @@
 
 
 def status(folder: Path) -> dict[str, Any]:
-    return ask(folder / "run-v0", "v0", "change-status")
+    return call_agent(folder / "run-v0", "v0", "change-status")
 
 
 def test_a_loop_that_is_full_for_three_leases_holds_nothing_meanwhile(tmp_path: Path) -> None:
--- a/tests/fleet/test_rights_gateways.py
+++ b/tests/fleet/test_rights_gateways.py
@@ -9,7 +9,7 @@
 import uvloop
 
 from roadpulley.checks import ValidationError
-from roadpulley.fleet.control import ask
+from roadpulley.fleet.control import call_agent
 from roadpulley.testbed.installation import Installation, Outcome
 from roadpulley.testbed.scenario import DiscoveryKind, Fault, Load, Scenario
 
@@ -41,7 +41,7 @@
             asks = 0
             for name in world.gateways:
                 with suppress(ValidationError):  # one that was killed starts once its last worker has drained
-                    found = await asyncio.to_thread(ask, world.folder / "fleet", name, "limits")
+                    found = await asyncio.to_thread(call_agent, world.folder / "fleet", name, "limits")
                     asks += found["counts"].get("asks", 0)
             return await running, asks
 
--- a/tests/fleet/test_rights_processes.py
+++ b/tests/fleet/test_rights_processes.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from roadpulley.fleet.control import ask
+from roadpulley.fleet.control import call_agent
 from roadpulley.fleet.rights.messages import Limit
 from roadpulley.testbed.fleet import Fleet, FleetPlan, Load, Spender, Wished
 from roadpulley.testbed.holders import read_lines
@@ -229,7 +229,7 @@
     def out() -> float:
         name = giver(fleet)
         assert name is not None
-        found = ask(fleet.folder / f"run-{name}", name, "limits")
+        found = call_agent(fleet.folder / f"run-{name}", name, "limits")
         return sum(float(row["out"]) for row in found["limits"])
 
     spender.signal(signal.SIGUSR2)
@@ -356,7 +356,7 @@
             first = giver(fleet)
             assert first is not None
             folder = fleet.folder / f"run-{first}"
-            done = await asyncio.to_thread(ask, folder, first, "hand-over", duty="fleet.rights.0")
+            done = await asyncio.to_thread(call_agent, folder, first, "hand-over", duty="fleet.rights.0")
             assert done["done"]
             await follows(fleet, first)
         await paid_again(fleet)
--- a/tests/fleet/test_verdicts_gateways.py
+++ b/tests/fleet/test_verdicts_gateways.py
@@ -13,7 +13,7 @@
 from roadpulley.checks import ValidationError
 from roadpulley.core.clock import now_ms
 from roadpulley.core.discovery import host_number
-from roadpulley.fleet.control import ask
+from roadpulley.fleet.control import call_agent
 from roadpulley.testbed.installation import Installation
 from roadpulley.testbed.scenario import DiscoveryKind, Fault, Load, Scenario
 
@@ -53,7 +53,7 @@
             for name in self.world.gateways:
                 with suppress(ValidationError):
                     found: dict[str, Any] = await asyncio.to_thread(
-                        ask, self.world.folder / "fleet", name, "verdicts"
+                        call_agent, self.world.folder / "fleet", name, "verdicts"
                     )
                     held = {row["backend"] for row in found["verdicts"] if row["level"] != "none"}
                     self.seen.append((now_ms(), name, held))
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -18,7 +18,7 @@
 
 from roadpulley.__main__ import serve
 from roadpulley.core.settings import parse_config
-from roadpulley.edges.clients import ClientServer
+from roadpulley.edges.resp_server import RespServer
 from roadpulley.testbed import discovery as testbed
 from roadpulley.testbed.counter import Counter, Reply
 from roadpulley.testbed.front import encode
@@ -224,16 +224,16 @@
 
 
 @contextmanager
-def server_seen() -> Iterator[list[ClientServer]]:
+def server_seen() -> Iterator[list[RespServer]]:
     """The server of the gateway that is started meanwhile."""
-    seen: list[ClientServer] = []
-    keep = ClientServer.listen
+    seen: list[RespServer] = []
+    keep = RespServer.listen
 
-    def listen(self: ClientServer, *given: Any) -> int:
+    def listen(self: RespServer, *given: Any) -> int:
         seen.append(self)
         return keep(self, *given)
 
-    with mock.patch.object(ClientServer, "listen", listen):
+    with mock.patch.object(RespServer, "listen", listen):
         yield seen
 
 
--- a/tests/operations/test_in_service.py
+++ b/tests/operations/test_in_service.py
@@ -10,8 +10,8 @@
 import pytest
 from loopback import LOCAL, Backend, Peer, Reply, World, encode, in_loop, request, running, server_seen, until
 
-from roadpulley.edges import clients, connection
-from roadpulley.edges.clients import ClientServer
+from roadpulley.edges import connection, resp_server
+from roadpulley.edges.resp_server import RespServer
 from roadpulley.operations import address as operators
 from roadpulley.operations.life import OUTCOMES
 
@@ -256,7 +256,7 @@
             async with running(Operated(Backend())) as world:
                 await crosses(world, servers[0])
 
-    async def crosses(world: Operated, server: ClientServer) -> None:
+    async def crosses(world: Operated, server: RespServer) -> None:
         own = socket.create_connection((LOCAL, world.port))
         peer = Peer(*await asyncio.open_connection(sock=own))
         assert await world.ask(peer) == b"value"
@@ -273,9 +273,12 @@
 def test_a_head_in_single_bytes_is_waited_for_as_long_as_a_client_may_take(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    assert connection.WHOLE_MS > 2_000 and connection.WHOLE_MS + 2 * clients.SWEEP_MS < 3_000
-    monkeypatch.setattr(connection, "WHOLE_MS", 1_500.0)
-    monkeypatch.setattr(clients, "SWEEP_MS", 20.0)
+    assert (
+        connection.COMMAND_TIMEOUT_MS > 2_000
+        and connection.COMMAND_TIMEOUT_MS + 2 * resp_server.SWEEP_INTERVAL_MS < 3_000
+    )
+    monkeypatch.setattr(connection, "COMMAND_TIMEOUT_MS", 1_500.0)
+    monkeypatch.setattr(resp_server, "SWEEP_INTERVAL_MS", 20.0)
 
     async def scenario() -> None:
         async with running(Operated(Backend())) as world:
--- a/tests/testbed/test_quota_bounds.py
+++ b/tests/testbed/test_quota_bounds.py
@@ -9,7 +9,15 @@
 
 from mintford import interface as api
 from roadpulley.cli import main
-from roadpulley.limits.bounds import EVENTS, Bound, Case, ceiling_alone, in_a_row, sensitivity, silent
+from roadpulley.limits.bounds import (
+    EVENTS,
+    Bound,
+    Scenario,
+    add_bounds,
+    bound_silent_counter,
+    compute_lone_ceiling_ratio,
+    compute_sensitivity,
+)
 from roadpulley.testbed import terms
 from roadpulley.testbed.quota_plays import PLAYS, START_MS, Site, less, over, raised
 
@@ -33,7 +41,7 @@
 @pytest.mark.parametrize("plan", PLANS)
 def test_what_is_promised_is_kept_and_nearly_reached(event: str, plan: str) -> None:
     for seconds in (10.0, 40.0):
-        case = Case(PLANS[plan], 2, seconds=seconds)
+        case = Scenario(PLANS[plan], 2, seconds=seconds)
         promised, seen = EVENTS[event](case).over, over(event, case)
         least = LESS_TIGHT.get(event, LEAST_TIGHT) * promised
         assert least <= seen <= promised, f"{seconds} s: {seen} of {promised}"
@@ -44,7 +52,7 @@
     """There the totals of two numbers are needed, and half of them may be told."""
     for plan in PLANS.values():
         for gateways in (2, 4):
-            case = Case(plan, gateways, seconds=4.0)
+            case = Scenario(plan, gateways, seconds=4.0)
             promised = EVENTS[event](case).over
             assert max(over(event, case, start) for start in STARTS) <= promised, (plan.name, gateways)
 
@@ -52,21 +60,21 @@
 @pytest.mark.parametrize("plan", PLANS)
 def test_with_more_gateways_the_promise_is_kept_as_well(plan: str) -> None:
     for event in PLAYS:
-        case = Case(PLANS[plan], 5, seconds=20.0, parted=2)
+        case = Scenario(PLANS[plan], 5, seconds=20.0, parted=2)
         promised, seen = EVENTS[event](case).over, over(event, case)
         assert seen <= promised and bool(seen) is bool(promised), f"{event}: {seen} of {promised}"
 
 
 @pytest.mark.parametrize("plan", PLANS)
 def test_one_gateway_that_gets_everything_is_refused_no_more_than_is_said(plan: str) -> None:
-    case = Case(PLANS[plan], 2, seconds=60.0)
-    promised, missing = silent(case).less, less(case)
+    case = Scenario(PLANS[plan], 2, seconds=60.0)
+    promised, missing = bound_silent_counter(case).less, less(case)
     assert LEAST_TIGHT * promised <= missing <= promised
 
 
 @pytest.mark.parametrize("plan", PLANS)
 def test_numbers_that_are_too_high_cost_a_customer_one_burst(plan: str) -> None:
-    case = Case(PLANS[plan], 2, seconds=40.0)
+    case = Scenario(PLANS[plan], 2, seconds=40.0)
     promised = EVENTS["the counter comes back with higher numbers"](case).less
     missing = [less(case, raised, start) for start in STARTS]
     assert max(missing) <= promised
@@ -76,28 +84,28 @@
 @pytest.mark.parametrize("plan", PLANS)
 def test_events_in_a_row_give_no_more_than_each_alone(plan: str) -> None:
     """Replaced empty twice within a lease, and then silent for all."""
-    case = Case(PLANS[plan], 3, seconds=20.0)
+    case = Scenario(PLANS[plan], 3, seconds=20.0)
     site = Site(case)
     PLAYS["the counter comes back empty"](site)
     PLAYS["the counter comes back empty"](site)
     site.away.update(range(3))
     site.flood(case.seconds, 0, 1, 2)
     emptied = EVENTS["the counter comes back empty"](case)
-    promised = in_a_row([emptied, emptied, silent(case)]).over
+    promised = add_bounds([emptied, emptied, bound_silent_counter(case)]).over
     assert 0 < site.judged().over <= promised
 
 
 def test_alone_and_without_an_event_nothing_is_over() -> None:
     for event in ("the counter is silent", "nothing fails, all at once"):
-        assert EVENTS[event](Case(PLANS["basic"], 1)).over == 0
-    site = Site(Case(PLANS["business"], 2))
+        assert EVENTS[event](Scenario(PLANS["basic"], 1)).over == 0
+    site = Site(Scenario(PLANS["business"], 2))
     site.calm()
     site.flood(20.0, 0, 1)
     assert site.judged().over < 2 * site.case.untold
 
 
 def test_one_gateway_too_takes_a_small_loss_of_the_counter_s_numbers_for_a_settlement() -> None:
-    case = Case(PLANS["business"], 1, seconds=2.0)
+    case = Scenario(PLANS["business"], 1, seconds=2.0)
     seen = []
     for start in (START_MS + 500 * n for n in range(60)):
         site = Site(case, start)
@@ -112,20 +120,20 @@
 
 
 def test_what_a_setting_changes_is_what_the_bound_changes() -> None:
-    case = Case(PLANS["enterprise"], 4, seconds=60.0)
-    moved = sensitivity(silent, case)
+    case = Scenario(PLANS["enterprise"], 4, seconds=60.0)
+    moved = compute_sensitivity(bound_silent_counter, case)
     assert moved["one gateway fewer"] == pytest.approx(-1 / 3, abs=0.01)
     assert moved["an event of half the time"] == 0  # leases have ended by then
     assert moved["burst a tenth lower"] == pytest.approx(-0.1 * 24 / (24 + 8 * 15), abs=0.01)
-    assert in_a_row([Bound(1.0, 2.0), Bound(3.0, 4.0)]) == Bound(4.0, 6.0)
+    assert add_bounds([Bound(1.0, 2.0), Bound(3.0, 4.0)]) == Bound(4.0, 6.0)
 
 
 def test_of_a_ceiling_one_gateway_alone_has_its_part() -> None:
     plan = api.Plan("firm", rate=4, burst=20, ceiling_rate=16.0, ceiling_burst=48.0)
-    assert ceiling_alone(Case(plan, 1)) == 1.0
-    assert ceiling_alone(Case(plan, 20)) == pytest.approx(1 / 20)
-    assert ceiling_alone(Case(plan, 20), rights=0.7) == pytest.approx(0.3 / 20)
-    assert 0.5 / 4 < ceiling_alone(Case(plan, 4)) < 1 / 4
+    assert compute_lone_ceiling_ratio(Scenario(plan, 1)) == 1.0
+    assert compute_lone_ceiling_ratio(Scenario(plan, 20)) == pytest.approx(1 / 20)
+    assert compute_lone_ceiling_ratio(Scenario(plan, 20), rights=0.7) == pytest.approx(0.3 / 20)
+    assert 0.5 / 4 < compute_lone_ceiling_ratio(Scenario(plan, 4)) < 1 / 4
 
 
 def configured(folder: Path, **changes: object) -> Path:
