--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -24,7 +24,7 @@
 
 from report import markdown, quantile, report
 
-from roadpulley.fleet.duties.terms import Times
+from roadpulley.fleet.duties.terms import LeaseTimes
 from roadpulley.testbed.fleet import Fleet, FleetPlan
 from roadpulley.testbed.lease_model import Broken, Limits, Model
 from roadpulley.testbed.timelines import drawn, play, rates
@@ -114,7 +114,7 @@
 
 
 def explore(name: str, most: int) -> tuple[str, int, int, bool, str]:
-    times = Times(lease=3.0, drift=0.0, margin=0.0, answer=1.0, claim=100.0)
+    times = LeaseTimes(lease=3.0, drift=0.0, margin=0.0, answer=1.0, claim=100.0)
     try:
         return name, *Model(times, WORLDS[name]).explore(most), ""
     except Broken as broken:
--- a/roadpulley/cli/fleet_commands.py
+++ b/roadpulley/cli/fleet_commands.py
@@ -64,7 +64,8 @@
         f"signed: {'yes' if found.key else 'no, on this machine only'}"
     )
     click.echo(
-        f"a holder acts for at most {times.holds:.2f} s after it asked and renews every {times.renew:.2f} s; "
+        f"a holder acts for at most {times.hold_duration:.2f} s after it asked "
+        f"and renews every {times.renewal_interval:.2f} s; "
         f"nobody holds a duty for at most {times.lease + 1:.1f} s after its holder died; "
         f"a voter keeps silent for {times.silence:g} s after its start"
     )
--- a/roadpulley/fleet/agent.py
+++ b/roadpulley/fleet/agent.py
@@ -23,11 +23,21 @@
 from .counts.messages import AddRequest, Digest, PartBatch
 from .counts.messages import ReplicaMessage as ForCounts
 from .counts.service import CounterReplicator
-from .duties.electing import Electing, Electoral, RollFile, Wish
 from .duties.memory import Memory
-from .duties.roll import DUTY, Roll, RollAsk, RollTaken, changed
+from .duties.reconfiguration import ChangeRequest, Reconfiguration, ReconfigurationWork, VoterConfigFile
 from .duties.service import Duties
-from .duties.terms import NOBODY, Accept, Granted, Prepare, Promise, Question, Refused, Release, Who
+from .duties.terms import (
+    NO_PROCESS,
+    Accept,
+    LeaseGrant,
+    LeaseRejection,
+    Prepare,
+    ProcessId,
+    Promise,
+    Release,
+    VoterRequest,
+)
+from .duties.voter_config import VOTERS_DUTY, VoterConfig, VoterConfigAck, VoterConfigQuery, next_config
 from .duties.work import Work
 from .members.messages import Ack, MemberState, Nack, Page, PageRequest, Ping, PingRequest
 from .members.state_machine import Membership, OutboundMessage
@@ -64,15 +74,15 @@
 
 ForMembers: TypeAlias = Ping | PingRequest | Ack | Nack | PageRequest | Page
 ForVoters: TypeAlias = Prepare | Accept | Release
-ForElecting: TypeAlias = Roll | RollAsk | RollTaken
+ForReconfiguration: TypeAlias = VoterConfig | VoterConfigQuery | VoterConfigAck
 Body: TypeAlias = (
     ForMembers
     | ForVoters
     | Promise
-    | Granted
-    | Refused
+    | LeaseGrant
+    | LeaseRejection
     | Offer
-    | ForElecting
+    | ForReconfiguration
     | ForRights
     | ForCounts
     | ForOrders
@@ -96,15 +106,17 @@
     ) -> None:
         self.settings, self.name = settings, name
         self.clock, self.rng = clock or from_environment(), rng or random.Random(secrets.randbits(64))
-        self.me = Who(name, secrets.randbits(BOOT_BITS) or 1)
+        self.me = ProcessId(name, secrets.randbits(BOOT_BITS) or 1)
         self.post = DatagramEndpoint(
             Codec(settings.installation, name, self.me.boot, settings.key), self._taken
         )
         self.bits = {duty: bit for bit, duty in enumerate(sorted(settings.duties))}
         self.can = sum(1 << self.bits[d] for d in works)
         self.executor = ThreadPoolExecutor(min(MOST_THREADS, len(works) + 1), "duty")
-        file = RollFile(settings.state, name, settings.voters)
-        self.electing = Electing(file, settings.times, self.clock, self._elect, self._rolled)
+        file = VoterConfigFile(settings.state, name, settings.voters)
+        self.reconfiguration = Reconfiguration(
+            file, settings.times, self.clock, self._send_to_voter, self._adopt_voter_config
+        )
         self.duties = Duties(
             settings,
             self.me,
@@ -115,13 +127,13 @@
             self._set,
             self.executor,
             self.rng,
-            self.electing.roll,
-            lambda: self.electing.wish is not None,
+            self.reconfiguration.config,
+            lambda: self.reconfiguration.request is not None,
         )
-        electoral = Electoral(self.electing, self._soon)
-        self.duties.add(DutySettings(DUTY, "voters", None, "", 1.0, (), ()), electoral)
+        reconfiguration_work = ReconfigurationWork(self.reconfiguration, self._soon)
+        self.duties.add(DutySettings(VOTERS_DUTY, "voters", None, "", 1.0, (), ()), reconfiguration_work)
         self.members: Membership | None = None  # once our address is known
-        self.met: dict[str, Who] = {}  # who was heard at an address last
+        self.met: dict[str, ProcessId] = {}  # who was heard at an address last
         self.timer: asyncio.TimerHandle | None = None
         self.setting = False
         self.tasks: list[asyncio.Task[None]] = []
@@ -160,7 +172,7 @@
                 self._tell_route,
                 self._route_to,
                 self._routes,
-                lambda: self.electing.roll,
+                lambda: self.reconfiguration.config,
                 self._soon,
                 self._ordered,
             )
@@ -299,7 +311,7 @@
     def _taken(self, envelope: Envelope, address: str) -> DropReason | None:
         if self.members is None:
             return DropReason.STALE  # it comes before this process knows its own address
-        who = Who(envelope.name, envelope.boot)
+        who = ProcessId(envelope.name, envelope.boot)
         for_us = envelope.to_boot == self.me.boot
         try:
             bodies = [DECODER.decode(raw) for raw in envelope.bodies]
@@ -318,7 +330,7 @@
                 return cause
         return None
 
-    def _about_duties(self, who: Who, address: str, body: Any) -> DropReason | None:
+    def _about_duties(self, who: ProcessId, address: str, body: Any) -> DropReason | None:
         if isinstance(body, ForRights):
             if self.rights is not None:
                 self.rights.heard((address, who.boot), body)
@@ -333,22 +345,22 @@
                 self.verdicts.heard(who, body)
         elif isinstance(body, Offer):
             self.duties.offered(body.duty, body.rank, body.fence)
-        elif isinstance(body, RollAsk):
-            if known := self.electing.asked(body):
+        elif isinstance(body, VoterConfigQuery):
+            if known := self.reconfiguration.handle_query(body):
                 self.post.send(address, who.boot, known)
-        elif isinstance(body, Roll | RollTaken):
-            if isinstance(body, Roll):
-                self.post.send(address, who.boot, self.electing.told(body))
-            if self._elects(who.name, address):
-                self.electing.heard(who.name, body)
+        elif isinstance(body, VoterConfig | VoterConfigAck):
+            if isinstance(body, VoterConfig):
+                self.post.send(address, who.boot, self.reconfiguration.handle_config(body))
+            if self._is_awaited_voter(who.name, address):
+                self.reconfiguration.handle_response(who.name, body)
         elif isinstance(body, Prepare | Accept | Release):
             if body.ballot.who != who:
                 return DropReason.UNKNOWN_SENDER
             if answer := self.duties.asked(body):
                 self.post.send(address, who.boot, answer)
             if not isinstance(body, Release):
-                self._compare(who, address, body.roll)
-        elif who.name not in self.electing.roll.voters or self.address_of(who.name) != address:
+                self._compare(who, address, body.config_id)
+        elif who.name not in self.reconfiguration.config.voters or self.address_of(who.name) != address:
             # Danger: a second process under a voter's name would be counted as that voter.
             return DropReason.UNKNOWN_SENDER
         else:
@@ -388,8 +400,8 @@
     def _route_to(self, voter: str) -> Route | None:
         """To whoever was heard at a voter's address last."""
         address = self.address_of(voter)
-        known = self.met.get(address, NOBODY)
-        return (address, known.boot) if known != NOBODY and known.name == voter else None
+        known = self.met.get(address, NO_PROCESS)
+        return (address, known.boot) if known != NO_PROCESS and known.name == voter else None
 
     def _ordered(self) -> None:
         """Other limits of operators hold here."""
@@ -398,15 +410,15 @@
             found = {o.limit_name: o.limit(part, lease) for o in self.orders.standing if o.limits}
             self.rights.ordered(found)
 
-    def _ask(self, voter: str, question: Question) -> None:
+    def _ask(self, voter: str, question: VoterRequest) -> None:
         if voter == self.name and self.duties.voter is not None:
             asyncio.get_running_loop().call_soon(self._ask_ourselves, question)
             return
         address = self.address_of(voter)
-        if (known := self.met.get(address, NOBODY)) != NOBODY:
+        if (known := self.met.get(address, NO_PROCESS)) != NO_PROCESS:
             self.post.send(address, known.boot, question)
 
-    def _ask_ourselves(self, question: Question) -> None:
+    def _ask_ourselves(self, question: VoterRequest) -> None:
         if answer := self.duties.asked(question):
             self.duties.answered(self.name, answer)
 
@@ -414,32 +426,36 @@
 
     def address_of(self, voter: str) -> str:
         """The address of a voter, empty where it is not known here."""
-        return self.electing.roll.voters.get(voter) or self.settings.static.get(voter, "")
+        return self.reconfiguration.config.voters.get(voter) or self.settings.static.get(voter, "")
 
-    def _compare(self, who: Who, address: str, roll: tuple[int, int]) -> None:
+    def _compare(self, who: ProcessId, address: str, config_id: tuple[int, int]) -> None:
         """One of the two goes by older voters: it is told."""
-        ours = self.electing.roll
-        if roll < tuple(ours.id):
+        ours = self.reconfiguration.config
+        if config_id < tuple(ours.id):
             self.post.send(address, who.boot, ours)
-        elif roll > tuple(ours.id):
-            self.post.send(address, who.boot, RollAsk(0))
+        elif config_id > tuple(ours.id):
+            self.post.send(address, who.boot, VoterConfigQuery(0))
 
-    def _elects(self, name: str, address: str) -> bool:
+    def _is_awaited_voter(self, name: str, address: str) -> bool:
         """Whether it is a voter whom the change that is under way here has to hear."""
-        change = self.electing.change
+        change = self.reconfiguration.change
         if change is None:
             return False
-        voters = {**change.roll.before, **change.roll.voters}
+        voters = {**change.config.before, **change.config.voters}
         return name in voters and address == (voters[name] or self.settings.static.get(name, ""))
 
-    def _elect(self, voter: str, address: str, body: Any) -> None:
+    def _send_to_voter(self, voter: str, address: str, body: Any) -> None:
         """One message of a change, to a voter of before or of then."""
         address = address or self.settings.static.get(voter, "")
         if voter == self.name:
-            answer = self.electing.asked(body) if isinstance(body, RollAsk) else self.electing.told(body)
+            answer = (
+                self.reconfiguration.handle_query(body)
+                if isinstance(body, VoterConfigQuery)
+                else self.reconfiguration.handle_config(body)
+            )
             if answer is not None:
-                asyncio.get_running_loop().call_soon(self.electing.heard, voter, answer)
-        elif (known := self.met.get(address, NOBODY)) != NOBODY:
+                asyncio.get_running_loop().call_soon(self.reconfiguration.handle_response, voter, answer)
+        elif (known := self.met.get(address, NO_PROCESS)) != NO_PROCESS:
             self.post.send(address, known.boot, body)
         else:
             self.post.send(address, 0, Ping(0, ()))  # who is there?
@@ -450,8 +466,8 @@
             self.duties.memory = Memory(self.settings.state, self.name, wall_ms())
         self.duties.vote(self.clock.now())
 
-    def _rolled(self, roll: Roll) -> None:
-        self.duties.adopt(roll)
+    def _adopt_voter_config(self, config: VoterConfig) -> None:
+        self.duties.adopt_voter_config(config)
         if self.duties.voter is None and self.post.address == self.address_of(self.name):
             self._vote()
 
@@ -462,21 +478,21 @@
 
     def _wish(self, add: dict[str, str], remove: str) -> dict[str, Any]:
         """Change the voters: as soon as this instance holds the duty to."""
-        if self.electing.wish is not None:
+        if self.reconfiguration.request is not None:
             return {"error": "a change is under way here"}
         try:
-            changed(self.electing.roll, 0, add, remove)
+            next_config(self.reconfiguration.config, 0, add, remove)
             for name, address in add.items():
                 if address or named(name, "NAME") not in self.settings.static:
                     checked(address, "ADDRESS", self.settings.key)
         except (ValueError, ValidationError) as error:
             return {"error": str(error)}
-        self.electing.wish, self.electing.result = Wish(add, remove), {}
-        self.duties.holdings[DUTY].candidate.want(self.clock.now(), 0.0)
+        self.reconfiguration.request, self.reconfiguration.result = ChangeRequest(add, remove), {}
+        self.duties.holdings[VOTERS_DUTY].candidate.want(self.clock.now(), 0.0)
         self._set()
-        return self.electing.status()
+        return self.reconfiguration.status()
 
-    async def _handing(self, duty: str, who: Who) -> None:
+    async def _handing(self, duty: str, who: ProcessId) -> None:
         """To who is asked first whether it takes a duty, before that is let go of."""
         if self.rights is None or self.members is None or not duty.startswith(RIGHTS):
             return
@@ -484,7 +500,7 @@
             part = int(duty.removeprefix(RIGHTS))
             await self.rights.handing(part, (self.members.where(member), who.boot))
 
-    def _offer(self, who: Who, duty: str, fence: int) -> None:
+    def _offer(self, who: ProcessId, duty: str, fence: int) -> None:
         assert self.members is not None
         order = [w for w in self.duties.orders.get(duty, []) if w != self.me]
         if member := self.members.table.get(who):
@@ -522,7 +538,7 @@
         if call == "change":
             return self._wish(dict(args.get("add", {})), str(args.get("remove", "")))
         if call == "change-status":
-            return self.electing.status()
+            return self.reconfiguration.status()
         known = "members, duties, voters, limits, verdicts, orders, hand-over, run, change, order"
         return {"error": f"{call!r} is no call; there are {known}"}
 
--- a/roadpulley/fleet/clock.py
+++ b/roadpulley/fleet/clock.py
@@ -10,7 +10,7 @@
 import os
 import time
 
-from .duties.terms import Mono
+from .duties.terms import MonotonicTime
 
 CLOCK_RATE_VARIABLE = "ROADPULLEY_CLOCK_RATE"  # of the testbed: how fast this process's own clock runs
 
@@ -25,7 +25,7 @@
         self.rate = rate
         self.id = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
-    def now(self) -> Mono:
+    def now(self) -> MonotonicTime:
         return time.clock_gettime(self.id) * self.rate
 
     def unscaled_now(self) -> float:
--- a/roadpulley/fleet/counts/messages.py
+++ b/roadpulley/fleet/counts/messages.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from roadpulley.fleet.duties.terms import Who
+from roadpulley.fleet.duties.terms import ProcessId
 
 MAX_NAME_BYTES = 80  # bytes of a number's name
 MAX_PARTS_PER_BATCH = 16  # parts in one body, so that it fits into a datagram
@@ -34,14 +34,14 @@
 class PartBatch(msgspec.Struct, tag="c-parts", array_like=True, frozen=True):
     """Of one owner, whoever sends them."""
 
-    owner: Who
+    owner: ProcessId
     parts: tuple[CounterPart, ...]
 
 
 class Digest(msgspec.Struct, tag="c-digest", array_like=True, frozen=True):
     """One hash for each bucket of an owner's numbers; an empty one where nothing is known of it."""
 
-    owner: Who
+    owner: ProcessId
     buckets: tuple[int, ...]
 
 
--- a/roadpulley/fleet/counts/service.py
+++ b/roadpulley/fleet/counts/service.py
@@ -14,7 +14,7 @@
 
 from roadpulley.checks import Table
 from roadpulley.fleet.clock import Clock
-from roadpulley.fleet.duties.terms import Mono, Who
+from roadpulley.fleet.duties.terms import MonotonicTime, ProcessId
 from roadpulley.fleet.peers.service import Route
 from roadpulley.fleet.worker_socket import WorkerSocket
 
@@ -43,7 +43,7 @@
     def __init__(
         self,
         settings: ReplicationSettings,
-        me: Who,
+        me: ProcessId,
         beside: WorkerSocket,
         clock: Clock,
         rng: random.Random,
@@ -56,7 +56,7 @@
         self.adds = self.refused = 0
         self.saying: asyncio.TimerHandle | None = None  # while there is something to say
         self.comparing: asyncio.TimerHandle | None = None
-        self.sweep_at: Mono = 0.0
+        self.sweep_at: MonotonicTime = 0.0
 
     def open(self) -> None:
         self._look()
--- a/roadpulley/fleet/counts/state_machine.py
+++ b/roadpulley/fleet/counts/state_machine.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from roadpulley.fleet.duties.terms import Mono, Who
+from roadpulley.fleet.duties.terms import MonotonicTime, ProcessId
 
 from .messages import (
     BUCKET_COUNT,
@@ -30,7 +30,7 @@
 class StoredPart:
     version: int
     total: float
-    until: Mono
+    until: MonotonicTime
     bucket: int
 
 
@@ -43,19 +43,19 @@
 
 
 class ReplicatedCounters:
-    def __init__(self, me: Who) -> None:
+    def __init__(self, me: ProcessId) -> None:
         self.me = me
-        self.numbers: dict[str, dict[Who, StoredPart]] = {}  # by name, what each owner added
-        self.owners: dict[Who, OwnerIndex] = defaultdict(OwnerIndex)
+        self.numbers: dict[str, dict[ProcessId, StoredPart]] = {}  # by name, what each owner added
+        self.owners: dict[ProcessId, OwnerIndex] = defaultdict(OwnerIndex)
         self.version = 0
         self.changed: dict[str, None] = {}  # of ours: not told yet, the oldest first
-        self.answered: OrderedDict[tuple[int, int], tuple[Mono, float]] = OrderedDict()
+        self.answered: OrderedDict[tuple[int, int], tuple[MonotonicTime, float]] = OrderedDict()
         self.parts = 0
         self.full = 0  # parts that were not taken up, as there were too many
 
     # ---- to add and to read ----
 
-    def add(self, now: Mono, ask: AddRequest) -> AddReply | None:
+    def add(self, now: MonotonicTime, ask: AddRequest) -> AddReply | None:
         """Once for each number that a process gives its asks; None for nonsense."""
         if not math.isfinite(ask.amount) or ask.keep_ms <= 0:
             return None
@@ -66,7 +66,7 @@
         self._forget_answers(now)
         return AddReply(ask.holder, ask.number, known[1])
 
-    def _add(self, now: Mono, name: str, amount: float, keep: float) -> float:
+    def _add(self, now: MonotonicTime, name: str, amount: float, keep: float) -> float:
         mine = self._of(name, self.me)
         if mine is not None and mine.until <= now:
             self._drop(name, self.me)
@@ -79,10 +79,10 @@
             self.changed[name] = None
         return self.total(now, name)
 
-    def total(self, now: Mono, name: str) -> float:
+    def total(self, now: MonotonicTime, name: str) -> float:
         return sum(kept.total for kept in self.numbers.get(name, {}).values() if kept.until > now)
 
-    def _forget_answers(self, now: Mono) -> None:
+    def _forget_answers(self, now: MonotonicTime) -> None:
         while self.answered:
             at, _ = next(iter(self.answered.values()))
             if now - at < REPLY_CACHE_S and len(self.answered) <= MAX_CACHED_REPLIES:
@@ -91,7 +91,7 @@
 
     # ---- to tell ----
 
-    def news(self, now: Mono) -> list[PartBatch]:
+    def news(self, now: MonotonicTime) -> list[PartBatch]:
         """What was added here since the last call, for everybody."""
         names, self.changed = list(self.changed), {}
         return list(self._pages(now, self.me, names))
@@ -102,7 +102,7 @@
             self.owners[self.me] = OwnerIndex()
         return [Digest(owner, tuple(owned.hashes)) for owner, owned in self.owners.items()]
 
-    def heard(self, now: Mono, body: ReplicaMessage) -> list[ReplicaMessage]:
+    def heard(self, now: MonotonicTime, body: ReplicaMessage) -> list[ReplicaMessage]:
         """Take in what another instance says; gives what to answer it."""
         if isinstance(body, Digest):
             return list(self._compare(now, body))
@@ -110,7 +110,7 @@
             self._merge(now, body.owner, part)
         return []
 
-    def _merge(self, now: Mono, owner: Who, part: CounterPart) -> None:
+    def _merge(self, now: MonotonicTime, owner: ProcessId, part: CounterPart) -> None:
         if owner == self.me:
             return  # nobody knows better what was added here
         known = self._of(part.name, owner)
@@ -125,7 +125,7 @@
         until = known.until if known is not None else now + part.left_ms / 1000
         self._keep(part.name, owner, part.version, part.total, until)
 
-    def _compare(self, now: Mono, digest: Digest) -> Iterator[ReplicaMessage]:
+    def _compare(self, now: MonotonicTime, digest: Digest) -> Iterator[ReplicaMessage]:
         """What the other lacks of an owner; and our own digest, if it may have what we lack."""
         owned = self.owners.get(digest.owner)
         ours = tuple(owned.hashes) if owned is not None else (0,) * BUCKET_COUNT
@@ -137,7 +137,7 @@
         if digest.owner != self.me and any(digest.buckets):
             yield Digest(digest.owner, ours)
 
-    def _pages(self, now: Mono, owner: Who, names: Iterable[str]) -> Iterator[PartBatch]:
+    def _pages(self, now: MonotonicTime, owner: ProcessId, names: Iterable[str]) -> Iterator[PartBatch]:
         some: list[CounterPart] = []
         for name in names:
             kept = self._of(name, owner)
@@ -152,10 +152,10 @@
 
     # ---- what is kept ----
 
-    def _of(self, name: str, owner: Who) -> StoredPart | None:
+    def _of(self, name: str, owner: ProcessId) -> StoredPart | None:
         return self.numbers.get(name, {}).get(owner)
 
-    def _keep(self, name: str, owner: Who, version: int, total: float, until: Mono) -> None:
+    def _keep(self, name: str, owner: ProcessId, version: int, total: float, until: MonotonicTime) -> None:
         self._drop(name, owner)
         bucket = bucket_of(name)
         self.numbers.setdefault(name, {})[owner] = StoredPart(version, total, until, bucket)
@@ -164,7 +164,7 @@
         owned.hashes[bucket] ^= hash_of(name, version)
         self.parts += 1
 
-    def _drop(self, name: str, owner: Who) -> None:
+    def _drop(self, name: str, owner: ProcessId) -> None:
         number = self.numbers.get(name, {})
         kept = number.pop(owner, None)
         if kept is None:
@@ -176,7 +176,7 @@
         owned.hashes[kept.bucket] ^= hash_of(name, kept.version)
         self.parts -= 1
 
-    def sweep(self, now: Mono) -> None:
+    def sweep(self, now: MonotonicTime) -> None:
         """Forget numbers that have ended, and owners of whom nothing is left."""
         ended = [(n, o) for n, number in self.numbers.items() for o, k in number.items() if k.until <= now]
         for name, owner in ended:
--- /dev/null
+++ b/roadpulley/fleet/duties/reconfiguration.py
@@ -0,0 +1,209 @@
+"""The shell of changes to the voters: what this instance goes by, and the change that it makes, if it
+does."""
+
+from __future__ import annotations
+
+import json
+import threading
+from collections.abc import Callable, Mapping
+from dataclasses import asdict, dataclass
+from pathlib import Path
+from typing import Any
+
+import structlog
+
+from roadpulley.checks import ValidationError
+from roadpulley.fleet.clock import Clock
+
+from .memory import replace
+from .terms import LeaseTimes
+from .voter_config import (
+    VOTERS_DUTY,
+    ChangeStep,
+    VoterChange,
+    VoterConfig,
+    VoterConfigAck,
+    VoterConfigId,
+    VoterConfigQuery,
+    VoterConfigState,
+    initial_config,
+)
+from .work import Duty, WorkDone
+
+log = structlog.get_logger("roadpulley.fleet.voters")
+
+LOOK_S = 0.05
+
+
+class VoterConfigFile:
+    """Stores the voter configuration and the promised fence of one instance, if it has a state folder.
+
+    Raises ValidationError for a file that can't be read.
+    """
+
+    def __init__(self, folder: Path | None, name: str, voters: Mapping[str, str]) -> None:
+        self.path = folder / f"{name}.roll" if folder is not None else None
+        self.state = VoterConfigState(
+            initial_config(dict.fromkeys(voters, ""))
+        )  # where they are, the settings say
+        if self.path is not None and self.path.exists():
+            try:
+                raw = json.loads(self.path.read_bytes())
+                both = [{str(k): str(v) for k, v in raw[key].items()} for key in ("voters", "before")]
+                config = VoterConfig(VoterConfigId(*map(int, raw["id"])), *both)
+                self.state = VoterConfigState(config, int(raw["promised"]))
+            except (OSError, ValueError, KeyError, TypeError, AttributeError) as error:
+                right = "bring it back, or remove it where the settings name today's voters"
+                raise ValidationError(str(self.path), f"can't be read ({error})", right) from error
+
+    def adopt(self, state: VoterConfigState) -> bool:
+        """From now on, once it is on disk; gives whether it is.
+
+        Danger: what is told to others and not kept can be broken after a restart; what is kept half, as a
+        roll that is named and not voted by, would let two generations be granted at once.
+        """
+        if state is not self.state and self.path is not None:
+            try:
+                self._write(self.path, state)
+            except OSError as error:
+                log.error("the voters cannot be remembered", path=str(self.path), why=str(error))
+                return False
+        self.state = state
+        return True
+
+    def _write(self, path: Path, state: VoterConfigState) -> None:
+        config = state.config
+        promised = state.promised_fence
+        data = {"id": list(config.id), "voters": config.voters, "before": config.before, "promised": promised}
+        path.parent.mkdir(parents=True, exist_ok=True)
+        replace(path, json.dumps(data).encode())
+
+
+@dataclass
+class ChangeRequest:
+    add: dict[str, str]
+    remove: str
+
+
+class Reconfiguration:
+    """`send` takes a voter's name, its address and a body; `taken` is called with each new roll."""
+
+    def __init__(
+        self,
+        config_file: VoterConfigFile,
+        times: LeaseTimes,
+        clock: Clock,
+        send: Callable[[str, str, Any], None],
+        on_config_change: Callable[[VoterConfig], None],
+    ) -> None:
+        self.config_file, self.times, self.clock, self.send, self.on_config_change = (
+            config_file,
+            times,
+            clock,
+            send,
+            on_config_change,
+        )
+        self.request: ChangeRequest | None = None
+        self.change: VoterChange | None = None
+        self.result: dict[str, Any] = {}
+
+    @property
+    def config(self) -> VoterConfig:
+        return self.config_file.state.config
+
+    # ---- datagrams ----
+
+    def handle_query(self, query: VoterConfigQuery) -> VoterConfig | None:
+        """None: nothing is said, as what would be promised could not be kept."""
+        return self.config if self.config_file.adopt(self.config_file.state.after_query(query)) else None
+
+    def handle_config(self, config: VoterConfig) -> VoterConfigAck:
+        before = self.config
+        if self.config_file.adopt(self.config_file.state.after_config(config)) and self.config is not before:
+            log.info(
+                "voters", generation=config.id.generation, fence=config.id.fence, voters=sorted(config.voters)
+            )
+            self.on_config_change(config)
+        return VoterConfigAck(self.config.id)
+
+    def handle_response(self, voter: str, body: VoterConfig | VoterConfigAck) -> None:
+        """What a voter answers to the change that is under way here."""
+        if self.change is None:
+            return
+        now = self.clock.now()
+        if isinstance(body, VoterConfig):
+            self.change.handle_reported_config(now, voter, body)
+        else:
+            self.change.handle_ack(now, voter, body.id)
+        self.tick()
+
+    # ---- one change ----
+
+    def start_change(self, fence: int) -> None:
+        request = self.request
+        if request is not None:
+            self.change = VoterChange(
+                self.clock.now(), self.times, self.config, fence, request.add, request.remove
+            )
+            self.tick()
+
+    def tick(self) -> None:
+        change = self.change
+        if change is None:
+            return
+        for name, address in change.tick(self.clock.now()).items():
+            body = VoterConfigQuery(change.fence) if change.step is ChangeStep.READING else change.config
+            self.send(name, address, body)
+        if change.step in (ChangeStep.DONE, ChangeStep.FAILED):
+            self.finish_change(change.step is ChangeStep.DONE, change.reason)
+
+    def finish_change(self, done: bool, reason: str) -> None:
+        change, self.change, self.request = self.change, None, None
+        voters = change.config.voters if change is not None and done else self.config.voters
+        self.result = {"step": "done" if done else "failed", "why": reason, "voters": dict(voters)}
+        if done and change is not None:
+            self.result["id"] = list(change.config.id)
+            self.handle_config(change.config)
+
+    def status(self) -> dict[str, Any]:
+        if self.change is not None:
+            return {
+                "step": self.change.step.value,
+                "why": "",
+                **asdict(self.request or ChangeRequest({}, "")),
+            }
+        return self.result or {"step": "waiting for the duty" if self.request else "none", "why": ""}
+
+
+class ReconfigurationWork:
+    """The work of the duty: to see one change through. It touches the voters, which go by the fence."""
+
+    def __init__(self, reconfiguration: Reconfiguration, soon: Callable[[Callable[[], None]], None]) -> None:
+        self.reconfiguration, self.soon = reconfiguration, soon
+        self.name = VOTERS_DUTY
+
+    def claim(self, fence: int, owner: str) -> int | None:
+        return None
+
+    def act(self, duty: Duty) -> float | None:
+        over = threading.Event()
+
+        begun = False
+
+        def look() -> None:
+            nonlocal begun
+            if not begun:
+                # Danger: what an earlier holding had begun was promised under a lower fence.
+                begun, self.reconfiguration.change = True, None
+            if self.reconfiguration.change is None and self.reconfiguration.request is not None:
+                self.reconfiguration.start_change(duty.fence)
+            self.reconfiguration.tick()
+            if self.reconfiguration.request is None:
+                over.set()
+
+        while duty.still_mine() and not over.is_set():
+            self.soon(look)
+            over.wait(LOOK_S)
+        if over.is_set():
+            raise WorkDone("the voters are changed, or stay as they are")
+        return LOOK_S
--- a/roadpulley/fleet/duties/service.py
+++ b/roadpulley/fleet/duties/service.py
@@ -18,10 +18,10 @@
 
 from .candidate import NEVER_DUE, Action, Began, Candidate, Claim, Ended, Renewed, Send, State
 from .memory import Memory
-from .roll import DUTY, Roll
 from .spread import STANDBY, STEP_S, spread
-from .terms import Accept, Answer, Mono, Prepare, Question, Who
+from .terms import Accept, MonotonicTime, Prepare, ProcessId, VoterRequest, VoterResponse
 from .voter import Voter
+from .voter_config import VOTERS_DUTY, VoterConfig
 from .work import Duty, StaleFenceError, Work, WorkDone, WorkFailed
 
 CLAIM_AGAIN_S = 0.2
@@ -40,11 +40,11 @@
     work: Work
     duty: Duty | None = None
     task: asyncio.Task[None] | None = None
-    began: Mono = 0.0
+    began: MonotonicTime = 0.0
     acts: int = 0
     last: str = ""  # how the last holding ended, or why work failed
-    better: Mono = math.inf  # since when another instance should have it
-    let_go: Mono = -math.inf  # when it was handed over
+    better: MonotonicTime = math.inf  # since when another instance should have it
+    let_go: MonotonicTime = -math.inf  # when it was handed over
     leaving: bool = False
     hurry: bool = False  # the next round is wanted now
 
@@ -55,52 +55,55 @@
     and under which fence it was held last."""
 
     settings: FleetSettings
-    me: Who
+    me: ProcessId
     clock: Clock
     works: Mapping[str, Work]
-    ask: Callable[[str, Question], None]
-    offer: Callable[[Who, str, int], None]
+    ask: Callable[[str, VoterRequest], None]
+    offer: Callable[[ProcessId, str, int], None]
     changed: Callable[[], None]  # a timer is to be set anew
     executor: Executor
     rng: random.Random
-    roll: Roll
+    voter_config: VoterConfig
     wished: Callable[[], bool]  # whether the voters are to be changed from here
-    handing: Callable[[str, Who], Awaitable[None]] | None = None  # what the next holder is told before
+    handing: Callable[[str, ProcessId], Awaitable[None]] | None = None  # what the next holder is told before
     memory: Memory | None = None  # of one that may vote; None: nobody would find it
     voter: Voter | None = None  # also of who is no voter yet: once it is one, it need not keep silent first
     holdings: dict[str, Holding] = field(default_factory=dict)
-    orders: dict[str, list[Who]] = field(default_factory=dict)
+    orders: dict[str, list[ProcessId]] = field(default_factory=dict)
     leaving: bool = False
-    next_hand_over: Mono = 0.0
+    next_hand_over: MonotonicTime = 0.0
 
     def __post_init__(self) -> None:
         for name, work in self.works.items():
             self.add(self.settings.duties[name], work)
 
     def add(self, settings: DutySettings, work: Work) -> None:
-        voters = frozenset(self.roll.voters)
+        voters = frozenset(self.voter_config.voters)
         candidate = Candidate(
-            settings.name, self.me, voters, self.settings.times, self.rng.random, self.roll.id
+            settings.name, self.me, voters, self.settings.times, self.rng.random, self.voter_config.id
         )
         self.holdings[settings.name] = Holding(settings, candidate, work)
 
-    def adopt(self, roll: Roll) -> None:
+    def adopt_voter_config(self, voter_config: VoterConfig) -> None:
         """Other voters count from now on. What is held stays held, and is renewed by them."""
-        self.roll = roll
+        self.voter_config = voter_config
         if self.voter is not None:
-            self.voter.roll = roll.id
+            self.voter.config_id = voter_config.id
         for holding in self.holdings.values():
             candidate = holding.candidate
-            self.do(holding, candidate.recount(self.clock.now(), roll.id, frozenset(roll.voters)))
+            self.do(
+                holding,
+                candidate.set_voters(self.clock.now(), voter_config.id, frozenset(voter_config.voters)),
+            )
 
     # ---- the vote ----
 
-    def vote(self, now: Mono) -> None:
+    def vote(self, now: MonotonicTime) -> None:
         """Begin to vote, with nothing in memory but which fences may have been used."""
         assert self.memory is not None
-        self.voter = Voter(self.settings.times, now, self.memory.floor, self.roll.id)
+        self.voter = Voter(self.settings.times, now, self.memory.floor, self.voter_config.id)
 
-    def asked(self, question: Question) -> Answer | None:
+    def asked(self, question: VoterRequest) -> VoterResponse | None:
         if self.voter is None or self.memory is None:
             return None
         if isinstance(question, Prepare | Accept):
@@ -118,7 +121,7 @@
 
     # ---- candidates ----
 
-    def answered(self, voter: str, answer: Answer) -> None:
+    def answered(self, voter: str, answer: VoterResponse) -> None:
         if holding := self.holdings.get(answer.duty):
             self.do(holding, holding.candidate.heard(self.clock.now(), voter, answer))
 
@@ -138,7 +141,7 @@
             if now >= holding.candidate.next_at():
                 self.do(holding, holding.candidate.tick(now))
 
-    def next_at(self) -> Mono:
+    def next_at(self) -> MonotonicTime:
         return min((h.candidate.next_at() for h in self.holdings.values()), default=NEVER_DUE)
 
     def arrange(self, members: list[Member], bits: Mapping[str, int]) -> None:
@@ -147,7 +150,7 @@
         able = {n: [m.who for m in members if m.can >> bits[n] & 1] for n in names}
         self.orders = spread(able, {n: self.settings.duties[n].prefer for n in names})
         for name, holding in self.holdings.items():
-            if name == DUTY:
+            if name == VOTERS_DUTY:
                 if self.wished() and holding.candidate.due == NEVER_DUE and not self.leaving:
                     holding.candidate.want(now, 0.0)
                 continue  # taken only by who has something to change
@@ -164,9 +167,9 @@
         self._even_out(now)
         self.changed()
 
-    def _even_out(self, now: Mono) -> None:
+    def _even_out(self, now: MonotonicTime) -> None:
         """Hand over what another should have, one at a time, once that has stood for a while."""
-        held = [h for name, h in self.holdings.items() if h.duty is not None and name != DUTY]
+        held = [h for name, h in self.holdings.items() if h.duty is not None and name != VOTERS_DUTY]
         for holding in held:
             name, order = holding.settings.name, self.orders.get(holding.settings.name, [])
             mine = self._part(self.me)
@@ -182,7 +185,7 @@
                 holding.better = math.inf
                 self.hand_over(name, f"{order[0].name} should have it")
 
-    def _part(self, who: Who) -> int:
+    def _part(self, who: ProcessId) -> int:
         return sum(1 for order in self.orders.values() if order and order[0] == who)
 
     # ---- actions ----
--- a/roadpulley/fleet/duties/spread.py
+++ b/roadpulley/fleet/duties/spread.py
@@ -10,7 +10,7 @@
 import hashlib
 from collections.abc import Mapping, Sequence
 
-from .terms import Who
+from .terms import ProcessId
 
 STANDBY = 3  # that try to take a duty nobody seems to hold; the others wait until these are dead
 STEP_S = 0.15  # between their tries: the first has taken it by then
@@ -20,17 +20,19 @@
     return int.from_bytes(hashlib.blake2b(f"{duty}\0{name}".encode(), digest_size=8).digest())
 
 
-def order(duty: str, able: Sequence[Who], preferred: Sequence[str]) -> list[Who]:
+def order(duty: str, able: Sequence[ProcessId], preferred: Sequence[str]) -> list[ProcessId]:
     """All that may hold it, first choice first. Of processes of one name, the higher boot."""
 
-    def key(who: Who) -> tuple[int, int, int]:
+    def key(who: ProcessId) -> tuple[int, int, int]:
         rank = preferred.index(who.name) if who.name in preferred else len(preferred)
         return rank, -weight(duty, who.name), -who.boot
 
     return sorted(able, key=key)
 
 
-def spread(able: Mapping[str, Sequence[Who]], preferred: Mapping[str, Sequence[str]]) -> dict[str, list[Who]]:
+def spread(
+    able: Mapping[str, Sequence[ProcessId]], preferred: Mapping[str, Sequence[str]]
+) -> dict[str, list[ProcessId]]:
     """By duty: in which order its candidates should try, the one that has room for it first.
 
     `able`: by duty, the live processes that may hold it.
@@ -38,7 +40,7 @@
     everyone = {who for those in able.values() for who in those}
     room = -(-sum(1 for those in able.values() if those) // max(1, len(everyone)))
     load = dict.fromkeys(everyone, 0)
-    found: dict[str, list[Who]] = {}
+    found: dict[str, list[ProcessId]] = {}
     # Preferences first: they should not lose their place to duties that would go anywhere.
     for duty in sorted(able, key=lambda d: (not preferred.get(d), d)):
         wanted = order(duty, able[duty], preferred.get(duty, ()))
--- a/roadpulley/fleet/duties/terms.py
+++ b/roadpulley/fleet/duties/terms.py
@@ -27,11 +27,11 @@
 
 import msgspec
 
-Mono: TypeAlias = float  # seconds of a process's own monotonic clock: how long may I. Never sent.
-MOST_ROUND = 2**53  # a sink may read fences as JSON numbers
+MonotonicTime: TypeAlias = float  # seconds of a process's own monotonic clock: how long may I. Never sent.
+MAX_ROUND = 2**53  # a sink may read fences as JSON numbers
 
 
-class Who(NamedTuple):
+class ProcessId(NamedTuple):
     """One process. Another process of the same name, after a restart or in an upgrade, has another boot."""
 
     name: str
@@ -42,14 +42,14 @@
     """Of one try to take a duty. `round` becomes the fence of the holding."""
 
     round: int
-    who: Who
+    who: ProcessId
 
 
-NOBODY = Who("", 0)
-NEVER = Ballot(0, NOBODY)
+NO_PROCESS = ProcessId("", 0)
+NO_BALLOT = Ballot(0, NO_PROCESS)
 
 
-class Times(msgspec.Struct, frozen=True):
+class LeaseTimes(msgspec.Struct, frozen=True):
     """Seconds, and a share for `drift`. Raises ValueError where they don't leave a holder any time."""
 
     lease: float = 4.0  # for which a voter keeps a grant, by its own clock
@@ -77,7 +77,7 @@
             raise ValueError(f"lease is {self.lease:g}; {right}")
 
     @property
-    def holds(self) -> float:
+    def hold_duration(self) -> float:
         """For which a holder may act, from when it asked, by its own clock.
 
         Danger: a slow holder and a fast voter run apart by twice the drift. Without both factors the holder
@@ -86,9 +86,9 @@
         return self.lease * (1 - self.drift) / (1 + self.drift) - self.margin
 
     @property
-    def renew(self) -> float:
+    def renewal_interval(self) -> float:
         """After an ask that was granted, the next is made. Two thirds are left for those that get lost."""
-        return self.holds / 3
+        return self.hold_duration / 3
 
 
 # ---- messages: from a candidate to one voter ----
@@ -99,7 +99,7 @@
 
     duty: str
     ballot: Ballot
-    roll: tuple[int, int]  # the id of the roll whose voters the candidate counts
+    config_id: tuple[int, int]  # the id of the roll whose voters the candidate counts
 
 
 class Accept(msgspec.Struct, tag="acc", array_like=True, frozen=True):
@@ -107,10 +107,10 @@
 
     duty: str
     ballot: Ballot
-    ask: int
-    roll: tuple[int, int]
+    request_number: int
+    config_id: tuple[int, int]
     lease_ms: int
-    held: bool  # it is held under this ballot: by a majority that may have been without this voter
+    is_renewal: bool  # it is held under this ballot: by a majority that may have been without this voter
 
 
 class Release(msgspec.Struct, tag="rel", array_like=True, frozen=True):
@@ -131,21 +131,21 @@
     ballot: Ballot
 
 
-class Granted(msgspec.Struct, tag="ok", array_like=True, frozen=True):
+class LeaseGrant(msgspec.Struct, tag="ok", array_like=True, frozen=True):
     duty: str
     ballot: Ballot
-    ask: int
+    request_number: int
 
 
-class Refused(msgspec.Struct, tag="no", array_like=True, frozen=True):
+class LeaseRejection(msgspec.Struct, tag="no", array_like=True, frozen=True):
     """`round`: the highest that this voter knows of; `left_ms`: until it might say yes."""
 
     duty: str
     ballot: Ballot
-    holder: Who
-    left_ms: int
+    holder: ProcessId
+    retry_after_ms: int
     round: int
 
 
-Question: TypeAlias = Prepare | Accept | Release
-Answer: TypeAlias = Promise | Granted | Refused
+VoterRequest: TypeAlias = Prepare | Accept | Release
+VoterResponse: TypeAlias = Promise | LeaseGrant | LeaseRejection
--- a/roadpulley/fleet/duties/voter.py
+++ b/roadpulley/fleet/duties/voter.py
@@ -21,20 +21,20 @@
 from dataclasses import dataclass, field
 
 from .terms import (
-    MOST_ROUND,
-    NEVER,
-    NOBODY,
+    MAX_ROUND,
+    NO_BALLOT,
+    NO_PROCESS,
     Accept,
-    Answer,
     Ballot,
-    Granted,
-    Mono,
+    LeaseGrant,
+    LeaseRejection,
+    LeaseTimes,
+    MonotonicTime,
     Prepare,
     Promise,
-    Question,
-    Refused,
     Release,
-    Times,
+    VoterRequest,
+    VoterResponse,
 )
 
 FIRST_COOL_S, LONGEST_COOL_S = 0.5, 60.0  # doubled with each holding in a row that failed
@@ -47,11 +47,11 @@
 class Kept:
     """Of one duty."""
 
-    promised: Ballot = NEVER
-    granted: Ballot = NEVER
-    until: Mono = 0.0
-    since: Mono = 0.0  # of the grant's ballot
-    cool: Mono = 0.0  # until when nobody may begin
+    promised: Ballot = NO_BALLOT
+    granted: Ballot = NO_BALLOT
+    until: MonotonicTime = 0.0
+    since: MonotonicTime = 0.0  # of the grant's ballot
+    cool: MonotonicTime = 0.0  # until when nobody may begin
     failures: int = 0
 
 
@@ -62,17 +62,17 @@
     Danger: a process that voted at once after its start might have granted the duty to another just before.
     """
 
-    times: Times
-    started: Mono
+    times: LeaseTimes
+    started: MonotonicTime
     floor: int = 0
-    roll: tuple[int, int] = (0, 0)  # only what is asked under the same one is granted
+    config_id: tuple[int, int] = (0, 0)  # only what is asked under the same one is granted
     lost_memory: bool = True  # False: the installation begins, and nobody has asked for anything yet
     kept: dict[str, Kept] = field(default_factory=dict)
 
-    def speaks_at(self) -> Mono:
+    def speaks_at(self) -> MonotonicTime:
         return self.started + self.times.silence if self.lost_memory else self.started
 
-    def on(self, now: Mono, asked: Question) -> Answer | None:
+    def on(self, now: MonotonicTime, asked: VoterRequest) -> VoterResponse | None:
         """What a candidate of this installation asks; None: nothing is said."""
         if now < self.speaks_at():
             return None
@@ -82,12 +82,12 @@
         if isinstance(asked, Release):
             self._release(now, kept, asked)
             return None
-        if tuple(asked.roll) != tuple(self.roll):
+        if tuple(asked.config_id) != tuple(self.config_id):
             # Danger: a majority of one roll need not share a voter with a majority of any other.
-            return Refused(asked.duty, asked.ballot, NOBODY, 0, self._top(kept))
+            return LeaseRejection(asked.duty, asked.ballot, NO_PROCESS, 0, self._top(kept))
         if isinstance(asked, Accept) and not 0 < asked.lease_ms <= self.times.silence * 1000:
             # Danger: a grant that outlives the silence after a restart would be forgotten while it runs.
-            return Refused(asked.duty, asked.ballot, NOBODY, BUSY_MS, self._top(kept))
+            return LeaseRejection(asked.duty, asked.ballot, NO_PROCESS, BUSY_MS, self._top(kept))
         if now < kept.until and kept.granted.who != asked.ballot.who:
             return self._no(now, kept, asked, kept.until)
         if isinstance(asked, Prepare) and now < kept.cool:
@@ -100,14 +100,14 @@
         if kept.granted != asked.ballot:
             kept.granted, kept.since = asked.ballot, now
         kept.until = now + asked.lease_ms / 1000
-        return Granted(asked.duty, asked.ballot, asked.ask)
+        return LeaseGrant(asked.duty, asked.ballot, asked.request_number)
 
     def highest(self) -> int:
         return max((k.promised.round for k in self.kept.values()), default=self.floor)
 
     def most(self) -> int:
         """The highest round that any duty's ballot may have here."""
-        return min(MOST_ROUND, max(self.highest(), self.floor) + MOST_STEP)
+        return min(MAX_ROUND, max(self.highest(), self.floor) + MOST_STEP)
 
     # ---- inside ----
 
@@ -120,23 +120,25 @@
             # A voter that came back knows no ballot, and its floor may be above those that are held: it joins
             # them. Danger: an Accept that is no renewal, for a ballot not promised here, may be of a try that
             # was overtaken long ago.
-            return asked.held and number > kept.promised.round
+            return asked.is_renewal and number > kept.promised.round
         # Danger: a round near the end of all numbers would leave none for the next holder.
         top = max(kept.promised.round, self.floor)
-        return top < number <= min(MOST_ROUND, top + MOST_STEP)
+        return top < number <= min(MAX_ROUND, top + MOST_STEP)
 
     def _top(self, kept: Kept) -> int:
         return max(kept.promised.round, self.floor)
 
-    def _no(self, now: Mono, kept: Kept, asked: Prepare | Accept, until: Mono) -> Refused:
-        holder = kept.granted.who if now < kept.until else NOBODY
+    def _no(
+        self, now: MonotonicTime, kept: Kept, asked: Prepare | Accept, until: MonotonicTime
+    ) -> LeaseRejection:
+        holder = kept.granted.who if now < kept.until else NO_PROCESS
         left = max(0, int((until - now) * 1000) + 1) if until > now else BUSY_MS
-        return Refused(asked.duty, asked.ballot, holder, left, self._top(kept))
+        return LeaseRejection(asked.duty, asked.ballot, holder, left, self._top(kept))
 
-    def _release(self, now: Mono, kept: Kept, asked: Release) -> None:
+    def _release(self, now: MonotonicTime, kept: Kept, asked: Release) -> None:
         if asked.ballot == kept.promised:
             # Danger: a renewal that comes after the release would have it held by nobody for a lease.
-            kept.promised = Ballot(asked.ballot.round, NOBODY)
+            kept.promised = Ballot(asked.ballot.round, NO_PROCESS)
         if asked.ballot != kept.granted or now >= kept.until:
             return
         kept.until = now
--- a/roadpulley/fleet/duties/roll.py
+++ b/roadpulley/fleet/duties/voter_config.py
@@ -28,49 +28,49 @@
 
 import msgspec
 
-from .terms import MOST_ROUND, Mono, Times
+from .terms import MAX_ROUND, LeaseTimes, MonotonicTime
 
-DUTY = "fleet.voters"  # of changing them; no duty of the settings has a dot first, or this name
+VOTERS_DUTY = "fleet.voters"  # of changing them; no duty of the settings has a dot first, or this name
 
 
-class RollId(NamedTuple):
+class VoterConfigId(NamedTuple):
     generation: int
     fence: int
 
 
-FIRST = RollId(0, 0)  # of the settings
-MOST_VOTERS = 9  # a roll with the one before it has to fit into a datagram
+INITIAL_CONFIG_ID = VoterConfigId(0, 0)  # of the settings
+MAX_VOTERS = 9  # a roll with the one before it has to fit into a datagram
 
 
-class Roll(msgspec.Struct, tag="roll", array_like=True, frozen=True):
+class VoterConfig(msgspec.Struct, tag="roll", array_like=True, frozen=True):
     """Voters by name, with their addresses; empty: where the settings of each instance have that name."""
 
-    id: RollId
+    id: VoterConfigId
     voters: dict[str, str]
     before: dict[str, str]  # the voters of the generation before
 
 
-class RollAsk(msgspec.Struct, tag="rask", array_like=True, frozen=True):
+class VoterConfigQuery(msgspec.Struct, tag="rask", array_like=True, frozen=True):
     """Tell me the roll that you go by. `fence`: of a holding that will change it, 0 of one who only asks."""
 
     fence: int
 
 
-class RollTaken(msgspec.Struct, tag="rok", array_like=True, frozen=True):
+class VoterConfigAck(msgspec.Struct, tag="rok", array_like=True, frozen=True):
     """I go by this one now, or by a higher one."""
 
-    id: RollId
+    id: VoterConfigId
 
 
-def majority(voters: Mapping[str, str]) -> int:
+def majority_size(voters: Mapping[str, str]) -> int:
     return len(voters) // 2 + 1
 
 
-def changed(roll: Roll, fence: int, add: Mapping[str, str], remove: str = "") -> Roll:
+def next_config(config: VoterConfig, fence: int, add: Mapping[str, str], remove: str = "") -> VoterConfig:
     """The next generation. Raises ValueError for what is no single change."""
     if len(add) + bool(remove) != 1:
         raise ValueError("one voter at a time")
-    voters = dict(roll.voters)
+    voters = dict(config.voters)
     for name, address in add.items():
         if name in voters:
             raise ValueError(f"{name} votes already")
@@ -83,37 +83,37 @@
         del voters[remove]
     if len(voters) < 2:
         raise ValueError("two voters have to be left")
-    if len(voters) > MOST_VOTERS:
-        raise ValueError(f"at most {MOST_VOTERS} may vote")
-    return Roll(RollId(roll.id.generation + 1, fence), voters, roll.voters)
+    if len(voters) > MAX_VOTERS:
+        raise ValueError(f"at most {MAX_VOTERS} may vote")
+    return VoterConfig(VoterConfigId(config.id.generation + 1, fence), voters, config.voters)
 
 
-def first(voters: Mapping[str, str]) -> Roll:
+def initial_config(voters: Mapping[str, str]) -> VoterConfig:
     """That of the settings."""
-    return Roll(FIRST, dict(voters), dict(voters))
+    return VoterConfig(INITIAL_CONFIG_ID, dict(voters), dict(voters))
 
 
 @dataclass(frozen=True)
-class Known:
+class VoterConfigState:
     """What one instance goes by. Asked or told something, it gives what is gone by then, itself if the same.
 
     Lost with its memory, where it has no disk.
     """
 
-    roll: Roll
-    promised: int = 0  # no roll of a lower fence is taken
+    config: VoterConfig
+    promised_fence: int = 0  # no roll of a lower fence is taken
 
-    def asked(self, ask: RollAsk) -> Known:
-        promised = min(ask.fence, MOST_ROUND)
-        return Known(self.roll, promised) if promised > self.promised else self
+    def after_query(self, query: VoterConfigQuery) -> VoterConfigState:
+        promised_fence = min(query.fence, MAX_ROUND)
+        return VoterConfigState(self.config, promised_fence) if promised_fence > self.promised_fence else self
 
-    def told(self, roll: Roll) -> Known:
-        if roll.id <= self.roll.id or roll.id.fence < self.promised or len(roll.voters) < 2:
+    def after_config(self, config: VoterConfig) -> VoterConfigState:
+        if config.id <= self.config.id or config.id.fence < self.promised_fence or len(config.voters) < 2:
             return self
-        return Known(roll, self.promised)
+        return VoterConfigState(config, self.promised_fence)
 
 
-class Step(Enum):
+class ChangeStep(Enum):
     READING = "reading"  # the newest roll that a majority of it, and of the one before it, knows of
     MENDING = "mending"  # that one is spread anew, under our fence: a change may have been left half made
     WAITING = "waiting"  # until nothing of the one before it is held
@@ -122,81 +122,91 @@
     FAILED = "failed"
 
 
-class Change:
+class VoterChange:
     """One change, by the holder of the duty. Pure: answers and the time come in, whom to ask or tell
     goes out."""
 
     def __init__(
-        self, now: Mono, times: Times, roll: Roll, fence: int, add: Mapping[str, str], remove: str
+        self,
+        now: MonotonicTime,
+        times: LeaseTimes,
+        config: VoterConfig,
+        fence: int,
+        add: Mapping[str, str],
+        remove: str,
     ) -> None:
         self.times, self.fence, self.add, self.remove = times, fence, dict(add), remove
-        self.step, self.roll, self.why = Step.READING, roll, ""
-        self.heard: set[str] = set()  # voters that were read, or that took `roll`
-        self.due = now
-        self.quiet_at: Mono = 0.0
+        self.step, self.config, self.reason = ChangeStep.READING, config, ""
+        self.responded: set[str] = set()  # voters that were read, or that took `roll`
+        self.next_tick_at = now
+        self.quiet_at: MonotonicTime = 0.0
 
-    def known(self, now: Mono, voter: str, roll: Roll) -> None:
+    def handle_reported_config(self, now: MonotonicTime, voter: str, config: VoterConfig) -> None:
         """A voter tells the roll that it goes by; it has promised to take none of a lower fence than ours."""
-        if self.step is not Step.READING:
+        if self.step is not ChangeStep.READING:
             return
-        if roll.id > self.roll.id:
+        if config.id > self.config.id:
             # Danger: a change made on top of an older roll would undo what was settled since.
-            self.roll, self.heard = roll, set()
-        self.heard.add(voter)
-        if not self._enough():
+            self.config, self.responded = config, set()
+        self.responded.add(voter)
+        if not self._has_majorities():
             return
-        if self.roll.id == FIRST:
-            self._change(now)
+        if self.config.id == INITIAL_CONFIG_ID:
+            self._apply_change(now)
         else:
-            generation = self.roll.id.generation
-            self._spread(
-                now, Step.MENDING, Roll(RollId(generation, self.fence), self.roll.voters, self.roll.before)
+            generation = self.config.id.generation
+            self._start_spread(
+                now,
+                ChangeStep.MENDING,
+                VoterConfig(VoterConfigId(generation, self.fence), self.config.voters, self.config.before),
             )
 
-    def took(self, now: Mono, voter: str, id: RollId) -> None:
+    def handle_ack(self, now: MonotonicTime, voter: str, id: VoterConfigId) -> None:
         """A voter goes by the roll that is spread, or by another."""
-        if self.step not in (Step.MENDING, Step.SPREADING) or id < self.roll.id:
+        if self.step not in (ChangeStep.MENDING, ChangeStep.SPREADING) or id < self.config.id:
             return
-        if id > self.roll.id:
-            self.step, self.why = Step.FAILED, "another change was made meanwhile"
+        if id > self.config.id:
+            self.step, self.reason = ChangeStep.FAILED, "another change was made meanwhile"
             return
-        self.heard.add(voter)
-        if not self._enough():
+        self.responded.add(voter)
+        if not self._has_majorities():
             return
-        if self.step is Step.SPREADING or self._as_wished():
-            self.step = Step.DONE
+        if self.step is ChangeStep.SPREADING or self._is_change_present():
+            self.step = ChangeStep.DONE
         else:
             # Danger: the change before may have been made a moment ago, by a holder that is gone.
-            self.step, self.due = Step.WAITING, now + quiet(self.times)
+            self.step, self.next_tick_at = ChangeStep.WAITING, now + settling_time_s(self.times)
 
-    def tick(self, now: Mono) -> dict[str, str]:
+    def tick(self, now: MonotonicTime) -> dict[str, str]:
         """Whom to ask or tell now, by name; call it at `due`."""
-        if now < self.due or self.step in (Step.DONE, Step.FAILED):
+        if now < self.next_tick_at or self.step in (ChangeStep.DONE, ChangeStep.FAILED):
             return {}
-        if self.step is Step.WAITING and not self._change(now):
+        if self.step is ChangeStep.WAITING and not self._apply_change(now):
             return {}
-        self.due = now + self.times.answer
-        everyone = {**self.roll.before, **self.roll.voters}
-        return {name: at for name, at in everyone.items() if name not in self.heard}
+        self.next_tick_at = now + self.times.answer
+        everyone = {**self.config.before, **self.config.voters}
+        return {name: at for name, at in everyone.items() if name not in self.responded}
 
-    def _enough(self) -> bool:
-        rolls = (self.roll.before, self.roll.voters)
-        return all(len(self.heard & set(voters)) >= majority(voters) for voters in rolls)
+    def _has_majorities(self) -> bool:
+        configs = (self.config.before, self.config.voters)
+        return all(len(self.responded & set(voters)) >= majority_size(voters) for voters in configs)
 
-    def _as_wished(self) -> bool:
-        return set(self.add) <= set(self.roll.voters) and self.remove not in self.roll.voters
+    def _is_change_present(self) -> bool:
+        return set(self.add) <= set(self.config.voters) and self.remove not in self.config.voters
 
-    def _change(self, now: Mono) -> bool:
+    def _apply_change(self, now: MonotonicTime) -> bool:
         try:
-            self._spread(now, Step.SPREADING, changed(self.roll, self.fence, self.add, self.remove))
+            self._start_spread(
+                now, ChangeStep.SPREADING, next_config(self.config, self.fence, self.add, self.remove)
+            )
         except ValueError as error:
-            self.step, self.why = Step.FAILED, str(error)
-        return self.step is Step.SPREADING
+            self.step, self.reason = ChangeStep.FAILED, str(error)
+        return self.step is ChangeStep.SPREADING
 
-    def _spread(self, now: Mono, step: Step, roll: Roll) -> None:
-        self.step, self.roll, self.heard, self.due = step, roll, set(), now
+    def _start_spread(self, now: MonotonicTime, step: ChangeStep, config: VoterConfig) -> None:
+        self.step, self.config, self.responded, self.next_tick_at = step, config, set(), now
 
 
-def quiet(times: Times) -> float:
+def settling_time_s(times: LeaseTimes) -> float:
     """Seconds by any clock after which no grant of before is held, and a new voter has begun to speak."""
     return max(times.lease, times.silence) * (1 + times.drift) / (1 - times.drift) + times.margin
--- a/roadpulley/fleet/duties/work.py
+++ b/roadpulley/fleet/duties/work.py
@@ -8,7 +8,7 @@
 
 from roadpulley.fences import StaleFenceError
 
-from .terms import Mono
+from .terms import MonotonicTime
 
 __all__ = ["Duty", "StaleFenceError", "Work", "WorkDone", "WorkFailed"]
 
@@ -24,7 +24,9 @@
 class Duty:
     """One holding, as its work sees it, from any thread."""
 
-    def __init__(self, name: str, fence: int, until: Callable[[], Mono], clock: Callable[[], Mono]) -> None:
+    def __init__(
+        self, name: str, fence: int, until: Callable[[], MonotonicTime], clock: Callable[[], MonotonicTime]
+    ) -> None:
         self.name, self.fence, self._until, self._clock = name, fence, until, clock
         self.ended = threading.Event()
 
--- a/roadpulley/fleet/members/messages.py
+++ b/roadpulley/fleet/members/messages.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from roadpulley.fleet.duties.terms import Who
+from roadpulley.fleet.duties.terms import ProcessId
 
 
 class MemberState(IntEnum):
@@ -34,7 +34,7 @@
 class Claim(msgspec.Struct, array_like=True, frozen=True):
     """Of one process. `address`: where to reach it, empty if the settings say it; `can`: duties, by bits."""
 
-    who: Who
+    who: ProcessId
     incarnation: int
     state: MemberState
     address: str
@@ -53,7 +53,7 @@
     """Ping that one for me: I don't hear it."""
 
     number: int
-    who: Who
+    who: ProcessId
     address: str
     claims: tuple[Claim, ...]
 
@@ -62,7 +62,7 @@
     """`who` answered: the sender, or the one that was asked for."""
 
     number: int
-    who: Who
+    who: ProcessId
     claims: tuple[Claim, ...]
 
 
@@ -75,7 +75,7 @@
 class PageRequest(msgspec.Struct, tag="pask", array_like=True, frozen=True):
     """Your members after this one, in order."""
 
-    after: Who
+    after: ProcessId
 
 
 class Page(msgspec.Struct, tag="page", array_like=True, frozen=True):
--- a/roadpulley/fleet/members/state_machine.py
+++ b/roadpulley/fleet/members/state_machine.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from roadpulley.fleet.duties.terms import NOBODY, Mono, Who
+from roadpulley.fleet.duties.terms import NO_PROCESS, MonotonicTime, ProcessId
 
 from .messages import (
     Ack,
@@ -42,16 +42,16 @@
     """Send it there; `who` is NOBODY where no process of that address is known yet."""
 
     address: str
-    who: Who
+    who: ProcessId
     body: MembershipMessage
 
 
 @dataclass(slots=True)
 class Member:
     claim: Claim
-    since: Mono  # of its state
+    since: MonotonicTime  # of its state
     heard_at: str = ""  # the address that it was heard from
-    by: set[Who] = field(default_factory=set)  # who else suspects it
+    by: set[ProcessId] = field(default_factory=set)  # who else suspects it
     passed: int = 0  # times that the claim was sent on
 
     def there(self) -> bool:
@@ -60,9 +60,9 @@
 
 @dataclass(slots=True)
 class Probe:
-    who: Who
+    who: ProcessId
     number: int
-    ends: Mono
+    ends: MonotonicTime
     helped: bool = False
     helpers: int = 0
     nacks: int = 0
@@ -76,7 +76,7 @@
 
     def __init__(
         self,
-        me: Who,
+        me: ProcessId,
         address: str,
         can: int,
         static: Mapping[str, str],
@@ -87,21 +87,23 @@
         self.me, self.times, self.rng, self.static = me, times, rng, dict(static)
         self.seeds = tuple(dict.fromkeys([*(a for n, a in static.items() if n != me.name), *seeds]))
         self.mine = Claim(me, 1, MemberState.ALIVE, address, can)
-        self.table: dict[Who, Member] = {}
-        self.suspects: dict[Who, Member] = {}  # of the table, for each look at the clock is over these
-        self.fresh: dict[Who, Member] = {}  # of the table: their claims are still passed on
-        self.order: list[Who] = []
+        self.table: dict[ProcessId, Member] = {}
+        self.suspects: dict[ProcessId, Member] = {}  # of the table, for each look at the clock is over these
+        self.fresh: dict[ProcessId, Member] = {}  # of the table: their claims are still passed on
+        self.order: list[ProcessId] = []
         self.probe: Probe | None = None
-        self.next_probe: Mono | None = None
-        self.began: Mono = 0.0
-        self.next_remind: Mono = 0.0
-        self.next_page: Mono = 0.0
-        self.page_after = NOBODY
-        self.relayed: dict[int, tuple[Who, str, int, Mono]] = {}  # for whom, where, its number, until
-        self.unmet: dict[str, Mono] = {}
+        self.next_probe: MonotonicTime | None = None
+        self.began: MonotonicTime = 0.0
+        self.next_remind: MonotonicTime = 0.0
+        self.next_page: MonotonicTime = 0.0
+        self.page_after = NO_PROCESS
+        self.relayed: dict[
+            int, tuple[ProcessId, str, int, MonotonicTime]
+        ] = {}  # for whom, where, its number, until
+        self.unmet: dict[str, MonotonicTime] = {}
         self.number = 0
         self.health = 0  # 0: well
-        self.news: list[tuple[Who, MemberState]] = []  # what changed, for the shell to log
+        self.news: list[tuple[ProcessId, MemberState]] = []  # what changed, for the shell to log
         self.false_alarms = 0  # claims against this process that it refuted
         self.again = 0  # times that our own claim is still to be passed on
 
@@ -115,7 +117,7 @@
     def where(self, member: Member) -> str:
         return member.claim.address or self.static.get(member.claim.who.name, "") or member.heard_at
 
-    def next_at(self) -> Mono:
+    def next_at(self) -> MonotonicTime:
         ends = [m.since + self.patience(m) for m in self.suspects.values()]
         if ends or self.fresh or self.again:
             ends.append(self.next_remind)
@@ -139,7 +141,7 @@
 
     # ---- events ----
 
-    def tick(self, now: Mono) -> list[OutboundMessage]:
+    def tick(self, now: MonotonicTime) -> list[OutboundMessage]:
         out: list[OutboundMessage] = []
         if self.next_probe is None:
             self.next_probe, self.began = now + self.rng.random() * self.times.period, now
@@ -171,7 +173,9 @@
                 self._ask_page(now, out)
         return out
 
-    def heard(self, now: Mono, who: Who, address: str, body: MembershipMessage) -> list[OutboundMessage]:
+    def heard(
+        self, now: MonotonicTime, who: ProcessId, address: str, body: MembershipMessage
+    ) -> list[OutboundMessage]:
         """From a process that the datagram names truly, at the address that it came from."""
         out: list[OutboundMessage] = []
         self.unmet.pop(address, None)
@@ -196,12 +200,12 @@
             case PageRequest(after):
                 out.append(OutboundMessage(address, who, self._page(after)))
             case Page(page, last):
-                self.page_after = NOBODY if last or not page else page[-1].who
+                self.page_after = NO_PROCESS if last or not page else page[-1].who
                 if any(fresh) and not last:  # there may be more that is not known here
                     out.append(OutboundMessage(address, who, PageRequest(self.page_after)))
         return out
 
-    def leave(self, now: Mono) -> list[OutboundMessage]:
+    def leave(self, now: MonotonicTime) -> list[OutboundMessage]:
         """This process ends: say so to a few, who tell the others."""
         self.mine = self._of_me(MemberState.LEFT)
         some = self._some(self.times.helpers, lambda m: m.there())
@@ -227,7 +231,7 @@
     def _resends(self) -> int:
         return math.ceil(self.times.resend * math.log10(len(self.table) + 10))
 
-    def _woke(self, now: Mono) -> None:
+    def _woke(self, now: MonotonicTime) -> None:
         """Danger: a process that was stopped finds all its waits over, and answers that lie unread."""
         assert self.next_probe is not None
         late = now - min(self.next_probe, self.probe.ends if self.probe else math.inf)
@@ -239,7 +243,7 @@
         if self.probe is not None:
             self.probe.ends = max(self.probe.ends, now + self.times.answer)
 
-    def _forget(self, now: Mono) -> None:
+    def _forget(self, now: MonotonicTime) -> None:
         gone = [
             who
             for who, m in self.table.items()
@@ -249,17 +253,17 @@
             del self.table[who]
             self.fresh.pop(who, None)
 
-    def _seed(self, now: Mono, out: list[OutboundMessage]) -> list[OutboundMessage]:
+    def _seed(self, now: MonotonicTime, out: list[OutboundMessage]) -> list[OutboundMessage]:
         """Whom the settings name and nobody has met. Each is tried now and then, also after a cut."""
         known = {self.where(m) for m in self.table.values() if m.there()}
         for address in self.seeds:
             if address not in known and now >= self.unmet.get(address, 0.0):
                 self.unmet[address] = now + self.times.period * (1 + self.rng.random())
                 self.number += 1
-                out.append(OutboundMessage(address, NOBODY, Ping(self.number, (self.mine,))))
+                out.append(OutboundMessage(address, NO_PROCESS, Ping(self.number, (self.mine,))))
         return out
 
-    def _probe(self, now: Mono, out: list[OutboundMessage]) -> None:
+    def _probe(self, now: MonotonicTime, out: list[OutboundMessage]) -> None:
         if self.probe is not None:
             return
         for _ in range(len(self.order) + len(self.table) + 1):
@@ -312,7 +316,7 @@
                 )
             )
 
-    def _unanswered(self, now: Mono, probe: Probe, out: list[OutboundMessage]) -> None:
+    def _unanswered(self, now: MonotonicTime, probe: Probe, out: list[OutboundMessage]) -> None:
         member = self.table.get(probe.who)
         if member is None:
             self.probe = None
@@ -335,7 +339,7 @@
             suspect = Claim(claim.who, claim.incarnation, MemberState.SUSPECT, claim.address, claim.can)
             self._take(now, suspect, self.me)
 
-    def _acked(self, number: int, answered: Who, out: list[OutboundMessage]) -> None:
+    def _acked(self, number: int, answered: ProcessId, out: list[OutboundMessage]) -> None:
         if number in self.relayed:
             who, address, theirs, _ = self.relayed.pop(number)
             out.append(OutboundMessage(address, who, Ack(theirs, answered, ())))
@@ -343,7 +347,7 @@
             self.probe = None
             self.health = max(0, self.health - 1)
 
-    def _take(self, now: Mono, claim: Claim, by: Who) -> bool:
+    def _take(self, now: MonotonicTime, claim: Claim, by: ProcessId) -> bool:
         """Gives whether it was news."""
         if claim.who == self.me:
             self._of_us(claim)
@@ -388,7 +392,7 @@
             self.mine = Claim(self.me, claim.incarnation, MemberState.ALIVE, self.mine.address, self.mine.can)
             self.mine = self._of_me(MemberState.ALIVE)
 
-    def _news(self, to: Who) -> tuple[Claim, ...]:
+    def _news(self, to: ProcessId) -> tuple[Claim, ...]:
         """The claims that were passed on least, ours first while it is news; bounded, each so often."""
         most = self._resends()
         for who in [who for who, m in self.fresh.items() if m.passed >= most]:
@@ -411,7 +415,7 @@
         fit = [m for m in self.table.values() if which(m)]
         return self.rng.sample(fit, min(count, len(fit)))
 
-    def _ask_page(self, now: Mono, out: list[OutboundMessage]) -> None:
+    def _ask_page(self, now: MonotonicTime, out: list[OutboundMessage]) -> None:
         # One that has just begun knows few, and what was news before it came reaches it by pages only.
         young = now - self.began < JOIN_EXCHANGES * self.times.exchange
         self.next_page = now + self.times.exchange * (0.75 + self.rng.random() / 2) / (
@@ -420,7 +424,7 @@
         for member in self._some(1, lambda m: m.claim.state is MemberState.ALIVE):
             out.append(OutboundMessage(self.where(member), member.claim.who, PageRequest(self.page_after)))
 
-    def _page(self, after: Who) -> Page:
+    def _page(self, after: ProcessId) -> Page:
         claims = [self.mine, *(m.claim for m in self.table.values() if m.claim.incarnation)]
         rest = sorted((c for c in claims if c.who > after), key=lambda c: c.who)
         return Page(tuple(rest[: self.times.page]), len(rest) <= self.times.page)
--- a/roadpulley/fleet/orders/even_shares.py
+++ b/roadpulley/fleet/orders/even_shares.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from roadpulley.fleet.duties.terms import Mono
+from roadpulley.fleet.duties.terms import MonotonicTime
 
 from .messages import Order
 
@@ -21,9 +21,9 @@
     rate: float
     burst: float
     level: float
-    at: Mono
+    at: MonotonicTime
 
-    def fill(self, now: Mono) -> None:
+    def fill(self, now: MonotonicTime) -> None:
         self.level = min(self.burst, self.level + max(0.0, now - self.at) * self.rate)
         self.at = max(now, self.at)
 
@@ -35,7 +35,7 @@
         self.part = part / max(1, among)
         self.buckets: dict[str, TokenBucket] = {}
 
-    def ordered(self, now: Mono, orders: Iterable[Order]) -> None:
+    def ordered(self, now: MonotonicTime, orders: Iterable[Order]) -> None:
         """Other orders: what is spent of a limit stays spent, also where it is lifted and ordered again."""
         for order in orders:
             if order.kind != "rate":
@@ -46,7 +46,7 @@
             bucket.level += burst - bucket.burst if burst < bucket.burst else 0.0
             bucket.rate, bucket.burst = rate, burst
 
-    def take(self, now: Mono, limit: str, units: float) -> bool:
+    def take(self, now: MonotonicTime, limit: str, units: float) -> bool:
         bucket = self.buckets.get(limit)
         if bucket is None:
             return False
--- a/roadpulley/fleet/orders/follower.py
+++ b/roadpulley/fleet/orders/follower.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-from roadpulley.fleet.duties.terms import Mono
+from roadpulley.fleet.duties.terms import MonotonicTime
 
 from .messages import NO_VERSION, BookPage, OrderBook, PageAssembler, Poll, PollReply, Version
 
@@ -33,20 +33,20 @@
     def __init__(self, terms: FollowerSettings, holder: int = 0) -> None:
         self.terms, self.holder = terms, holder
         self.book = OrderBook()
-        self.until: Mono = -math.inf  # for which the book is known to be the newest, or nearly
-        self.asked_at: Mono = -math.inf  # when what we go by was asked for
+        self.until: MonotonicTime = -math.inf  # for which the book is known to be the newest, or nearly
+        self.asked_at: MonotonicTime = -math.inf  # when what we go by was asked for
         self.fence = 0  # the highest that was heard to publish
         self.number = 0
-        self.open: dict[int, Mono] = {}  # asks that may still be answered, and when they were made
+        self.open: dict[int, MonotonicTime] = {}  # asks that may still be answered, and when they were made
         self.answered: PollReply | None = None  # whose book has not come whole yet
         self.gathering = PageAssembler()
-        self.due: Mono = 0.0
+        self.due: MonotonicTime = 0.0
         self.stale_said = False
         self.ages: list[float] = []  # of what was gone by, when it was superseded or confirmed
 
     # ---- to ask ----
 
-    def tick(self, now: Mono) -> Poll | None:
+    def tick(self, now: MonotonicTime) -> Poll | None:
         if now < self.due:
             return None
         self.due = now + self.terms.poll
@@ -55,7 +55,7 @@
         self.open = {n: at for n, at in self.open.items() if at >= since} | {self.number: now}
         return Poll(self.holder, self.number, self.book.id)
 
-    def news(self, now: Mono, fence: int, id: Version) -> bool:
+    def news(self, now: MonotonicTime, fence: int, id: Version) -> bool:
         """Somebody says that it publishes; whether it is to be asked."""
         if fence < self.fence:
             return False
@@ -66,7 +66,7 @@
 
     # ---- answers ----
 
-    def standing(self, now: Mono, said: PollReply) -> bool:
+    def standing(self, now: MonotonicTime, said: PollReply) -> bool:
         """Whether we go by another book now, or again by ours."""
         # Danger: an answer that was long on its way would make an old book count from now.
         if said.number not in self.open or said.fence < self.fence or said.id < self.book.id:
@@ -75,13 +75,13 @@
         self.answered = said
         return self._go_by(now)
 
-    def sheet(self, now: Mono, sheet: BookPage) -> bool:
+    def sheet(self, now: MonotonicTime, sheet: BookPage) -> bool:
         book = self.gathering.add(sheet)
         if book is not None and self.answered is not None and book.id == self.answered.id:
             return self._go_by(now, book)
         return False
 
-    def _go_by(self, now: Mono, book: OrderBook | None = None) -> bool:
+    def _go_by(self, now: MonotonicTime, book: OrderBook | None = None) -> bool:
         said = self.answered
         if said is None or said.number not in self.open:
             return False
@@ -99,13 +99,13 @@
 
     # ---- what holds ----
 
-    def fresh(self, now: Mono) -> bool:
+    def fresh(self, now: MonotonicTime) -> bool:
         return now < self.until
 
-    def goes_by(self, now: Mono) -> OrderBook:
+    def goes_by(self, now: MonotonicTime) -> OrderBook:
         """The book that holds here, now."""
         return self.book if self.fresh(now) or self.terms.keep else OrderBook(NO_VERSION)
 
-    def left(self, now: Mono) -> float:
+    def left(self, now: MonotonicTime) -> float:
         """For which an answer to a process beside may say that it holds."""
         return max(0.0, self.until - now)
--- a/roadpulley/fleet/orders/publisher.py
+++ b/roadpulley/fleet/orders/publisher.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from roadpulley.fleet.duties.roll import Roll, majority
-from roadpulley.fleet.duties.terms import Mono
+from roadpulley.fleet.duties.terms import MonotonicTime
+from roadpulley.fleet.duties.voter_config import VoterConfig, majority_size
 
 from .messages import (
     MAX_ORDERS,
@@ -42,19 +42,19 @@
     """A follower, as it polled last."""
 
     id: Version
-    at: Mono
+    at: MonotonicTime
 
 
 class Publisher:
     """`ours`: the highest book known here. `answer`: seconds until a voter is asked again."""
 
-    def __init__(self, fence: int, roll: Roll, ours: OrderBook, answer: float) -> None:
+    def __init__(self, fence: int, roll: VoterConfig, ours: OrderBook, answer: float) -> None:
         self.fence, self.roll, self.book, self.answer = fence, roll, ours, answer
         self.step = PublisherState.READING
         self.heard: dict[str, bool] = {}  # voters that were read, and whether their memory is whole
         self.took: set[str] = set()  # of `book`
-        self.due: dict[str, Mono] = {}
-        self.patient_until: Mono | None = None  # since the first look at the time
+        self.due: dict[str, MonotonicTime] = {}
+        self.patient_until: MonotonicTime | None = None  # since the first look at the time
         self.waited = False  # long enough for those who follow to have answered
         self.forced = False  # an operator has said to go on with whom there is
         self.making: ChangeRequest | None = None
@@ -67,7 +67,7 @@
 
     # ---- voters ----
 
-    def adopt(self, roll: Roll) -> None:
+    def adopt(self, roll: VoterConfig) -> None:
         """Other voters count from now on; the new one has nothing yet."""
         self.roll = roll
         if self.step is PublisherState.READY:
@@ -119,7 +119,7 @@
 
     def _enough(self, names: set[str]) -> bool:
         rolls: tuple[Mapping[str, str], ...] = (self.roll.before, self.roll.voters)
-        return all(len(names & set(voters)) >= majority(voters) for voters in rolls)
+        return all(len(names & set(voters)) >= majority_size(voters) for voters in rolls)
 
     def everyone(self) -> set[str]:
         return {*self.roll.before, *self.roll.voters}
@@ -173,17 +173,17 @@
 
     # ---- followers ----
 
-    def polled(self, now: Mono, name: str, id: Version) -> None:
+    def polled(self, now: MonotonicTime, name: str, id: Version) -> None:
         self.followers[name] = FollowerStatus(id, now)
 
-    def following(self, now: Mono) -> tuple[int, int]:
+    def following(self, now: MonotonicTime) -> tuple[int, int]:
         """Instances that go by the newest book, and those that polled lately."""
         there = [seen for seen in self.followers.values() if now - seen.at < FOLLOWER_TIMEOUT_S]
         return sum(seen.id == self.book.id for seen in there), len(there)
 
     # ---- time ----
 
-    def tick(self, now: Mono, wall_ms: int) -> list[str]:
+    def tick(self, now: MonotonicTime, wall_ms: int) -> list[str]:
         """Voters to be looked at, while it reads; else those that are to take the book."""
         if self.step is PublisherState.OVERTAKEN:
             return []
--- a/roadpulley/fleet/orders/service.py
+++ b/roadpulley/fleet/orders/service.py
@@ -11,8 +11,8 @@
 import structlog
 
 from roadpulley.fleet.clock import Clock, wall_ms
-from roadpulley.fleet.duties.roll import Roll
-from roadpulley.fleet.duties.terms import Mono
+from roadpulley.fleet.duties.terms import MonotonicTime
+from roadpulley.fleet.duties.voter_config import VoterConfig
 from roadpulley.fleet.duties.work import Duty
 from roadpulley.fleet.peers.service import Route
 from roadpulley.fleet.worker_socket import WorkerSocket
@@ -53,7 +53,7 @@
 class OperatorCall:
     """One call of an operator at this instance, until its outcome is known."""
 
-    def __init__(self, wish: ChangeRequest, now: Mono) -> None:
+    def __init__(self, wish: ChangeRequest, now: MonotonicTime) -> None:
         self.wish, self.began, self.due = wish, now, now
         self.outcome: ChangeOutcome | None = None
 
@@ -73,7 +73,7 @@
         tell: Callable[[Route, Any], None],
         to: Callable[[str], Route | None],
         everybody: Callable[[], Iterable[Route]],
-        roll: Callable[[], Roll],
+        roll: Callable[[], VoterConfig],
         soon: Callable[[Callable[[], None]], None],
         changed: Callable[[], None],
     ) -> None:
@@ -95,8 +95,8 @@
         self.counts: Counter[str] = Counter()
         self.fresh = False
         self.standing: tuple[Order, ...] = ()  # the orders that hold here
-        self.news_at: Mono = 0.0
-        self.ask_all_at: Mono = 0.0  # those who don't vote, too: while it reads
+        self.news_at: MonotonicTime = 0.0
+        self.ask_all_at: MonotonicTime = 0.0  # those who don't vote, too: while it reads
         self.task: asyncio.Task[None] | None = None
         self.work = next((work for work in works.values() if isinstance(work, PublisherWork)), None)
         if self.work is not None:
@@ -127,7 +127,7 @@
             self._try(now, call)
         self._look(now)
 
-    def _look(self, now: Mono) -> None:
+    def _look(self, now: MonotonicTime) -> None:
         """Whether other orders hold here now, also as some have ended or none are heard any more."""
         fresh, book = self.follower.fresh(now), self.follower.goes_by(now)
         standing = book.followed(wall_ms())
@@ -166,7 +166,7 @@
             return None
         return self.publisher
 
-    def _publish(self, now: Mono, publisher: Publisher) -> None:
+    def _publish(self, now: MonotonicTime, publisher: Publisher) -> None:
         if publisher.roll.id != self.roll().id:
             publisher.adopt(self.roll())
         for voter in publisher.tick(now, wall_ms()):
@@ -254,14 +254,14 @@
 
     # ---- to follow ----
 
-    def _poll(self, now: Mono, poll: Poll) -> None:
+    def _poll(self, now: MonotonicTime, poll: Poll) -> None:
         if self._publishing() is not None:
             self._standing(now, poll, self.name, lambda body: self._heard_standing(body))
         elif self.where is not None:
             self.tell(self.where, poll)
 
     def _standing(
-        self, now: Mono, poll: Poll, name: str, say: Callable[[PollReply | BookPage], None]
+        self, now: MonotonicTime, poll: Poll, name: str, say: Callable[[PollReply | BookPage], None]
     ) -> None:
         """Answer one who follows, as the publisher."""
         publisher = self._publishing()
@@ -366,7 +366,7 @@
             return f"{self.publisher.step.value} {self.publisher.missing()}".strip()
         return "for the publisher" if self.where else "for a publisher: none was heard"
 
-    def _try(self, now: Mono, call: OperatorCall) -> None:
+    def _try(self, now: MonotonicTime, call: OperatorCall) -> None:
         if call.outcome is not None or now < call.due or now - call.began > CALL_TIMEOUT_S:
             return
         call.due = now + CALL_RETRY_INTERVAL_S
--- a/roadpulley/fleet/report.py
+++ b/roadpulley/fleet/report.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Any
 
 from .duties.candidate import State as Stage
-from .duties.terms import NOBODY
+from .duties.terms import NO_PROCESS
 
 if TYPE_CHECKING:
     from .agent import Agent
@@ -23,7 +23,7 @@
             "state": m.claim.state.name.lower(),
             "for_s": round(now - m.since, 1),
             "address": machine.where(m),
-            "votes": m.claim.who.name in agent.electing.roll.voters,
+            "votes": m.claim.who.name in agent.reconfiguration.config.voters,
         }
         for m in machine.table.values()
     ]
@@ -33,7 +33,7 @@
         "state": "alive",
         "for_s": 0.0,
         "address": agent.post.address,
-        "votes": agent.duties.voter is not None and agent.name in agent.electing.roll.voters,
+        "votes": agent.duties.voter is not None and agent.name in agent.reconfiguration.config.voters,
     }
     seen = {r["name"] for r in rows if r["state"] == "alive"} | {agent.me.name}
     return {
@@ -88,7 +88,7 @@
                 "state": "granted",
                 "known": "this instance's own vote",
             }
-        elif holding is not None and holding.candidate.holder != NOBODY:
+        elif holding is not None and holding.candidate.holder != NO_PROCESS:
             row |= {"holder": holding.candidate.holder.name, "known": "a voter told it at the last try"}
         if kept is not None and now < kept.cool:
             row["cools_s"] = round(kept.cool - now, 1)
@@ -108,9 +108,9 @@
 def describe_voters(agent: Agent) -> dict[str, Any]:
     now = agent.clock.now()
     rows = []
-    for name in agent.electing.roll.voters:
+    for name in agent.reconfiguration.config.voters:
         address = agent.address_of(name)
-        who = agent.met.get(address, NOBODY)
+        who = agent.met.get(address, NO_PROCESS)
         ours = name == agent.name
         silent = math.ceil(agent.duties.voter.speaks_at() - now) if ours and agent.duties.voter else 0
         rows.append(
@@ -124,8 +124,8 @@
         )
     return {
         "instance": agent.name,
-        "roll": list(agent.electing.roll.id),
-        "change": agent.electing.status(),
+        "roll": list(agent.reconfiguration.config.id),
+        "change": agent.reconfiguration.status(),
         "voters": rows,
         "majority": len(rows) // 2 + 1,
         "unseen": list_unseen_voters(agent),
@@ -157,4 +157,4 @@
 def list_unseen_voters(agent: Agent) -> list[str]:
     assert agent.members is not None
     alive = {m.who.name for m in agent.members.there() if m.state.name == "ALIVE"}
-    return sorted(set(agent.electing.roll.voters) - alive)
+    return sorted(set(agent.reconfiguration.config.voters) - alive)
--- a/roadpulley/fleet/rights/allocator.py
+++ b/roadpulley/fleet/rights/allocator.py
@@ -8,7 +8,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from roadpulley.fleet.duties.terms import Mono
+from roadpulley.fleet.duties.terms import MonotonicTime
 
 from .messages import (
     UNIT_EPSILON,
@@ -37,7 +37,7 @@
 
     holder: int
     units: float
-    ends: Mono
+    ends: MonotonicTime
 
 
 @dataclass(slots=True)
@@ -47,7 +47,7 @@
     number: int
     given: RightsReply
     want: float
-    asked_at: Mono
+    asked_at: MonotonicTime
 
 
 @dataclass(slots=True)
@@ -56,12 +56,12 @@
 
     limit: Limit
     level: float
-    filled_at: Mono
-    clear_at: Mono  # before that nothing is given out: rights of earlier allocators may be spent
+    filled_at: MonotonicTime
+    clear_at: MonotonicTime  # before that nothing is given out: rights of earlier allocators may be spent
     returns: bool = False  # its units come back with the end of what they were spent on
     held: float = 0.0  # units out
     out: dict[int, OutstandingRight] = field(default_factory=dict)
-    ending: list[tuple[Mono, int]] = field(default_factory=list)  # a heap of what is out
+    ending: list[tuple[MonotonicTime, int]] = field(default_factory=list)  # a heap of what is out
     accounts: dict[int, HolderAccount] = field(default_factory=dict)
 
 
@@ -70,14 +70,16 @@
     """Of one part: what the allocator of a fence showed, with when it came, and when it was first asked."""
 
     fence: int
-    asked_at: Mono
-    books: dict[str, tuple[Mono, LedgerSnapshot]] = field(default_factory=dict)
+    asked_at: MonotonicTime
+    books: dict[str, tuple[MonotonicTime, LedgerSnapshot]] = field(default_factory=dict)
 
-    def take(self, now: Mono, legacy: LedgerSnapshot) -> None:
+    def take(self, now: MonotonicTime, legacy: LedgerSnapshot) -> None:
         if legacy.fence == self.fence:
             self.books.setdefault(legacy.limit, (now, legacy))
 
-    def books_for(self, now: Mono, fence: int, times: Times) -> dict[str, tuple[Mono, LedgerSnapshot]]:
+    def books_for(
+        self, now: MonotonicTime, fence: int, times: Times
+    ) -> dict[str, tuple[MonotonicTime, LedgerSnapshot]]:
         """What a holding under a fence that begins now may go on from."""
         # Danger: later another allocator between may have given out what these books say is there.
         return self.books if self.fence < fence and now < self.asked_at + times.holds else {}
@@ -89,11 +91,11 @@
     def __init__(
         self,
         fence: int,
-        began: Mono,
+        began: MonotonicTime,
         limits: Mapping[str, Limit],
         times: Times,
         rng: random.Random,
-        legacy: Mapping[str, tuple[Mono, LedgerSnapshot]] | None = None,
+        legacy: Mapping[str, tuple[MonotonicTime, LedgerSnapshot]] | None = None,
     ) -> None:
         """`legacy`: sealed books of the one before, with when they came here."""
         self.fence, self.began, self.times, self.rng = fence, began, times, rng
@@ -106,7 +108,7 @@
         self.given = self.refused = self.ended = 0.0  # units given out; asked for in vain; ended unheard
 
     @property
-    def clear_at(self) -> Mono:
+    def clear_at(self) -> MonotonicTime:
         """From when on nothing that an earlier allocator gave out can be spent.
 
         Danger: before that it may all be out still. A level that began to fill at once would be given out
@@ -116,7 +118,7 @@
 
     # ---- what is asked ----
 
-    def asked(self, now: Mono, ask: RightsRequest) -> RightsReply | None:
+    def asked(self, now: MonotonicTime, ask: RightsRequest) -> RightsReply | None:
         """The answer; None for an ask of the past, or of a limit that there is not."""
         if self.sealed or ask.fence != self.fence or not (0 <= ask.least <= ask.want < math.inf):
             return None
@@ -153,7 +155,7 @@
         book.held -= out.units
         book.level = min(book.level + back, book.limit.burst - book.held)
 
-    def _give(self, now: Mono, book: LimitLedger, ask: RightsRequest) -> RightsReply:
+    def _give(self, now: MonotonicTime, book: LimitLedger, ask: RightsRequest) -> RightsReply:
         there = book.level
         if there < ask.least or there <= UNIT_EPSILON or not ask.want:
             if ask.want:
@@ -178,10 +180,10 @@
     def lease(self, limit: Limit) -> float:
         return limit.lease or self.times.lease
 
-    def clears(self, limit: Limit) -> Mono:
+    def clears(self, limit: Limit) -> MonotonicTime:
         return self.began + max(self.times.clear, self.lease(limit))
 
-    def _part(self, now: Mono, book: LimitLedger, ask: RightsRequest) -> float:
+    def _part(self, now: MonotonicTime, book: LimitLedger, ask: RightsRequest) -> float:
         """Of what is there: its part of what all of late have wanted, and alone all of it."""
         since = now - self.times.lease
         others = sum(
@@ -189,7 +191,7 @@
         )
         return 1.0 if not others else min(MAX_CONTENDED_RATIO, ask.want / (ask.want + others))
 
-    def _wait(self, now: Mono, book: LimitLedger, ask: RightsRequest) -> int:
+    def _wait(self, now: MonotonicTime, book: LimitLedger, ask: RightsRequest) -> int:
         """Milliseconds until there may be enough, apart from those that others are told."""
         lacks = ask.least - book.level
         fills = lacks / book.limit.rate if book.limit.rate else MIN_RETRY_DELAY_S
@@ -199,7 +201,7 @@
 
     # ---- time ----
 
-    def fill(self, now: Mono, book: LimitLedger) -> None:
+    def fill(self, now: MonotonicTime, book: LimitLedger) -> None:
         """What time has given back, and which rights have ended, in the order in which both came.
 
         Danger: filled in one step, a level would rise above what the rights left room for at the time.
@@ -214,7 +216,7 @@
             self.ended += out.units
         self._rise(now, book)
 
-    def _rise(self, now: Mono, book: LimitLedger) -> None:
+    def _rise(self, now: MonotonicTime, book: LimitLedger) -> None:
         if book.returns:
             book.level = book.limit.burst - book.held if now >= book.clear_at else 0.0
             return
@@ -240,7 +242,7 @@
 
     # ---- hand-over ----
 
-    def seal(self, now: Mono, part: int) -> list[LedgerSnapshot]:
+    def seal(self, now: MonotonicTime, part: int) -> list[LedgerSnapshot]:
         """Give out nothing more; gives the books that somebody may go on from, the last used first."""
         self.sealed = True
         found: list[LedgerSnapshot] = []
@@ -256,7 +258,7 @@
                 found.append(LedgerSnapshot(part, self.fence, name, book.level, out))
         return found
 
-    def _inherit(self, book: LimitLedger, came: Mono, left: LedgerSnapshot) -> None:
+    def _inherit(self, book: LimitLedger, came: MonotonicTime, left: LedgerSnapshot) -> None:
         """Go on from a sealed book. Its times count from when it came, which was after it was sealed."""
         # Danger: rights of another fence can't be given up here; under our own numbers it would seem so.
         book.out = {
@@ -271,7 +273,7 @@
     def limit(self, name: str) -> Limit | None:
         return self.limits.get(name) or self.limits.get(name.partition("/")[0])
 
-    def retune(self, now: Mono, limits: Mapping[str, Limit]) -> None:
+    def retune(self, now: MonotonicTime, limits: Mapping[str, Limit]) -> None:
         """Other limits: what is owed to a limit stays owed. One that is lower than what is out gives out
         nothing until enough of that has come back.
 
@@ -285,7 +287,7 @@
             book.level += limit.burst - book.limit.burst
             book.limit = limit
 
-    def _sweep(self, now: Mono) -> None:
+    def _sweep(self, now: MonotonicTime) -> None:
         """Forget what says nothing any more: holders that have gone, limits that are full again."""
         if now < self.next_sweep:
             return
--- a/roadpulley/fleet/rights/holder.py
+++ b/roadpulley/fleet/rights/holder.py
@@ -8,7 +8,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from roadpulley.fleet.duties.terms import Mono
+from roadpulley.fleet.duties.terms import MonotonicTime
 
 from .messages import (
     MAX_LIMIT_NAME_BYTES,
@@ -44,8 +44,8 @@
 
     right: RightId
     units: float
-    until: Mono
-    keep: Mono
+    until: MonotonicTime
+    keep: MonotonicTime
     used: float = 0.0
 
 
@@ -57,8 +57,8 @@
     """The ask that waits for its answer."""
 
     ask: RightsRequest
-    first_at: Mono
-    again_at: Mono
+    first_at: MonotonicTime
+    again_at: MonotonicTime
     tries: int = 1
 
 
@@ -70,28 +70,28 @@
     part: int
     lots: list[HeldRight] = field(default_factory=list)  # the oldest first
     closed: list[ReturnedRight] = field(default_factory=list)  # to be told
-    tell_at: Mono = NEVER_DUE  # at the latest; with the next ask before that
+    tell_at: MonotonicTime = NEVER_DUE  # at the latest; with the next ask before that
     open: PendingRequest | None = None
     wanted: float = 0.0  # lately: a fading sum
-    wanted_at: Mono = 0.0
+    wanted_at: MonotonicTime = 0.0
     largest: float = 0.0  # of late wishes
     lacks: float = 0.0  # units of a wish that can't be paid: asked for at once
-    rest_until: Mono = 0.0  # it was told to wait
-    planned: Mono = NEVER_DUE  # when it is looked at next
+    rest_until: MonotonicTime = 0.0  # it was told to wait
+    planned: MonotonicTime = NEVER_DUE  # when it is looked at next
     lasting: float = 0.0  # of the wish looked at last: seconds for which its units may be in use
 
     @property
     def returns(self) -> bool:
         return is_concurrency_limit(self.limit)
 
-    def there(self, now: Mono) -> float:
+    def there(self, now: MonotonicTime) -> float:
         """What can be spent now.
 
         Danger: on something that outlasts its right, a unit would be in use twice.
         """
         return sum(lot.units for lot in self.lots if now + self.lasting < lot.until)
 
-    def in_use(self, now: Mono) -> float:
+    def in_use(self, now: MonotonicTime) -> float:
         return sum(lot.used for lot in self.lots if now < lot.until)
 
 
@@ -102,14 +102,16 @@
         self.number, self.parts, self.times = number, parts, times
         self.purses: dict[str, LimitHolding] = {}
         self.fences: dict[int, int] = {}  # by part: the highest that an allocator was heard to serve under
-        self.until: dict[int, Mono] = {}  # by part: for which it serves, as far as we know
-        self.looks: list[tuple[Mono, str]] = []  # a heap: when to look at which; some are out of date
+        self.until: dict[int, MonotonicTime] = {}  # by part: for which it serves, as far as we know
+        self.looks: list[
+            tuple[MonotonicTime, str]
+        ] = []  # a heap: when to look at which; some are out of date
         self.asks = 0
         self.spent = self.unpaid = self.given_up = 0.0  # units
 
     # ---- to spend ----
 
-    def take(self, now: Mono, limit: str, units: float, anew: bool = True) -> bool:
+    def take(self, now: MonotonicTime, limit: str, units: float, anew: bool = True) -> bool:
         """Spend so much, if rights are held: look at the clock and spend in one go. `ask_now` comes next.
 
         `anew`: it is not a wish that has waited for an answer.
@@ -123,14 +125,14 @@
         self.pay(now, limit, units)
         return True
 
-    def want(self, now: Mono, limit: str, units: float) -> None:
+    def want(self, now: MonotonicTime, limit: str, units: float) -> None:
         """A new wish: what comes lately says how much to hold."""
         purse = self._purse(now, limit)
         fade = math.exp((purse.wanted_at - now) / DEMAND_DECAY_S)
         purse.wanted, purse.wanted_at = purse.wanted * fade + units, now
         purse.largest = max(units, purse.largest * fade)
 
-    def can(self, now: Mono, limit: str, units: float, lasting: float = 0.0) -> bool:
+    def can(self, now: MonotonicTime, limit: str, units: float, lasting: float = 0.0) -> bool:
         """Whether rights that are held can pay; if not, `ask_now` asks for more."""
         purse = self._purse(now, limit)
         # Danger: of wishes that wait each has its own; by another's it could outlast the right that pays.
@@ -141,7 +143,7 @@
         self.unpaid += units
         return False
 
-    def pay(self, now: Mono, limit: str, units: float) -> Payment:
+    def pay(self, now: MonotonicTime, limit: str, units: float) -> Payment:
         """Spend what `can` has found just before; gives what `ended` takes back where units come back."""
         purse, left, out = self._purse(now, limit), units, []
         self.spent += units
@@ -153,7 +155,7 @@
         purse.lacks = 0.0
         return out
 
-    def ended(self, now: Mono, limit: str, paid: Payment) -> None:
+    def ended(self, now: MonotonicTime, limit: str, paid: Payment) -> None:
         """What units were spent on has ended: they may be spent again, while their right lasts."""
         for lot, units in paid:
             lot.used -= units
@@ -161,14 +163,14 @@
         if (purse := self.purses.get(limit)) is not None:
             self._plan(now, purse)
 
-    def _purse(self, now: Mono, limit: str) -> LimitHolding:
+    def _purse(self, now: MonotonicTime, limit: str) -> LimitHolding:
         if (found := self.purses.get(limit)) is None:
             found = self.purses[limit] = LimitHolding(limit, partition_of(limit, self.parts), wanted_at=now)
         return found
 
     # ---- to ask ----
 
-    def serving(self, now: Mono, part: int, fence: int, left: float) -> bool:
+    def serving(self, now: MonotonicTime, part: int, fence: int, left: float) -> bool:
         """An allocator says that it serves; whether it is to be asked."""
         # Danger: one that was followed by another may say so late. It could give out nothing that counts, but
         # asks would go to it in vain.
@@ -184,7 +186,7 @@
         self.until[part] = now + left
         return True
 
-    def tick(self, now: Mono) -> list[RightsRequest]:
+    def tick(self, now: MonotonicTime) -> list[RightsRequest]:
         """Asks that are due: new ones, and those that were not answered."""
         out = []
         while self.looks and self.looks[0][0] <= now:
@@ -199,7 +201,7 @@
                 out.append(ask)
         return out
 
-    def ask_now(self, now: Mono, limit: str) -> RightsRequest | None:
+    def ask_now(self, now: MonotonicTime, limit: str) -> RightsRequest | None:
         """What is to be asked of one limit: for a wish that waits, or as its time has come."""
         purse = self.purses.get(limit)
         if purse is None:
@@ -209,7 +211,7 @@
         self._plan(now, purse)
         return ask
 
-    def _ask(self, now: Mono, purse: LimitHolding) -> RightsRequest | None:
+    def _ask(self, now: MonotonicTime, purse: LimitHolding) -> RightsRequest | None:
         fence = self.fences.get(purse.part, 0)
         if not fence or now >= self.until.get(purse.part, 0.0):
             return None  # nobody serves, as far as we know: what was given up ends by itself
@@ -227,7 +229,9 @@
         purse.open = PendingRequest(ask, now, now + self.times.answer)
         return ask
 
-    def _again(self, now: Mono, purse: LimitHolding, waiting: PendingRequest) -> RightsRequest | None:
+    def _again(
+        self, now: MonotonicTime, purse: LimitHolding, waiting: PendingRequest
+    ) -> RightsRequest | None:
         if now >= waiting.first_at + self.times.waits:
             purse.open = None  # whatever was given for it ends by itself
             purse.rest_until = now + self.times.answer
@@ -238,7 +242,7 @@
         waiting.again_at = now + self.times.answer * 2 ** (waiting.tries - 1)
         return waiting.ask
 
-    def _need(self, now: Mono, purse: LimitHolding) -> tuple[float, float]:
+    def _need(self, now: MonotonicTime, purse: LimitHolding) -> tuple[float, float]:
         """Units to ask for, and the least that is of use."""
         ahead = (
             purse.wanted * math.exp((purse.wanted_at - now) / DEMAND_DECAY_S) / DEMAND_DECAY_S * PREFETCH_S
@@ -254,7 +258,7 @@
 
     # ---- answers, and time ----
 
-    def heard(self, now: Mono, given: RightsReply) -> bool:
+    def heard(self, now: MonotonicTime, given: RightsReply) -> bool:
         """An answer; whether there is more to spend now."""
         purse = self.purses.get(given.limit)
         waiting = purse.open if purse is not None else None
@@ -273,7 +277,7 @@
         self._plan(now, purse)
         return given.units > 0
 
-    def _write_off(self, now: Mono, purse: LimitHolding) -> None:
+    def _write_off(self, now: MonotonicTime, purse: LimitHolding) -> None:
         """What is used up or has been held for long is given up, before that is told."""
         kept = []
         for lot in purse.lots:
@@ -293,7 +297,7 @@
             self._close(now, purse, lot)
         purse.lots = kept
 
-    def _close(self, now: Mono, purse: LimitHolding, lot: HeldRight) -> None:
+    def _close(self, now: MonotonicTime, purse: LimitHolding, lot: HeldRight) -> None:
         if lot.right.fence != self.fences.get(purse.part):
             return  # nobody is left who gave it out
         self.given_up += lot.units
@@ -303,11 +307,11 @@
         patience = self.times.answer if purse.returns else patience  # one message for what ends together
         purse.tell_at = min(purse.tell_at, now + patience)
 
-    def next_at(self) -> Mono:
+    def next_at(self) -> MonotonicTime:
         """When `tick` may have something to do, unless a wish comes before."""
         return self.looks[0][0] if self.looks else NEVER_DUE
 
-    def _plan(self, now: Mono, purse: LimitHolding) -> None:
+    def _plan(self, now: MonotonicTime, purse: LimitHolding) -> None:
         """Look at it when something of it is due. The work of a wish does not grow with the limits in use."""
         due = min(self._dues(purse))
         if now >= self.until.get(purse.part, 0.0):
@@ -317,7 +321,7 @@
             purse.planned = due
             heapq.heappush(self.looks, (due, purse.limit))
 
-    def _dues(self, purse: LimitHolding) -> Iterator[Mono]:
+    def _dues(self, purse: LimitHolding) -> Iterator[MonotonicTime]:
         yield purse.wanted_at + IDLE_TIMEOUT_S
         if purse.open is not None:
             yield min(purse.open.again_at, purse.open.first_at + self.times.waits)
--- a/roadpulley/fleet/rights/service.py
+++ b/roadpulley/fleet/rights/service.py
@@ -15,7 +15,7 @@
 import structlog
 
 from roadpulley.fleet.clock import Clock
-from roadpulley.fleet.duties.terms import Mono
+from roadpulley.fleet.duties.terms import MonotonicTime
 from roadpulley.fleet.duties.work import Duty
 from roadpulley.fleet.peers.service import Route
 from roadpulley.fleet.worker_socket import WorkerSocket
@@ -66,7 +66,7 @@
         self.settings, self.beside, self.clock, self.rng = settings, beside, clock, rng
         self.tell, self.everybody, self.soon = tell, everybody, soon
         self.ours: dict[int, tuple[Duty, Allocator]] = {}
-        self.known: dict[int, tuple[int, Route, Mono]] = {}  # by part: fence, where, until when
+        self.known: dict[int, tuple[int, Route, MonotonicTime]] = {}  # by part: fence, where, until when
         self.counts: Counter[str] = Counter()
         self.saying: asyncio.TimerHandle | None = None
         self.heirs: dict[int, asyncio.Event] = {}  # by part that is handed over: the next one has asked
--- a/roadpulley/fleet/settings.py
+++ b/roadpulley/fleet/settings.py
@@ -16,8 +16,8 @@
 from roadpulley.checks import Table, ValidationError, read_toml
 
 from .counts.service import ReplicationSettings, read_replication_settings
-from .duties.roll import MOST_VOTERS
-from .duties.terms import Times
+from .duties.terms import LeaseTimes
+from .duties.voter_config import MAX_VOTERS
 from .members.messages import SwimParameters as MemberTimes
 from .orders.settings import OrderSettings, read_order_settings
 from .orders.work import DUTY as ORDERS
@@ -54,7 +54,7 @@
     voters: Mapping[str, str]
     others: Mapping[str, str]
     seeds: tuple[str, ...]
-    times: Times
+    times: LeaseTimes
     members: MemberTimes
     duties: Mapping[str, DutySettings]
     settle_s: float  # for which another instance has to be the better one before a duty is handed to it
@@ -86,9 +86,9 @@
         raise ValidationError("seeds", f"is {seeds!r}", "give a list of addresses, as 127.0.0.1:7401")
     voters = addresses(table.read_table("voters"), key)
     others = addresses(table.read_table("others"), key)
-    if len(voters) < 3 or len(voters) % 2 == 0 or len(voters) > MOST_VOTERS:
+    if len(voters) < 3 or len(voters) % 2 == 0 or len(voters) > MAX_VOTERS:
         # Of an even number one more may fail than of one less, and no more; of one, none.
-        right = f"name an odd number from 3 to {MOST_VOTERS}: three bear the loss of one, five of two"
+        right = f"name an odd number from 3 to {MAX_VOTERS}: three bear the loss of one, five of two"
         raise ValidationError("voters", f"are {len(voters)}", right)
     apart(voters, others)
     times = lease(table.read_table("lease"))
@@ -185,7 +185,7 @@
             seen[where] = name
 
 
-def lease(table: Table) -> Times:
+def lease(table: Table) -> LeaseTimes:
     times = {
         "lease": table.read_number("seconds", 4.0, 0.2, 3600),
         "silence": table.read_number("silence_s", 0.0, 0.0, 3600),
@@ -196,7 +196,7 @@
     }
     table.reject_unknown_keys()
     try:
-        return Times(**times)
+        return LeaseTimes(**times)
     except ValueError as error:
         wrong, _, right = str(error).partition("; ")
         raise ValidationError(table.path_of("seconds"), wrong, right) from error
--- a/roadpulley/fleet/verdicts/evidence.py
+++ b/roadpulley/fleet/verdicts/evidence.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from mintford.interface import Outcome
-from roadpulley.fleet.duties.terms import Mono
+from roadpulley.fleet.duties.terms import MonotonicTime
 
 from .messages import MAX_ROWS, ObservationRow
 
@@ -22,10 +22,10 @@
     started: float
     tries: float
     failures: float
-    at: Mono
+    at: MonotonicTime
     run: float = 0.0  # consecutive failures up to now
 
-    def fade(self, now: Mono) -> float:
+    def fade(self, now: MonotonicTime) -> float:
         return math.exp((self.at - now) / WINDOW_S)
 
 
@@ -33,7 +33,7 @@
     def __init__(self) -> None:
         self.observations: dict[int, BackendObservation] = {}
 
-    def record(self, now: Mono, backend: int, started: float, outcome: Outcome) -> None:
+    def record(self, now: MonotonicTime, backend: int, started: float, outcome: Outcome) -> None:
         if outcome is not Outcome.OK and outcome not in FAILURES:
             return
         known = self.observations.get(backend)
@@ -45,7 +45,7 @@
         known.run = 0.0 if outcome is Outcome.OK else known.run + 1
         known.at = now
 
-    def rows(self, now: Mono) -> list[ObservationRow]:
+    def rows(self, now: MonotonicTime) -> list[ObservationRow]:
         """Of what was observation lately, the ones that fail most first."""
         found = []
         for backend, observation in list(self.observations.items()):
--- a/roadpulley/fleet/verdicts/messages.py
+++ b/roadpulley/fleet/verdicts/messages.py
@@ -26,7 +26,7 @@
 
 import msgspec
 
-from roadpulley.fleet.duties.terms import Who
+from roadpulley.fleet.duties.terms import ProcessId
 
 MAX_REPORTS_PER_BATCH = 12  # reports in one datagram's body
 MAX_ROWS = 64  # backends that one process tells of, the ones that fail most first
@@ -50,7 +50,7 @@
 class HealthReportBatch(msgspec.Struct, tag="v-claims", array_like=True, frozen=True):
     """Of one observer, from itself."""
 
-    owner: Who
+    owner: ProcessId
     reports: tuple[HealthReport, ...]
 
 
--- a/roadpulley/fleet/verdicts/service.py
+++ b/roadpulley/fleet/verdicts/service.py
@@ -11,7 +11,7 @@
 
 from roadpulley.checks import Table
 from roadpulley.fleet.clock import Clock, wall_ms
-from roadpulley.fleet.duties.terms import Mono, Who
+from roadpulley.fleet.duties.terms import MonotonicTime, ProcessId
 from roadpulley.fleet.peers.service import Route
 from roadpulley.fleet.worker_socket import WorkerSocket
 
@@ -49,7 +49,7 @@
     def __init__(
         self,
         settings: VerdictSettings,
-        me: Who,
+        me: ProcessId,
         beside: WorkerSocket,
         clock: Clock,
         tell: Callable[[Route, Body], None],
@@ -58,11 +58,11 @@
         self.settings, self.me, self.beside, self.clock = settings, me, beside, clock
         self.tell, self.everybody = tell, everybody
         self.table = HealthReportTable(me, settings)
-        self.said: dict[int, tuple[Mono, ObservationBatch]] = {}  # by process beside
+        self.said: dict[int, tuple[MonotonicTime, ObservationBatch]] = {}  # by process beside
         self.holding: list[Verdict] = []
         self.ages: deque[int] = deque(maxlen=MAX_AGES)
         self.foreign = 0  # reports in another's name
-        self.ticked_at: Mono = 0.0
+        self.ticked_at: MonotonicTime = 0.0
         self.gap = MIN_JUDGE_INTERVAL_S
         self.soon: asyncio.TimerHandle | None = None
         self.task: asyncio.Task[None] | None = None
@@ -109,7 +109,7 @@
             self.ages.extend(verdict.age_ms for verdict in self.holding)
             self.beside.tell_all(VerdictSnapshot(tuple(self.holding)))
 
-    def _seen(self, now: Mono) -> tuple[int, Iterable[ObservationRow]]:
+    def _seen(self, now: MonotonicTime) -> tuple[int, Iterable[ObservationRow]]:
         """What the processes beside saw, together."""
         self.said = {
             holder: (at, saw) for holder, (at, saw) in self.said.items() if now - at < OBSERVATION_LIFETIME_S
@@ -133,7 +133,7 @@
 
     # ---- messages ----
 
-    def heard(self, who: Who, body: Body) -> None:
+    def heard(self, who: ProcessId, body: Body) -> None:
         if body.owner != who:
             # Danger: what one says of another's evidence could outlive it, or be made up.
             self.foreign += 1
--- a/roadpulley/fleet/verdicts/state_machine.py
+++ b/roadpulley/fleet/verdicts/state_machine.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from roadpulley.fleet.duties.terms import Mono, Who
+from roadpulley.fleet.duties.terms import MonotonicTime, ProcessId
 
 from .messages import MAX_REPORTS_PER_BATCH, HealthReport, HealthReportBatch, ObservationRow, Verdict
 
@@ -63,17 +63,17 @@
 @dataclass(slots=True)
 class StoredReport:
     report: HealthReport
-    came: Mono
+    came: MonotonicTime
 
 
 @dataclass
 class HealthReportTable:
     """All reports that are known, by observer and backend."""
 
-    me: Who
+    me: ProcessId
     settings: VerdictSettings
     version: int = 0
-    kept: dict[Who, dict[int, StoredReport]] = field(default_factory=dict)
+    kept: dict[ProcessId, dict[int, StoredReport]] = field(default_factory=dict)
     mine: dict[int, ObservationRow] = field(default_factory=dict)  # own evidence, as it was last told here
     ready: int = 0
     standing: dict[int, float] = field(default_factory=dict)  # verdicts of the last look, by backend
@@ -83,7 +83,7 @@
     # ---- own evidence ----
 
     def record_local(
-        self, now: Mono, wall_ms: int, ready: int, rows: Iterable[ObservationRow]
+        self, now: MonotonicTime, wall_ms: int, ready: int, rows: Iterable[ObservationRow]
     ) -> list[HealthReportBatch]:
         """What the processes beside saw lately; gives what to tell all others."""
         self.ready, self.mine = ready, {row.backend: row for row in rows}
@@ -121,7 +121,7 @@
 
     # ---- reports ----
 
-    def merge_remote(self, now: Mono, wall_ms: int, reports: HealthReportBatch) -> None:
+    def merge_remote(self, now: MonotonicTime, wall_ms: int, reports: HealthReportBatch) -> None:
         for report in reports.reports:
             if self._valid(report) and wall_ms - report.seen_ms <= 1000 * self.settings.life:
                 self._keep(now, reports.owner, report)
@@ -130,7 +130,7 @@
         sound = 0 <= report.failures <= report.tries + 1e-6 and report.tries < math.inf
         return sound and report.version > 0 and report.run >= 0
 
-    def _keep(self, now: Mono, owner: Who, report: HealthReport) -> None:
+    def _keep(self, now: MonotonicTime, owner: ProcessId, report: HealthReport) -> None:
         known = self.kept.setdefault(owner, {})
         before = known.get(report.backend)
         if before is not None and before.report.version >= report.version:
@@ -141,7 +141,7 @@
         self.number += before is None
         known[report.backend] = StoredReport(report, now)
 
-    def forget(self, now: Mono) -> None:
+    def forget(self, now: MonotonicTime) -> None:
         """What has ended so long ago that nothing older can come any more."""
         for owner, reports in list(self.kept.items()):
             for backend, kept in list(reports.items()):
@@ -151,7 +151,7 @@
             if not reports:
                 del self.kept[owner]
 
-    def fresh(self, now: Mono, wall_ms: int) -> Iterator[tuple[Who, HealthReport]]:
+    def fresh(self, now: MonotonicTime, wall_ms: int) -> Iterator[tuple[ProcessId, HealthReport]]:
         life = self.settings.life
         for owner, reports in self.kept.items():
             for kept in reports.values():
@@ -160,7 +160,7 @@
 
     # ---- to judge ----
 
-    def judge(self, now: Mono, wall_ms: int, instances: int) -> list[Verdict]:
+    def judge(self, now: MonotonicTime, wall_ms: int, instances: int) -> list[Verdict]:
         """What holds now, for a fleet of so many instances that are seen."""
         by_backend: dict[int, list[HealthReport]] = {}
         for _, report in self.fresh(now, wall_ms):
--- a/roadpulley/testbed/lease_model.py
+++ b/roadpulley/testbed/lease_model.py
@@ -24,7 +24,7 @@
 from typing import Any
 
 from roadpulley.fleet.duties.candidate import Action, Began, Candidate, Claim, Ended, Send, State
-from roadpulley.fleet.duties.terms import NEVER, Times, Who
+from roadpulley.fleet.duties.terms import NO_BALLOT, LeaseTimes, ProcessId
 from roadpulley.fleet.duties.voter import Voter
 
 DUTY = "d"
@@ -91,7 +91,11 @@
 
 class Model:
     def __init__(
-        self, times: Times, limits: Limits, rules: Rules | None = None, rates: tuple[float, ...] = (1.0,) * 5
+        self,
+        times: LeaseTimes,
+        limits: Limits,
+        rules: Rules | None = None,
+        rates: tuple[float, ...] = (1.0,) * 5,
     ) -> None:
         """`rates`: of the clocks of voters and candidates, in that order; within the drift of `times`."""
         self.times, self.limits, self.rules, self.rates = times, limits, rules or Rules(), rates
@@ -103,7 +107,9 @@
         return World(0, voters, tuple((1, self._candidate(n, 1)) for n in range(2)))
 
     def _candidate(self, n: int, boot: int) -> Candidate:
-        made = self.rules.candidate(DUTY, Who(f"c{n}", boot), frozenset(self.names), self.times, nothing)
+        made = self.rules.candidate(
+            DUTY, ProcessId(f"c{n}", boot), frozenset(self.names), self.times, nothing
+        )
         made.due = 0.0
         return made
 
@@ -386,7 +392,7 @@
     if kept is None:
         return (silent,)
     running = kept.until > now
-    return (silent, kept.promised, kept.granted if running else NEVER, kept.until if running else 0.0)
+    return (silent, kept.promised, kept.granted if running else NO_BALLOT, kept.until if running else 0.0)
 
 
 def candidate_key(c: Candidate) -> tuple[Any, ...]:
--- a/roadpulley/testbed/members_world.py
+++ b/roadpulley/testbed/members_world.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from roadpulley.fleet.duties.terms import Who
+from roadpulley.fleet.duties.terms import ProcessId
 from roadpulley.fleet.members.messages import MemberState, SwimParameters
 from roadpulley.fleet.members.state_machine import Membership, OutboundMessage
 from roadpulley.fleet.peers.envelope import Codec
@@ -47,7 +47,7 @@
         self.codec = Codec("world", "m000", 1, KEY)
         self.dead: set[str] = set()
         self.stopped: dict[str, float] = {}  # until when
-        self.unread: dict[str, list[tuple[OutboundMessage, str, Who]]] = {}  # of those that are stopped
+        self.unread: dict[str, list[tuple[OutboundMessage, str, ProcessId]]] = {}  # of those that are stopped
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.count, self.seen = 0, Seen()
         self.wrong: dict[tuple[str, str], float] = {}
@@ -57,7 +57,13 @@
     def _made(self, name: str) -> Membership:
         seeds = [n for n in self.names[:3] if n != name]
         return Membership(
-            Who(name, self.boots[name]), name, 1, {}, seeds, self.times, random.Random(self.rng.random())
+            ProcessId(name, self.boots[name]),
+            name,
+            1,
+            {},
+            seeds,
+            self.times,
+            random.Random(self.rng.random()),
         )
 
     def at(self, when: float, act: Callable[[], None]) -> None:
@@ -112,7 +118,7 @@
             who = self.machines[name].me
             self.at(self.now + delay, partial(self._arrive, tell, name, who))
 
-    def _arrive(self, tell: OutboundMessage, source: str, who: Who) -> None:
+    def _arrive(self, tell: OutboundMessage, source: str, who: ProcessId) -> None:
         target = tell.address
         if target in self.dead or target not in self.machines:
             return
@@ -121,7 +127,7 @@
             return
         self._heard(target, tell, source, who)
 
-    def _heard(self, target: str, tell: OutboundMessage, source: str, who: Who) -> None:
+    def _heard(self, target: str, tell: OutboundMessage, source: str, who: ProcessId) -> None:
         self._send(target, self.machines[target].heard(self.now, who, source, tell.body))
         self._look(target)
 
--- a/roadpulley/testbed/orders_world.py
+++ b/roadpulley/testbed/orders_world.py
@@ -15,7 +15,7 @@
 from functools import partial
 from typing import Any
 
-from roadpulley.fleet.duties.roll import first
+from roadpulley.fleet.duties.voter_config import initial_config
 from roadpulley.fleet.orders.follower import Follower, FollowerSettings
 from roadpulley.fleet.orders.messages import (
     ChangeRequest,
@@ -87,7 +87,7 @@
         for name in names:
             rate, disk = 1 + rng.uniform(-1, 1) * draw.drift, rng.random() < draw.disk
             self.nodes[name] = Instance(name, rate, disk, Follower(self.terms))
-        self.roll = first(dict.fromkeys(self.voters, ""))
+        self.roll = initial_config(dict.fromkeys(self.voters, ""))
         self.now, self.fence, self.counter = 0.0, 0, itertools.count()
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.holder = ""
--- a/tests/fleet/test_counters.py
+++ b/tests/fleet/test_counters.py
@@ -19,7 +19,7 @@
 )
 from roadpulley.fleet.counts.service import read_replication_settings
 from roadpulley.fleet.counts.state_machine import ReplicatedCounters
-from roadpulley.fleet.duties.terms import Who
+from roadpulley.fleet.duties.terms import ProcessId
 
 KEEP_MS = 60_000
 
@@ -27,7 +27,7 @@
 def machine(
     name: str = "a", boot: int = 1, kind: type[ReplicatedCounters] = ReplicatedCounters
 ) -> ReplicatedCounters:
-    return kind(Who(name, boot))
+    return kind(ProcessId(name, boot))
 
 
 def added(
@@ -40,7 +40,7 @@
 
 # ---- merging ----
 
-OWNERS = (Who("a", 1), Who("a", 2), Who("b", 1))
+OWNERS = (ProcessId("a", 1), ProcessId("a", 2), ProcessId("b", 1))
 PARTS = st.builds(
     lambda owner, name, version: PartBatch(owner, (CounterPart(name, version, version * 1.5, KEEP_MS),)),
     st.sampled_from(OWNERS),
@@ -79,7 +79,7 @@
     counts = machine()
     for amount, keep in ((float("nan"), 10), (float("inf"), 10), (1.0, 0)):
         assert counts.add(0.0, AddRequest(1, 1, "n", amount, keep)) is None
-    counts.heard(0.0, PartBatch(Who("b", 1), (CounterPart("n", 1, float("nan"), 10),)))
+    counts.heard(0.0, PartBatch(ProcessId("b", 1), (CounterPart("n", 1, float("nan"), 10),)))
     assert counts.total(0.0, "n") == 0.0
 
 
@@ -90,20 +90,20 @@
     for digest in third.digests():
         second.heard(2.0, digest)
     pages = [p for d in third.digests() for p in second.heard(9.0, d)]
-    pages += list(second._pages(9.0, Who("a", 1), ["n"]))
+    pages += list(second._pages(9.0, ProcessId("a", 1), ["n"]))
     third.heard(9.0, pages[-1])
     assert third.total(9.5, "n") == 5.0
     assert [m.total(10.1, "n") for m in (first, second, third)] == [0.0, 0.0, 0.0]
     assert added(first, 11.0, 2, 1.0) == 1.0  # a new one of that name
     second.sweep(11.0)
     assert second.numbers == {}
-    assert Who("a", 1) not in second.owners
+    assert ProcessId("a", 1) not in second.owners
 
 
 def test_our_own_part_is_not_taken_from_others() -> None:
     counts = machine()
     added(counts, 0.0, 1, 1.0)
-    counts.heard(0.0, PartBatch(Who("a", 1), (CounterPart("n", 99, 50.0, KEEP_MS),)))
+    counts.heard(0.0, PartBatch(ProcessId("a", 1), (CounterPart("n", 99, 50.0, KEEP_MS),)))
     assert counts.total(0.0, "n") == 1.0
 
 
@@ -203,7 +203,7 @@
 class AddsUp(ReplicatedCounters):
     """A part that comes again is added once more."""
 
-    def _merge(self, now: float, owner: Who, part: CounterPart) -> None:
+    def _merge(self, now: float, owner: ProcessId, part: CounterPart) -> None:
         known = self._of(part.name, owner)
         super()._merge(now, owner, part)
         if known is not None and owner != self.me and part.version == known.version:
@@ -213,7 +213,7 @@
 class AnyVersion(ReplicatedCounters):
     """An older part takes the place of a newer one."""
 
-    def _merge(self, now: float, owner: Who, part: CounterPart) -> None:
+    def _merge(self, now: float, owner: ProcessId, part: CounterPart) -> None:
         if owner != self.me:
             self._keep(part.name, owner, part.version, part.total, now + part.left_ms / 1000)
 
@@ -235,8 +235,8 @@
 class SameOwner(ReplicatedCounters):
     """A process that restarts goes on under its old boot, with versions from the start."""
 
-    def __init__(self, me: Who) -> None:
-        super().__init__(Who(me.name, 1))
+    def __init__(self, me: ProcessId) -> None:
+        super().__init__(ProcessId(me.name, 1))
 
 
 @pytest.mark.parametrize("kind", [AddsUp, AnyVersion, NeverCompares, OnlyOwn, SameOwner])
--- a/tests/fleet/test_lease_model.py
+++ b/tests/fleet/test_lease_model.py
@@ -12,12 +12,20 @@
 
 from roadpulley.fleet.duties import candidate as candidates
 from roadpulley.fleet.duties.candidate import Action, Ask, Candidate
-from roadpulley.fleet.duties.terms import Accept, Answer, Mono, Question, Refused, Release, Times
+from roadpulley.fleet.duties.terms import (
+    Accept,
+    LeaseRejection,
+    LeaseTimes,
+    MonotonicTime,
+    Release,
+    VoterRequest,
+    VoterResponse,
+)
 from roadpulley.fleet.duties.voter import Kept, Voter
 from roadpulley.testbed.lease_model import Broken, Limits, Model, Rules
 
 # No drift and no margin: the bound itself is tried, not the room that settings leave below it.
-TIMES = Times(lease=3.0, drift=0.0, margin=0.0, answer=1.0, claim=100.0)
+TIMES = LeaseTimes(lease=3.0, drift=0.0, margin=0.0, answer=1.0, claim=100.0)
 WALKS, STEPS = 400, 350
 LONG = Limits(ticks=80, restarts=8, wipes=2, reboots=3, repeats=30, tries=99, asks=99, late=30, lost=60)
 
@@ -41,12 +49,12 @@
     assert states > 1_000
 
 
-def drifting(seed: int) -> tuple[Times, tuple[float, ...]]:
+def drifting(seed: int) -> tuple[LeaseTimes, tuple[float, ...]]:
     """Clocks as far apart as settings of this drift allow, each by chance or at an end."""
     rng = random.Random(seed)
     drift = rng.choice((0.0, 0.05, 0.2))
     rates = tuple(1 + rng.choice((-drift, drift, rng.uniform(-drift, drift))) for _ in range(5))
-    return Times(lease=6.0, drift=drift, margin=0.0, answer=1.0, claim=100.0), rates
+    return LeaseTimes(lease=6.0, drift=drift, margin=0.0, answer=1.0, claim=100.0), rates
 
 
 def test_drawn_histories_with_clocks_that_run_apart_hold() -> None:
@@ -64,7 +72,7 @@
 class Counting(Candidate):
     begun = 0
 
-    def claimed(self, now: Mono, fence: int) -> list[Action]:
+    def claimed(self, now: MonotonicTime, fence: int) -> list[Action]:
         out = super().claimed(now, fence)
         Counting.begun += len(out)
         return out
@@ -74,53 +82,60 @@
 
 
 class VotesAtOnce(Voter):
-    def speaks_at(self) -> Mono:
+    def speaks_at(self) -> MonotonicTime:
         return self.started
 
 
 class GrantsTwice(Voter):
-    def on(self, now: Mono, asked: Question) -> Answer | None:
+    def on(self, now: MonotonicTime, asked: VoterRequest) -> VoterResponse | None:
         if (kept := self.kept.get(asked.duty)) is not None and not isinstance(asked, Release):
             kept.until = min(kept.until, now)
         return super().on(now, asked)
 
 
 class KeepsTooShort(Voter):
-    def on(self, now: Mono, asked: Question) -> Answer | None:
+    def on(self, now: MonotonicTime, asked: VoterRequest) -> VoterResponse | None:
         if isinstance(asked, Accept):
-            asked = Accept(asked.duty, asked.ballot, asked.ask, asked.roll, asked.lease_ms // 2, asked.held)
+            asked = Accept(
+                asked.duty,
+                asked.ballot,
+                asked.request_number,
+                asked.config_id,
+                asked.lease_ms // 2,
+                asked.is_renewal,
+            )
         return super().on(now, asked)
 
 
 class ReleasesForAnybody(Voter):
-    def _release(self, now: Mono, kept: Kept, asked: Release) -> None:
+    def _release(self, now: MonotonicTime, kept: Kept, asked: Release) -> None:
         super()._release(now, kept, Release(asked.duty, kept.granted, asked.failed))
 
 
 class CountsFromTheAnswer(Candidate):
-    def _granted(self, now: Mono, voter: str, number: int, out: list[Action]) -> None:
+    def _granted(self, now: MonotonicTime, voter: str, number: int, out: list[Action]) -> None:
         self.asks = tuple(Ask(a.number, now, a.granted) for a in self.asks)
         super()._granted(now, voter, number, out)
 
 
 class AddsToWhatIsLeft(Candidate):
-    def _granted(self, now: Mono, voter: str, number: int, out: list[Action]) -> None:
+    def _granted(self, now: MonotonicTime, voter: str, number: int, out: list[Action]) -> None:
         before = self.until
         super()._granted(now, voter, number, out)
         if before and self.until > before:
-            self.until = before + self.times.holds
+            self.until = before + self.times.hold_duration
 
 
 class MixesItsAsks(Candidate):
-    def _granted(self, now: Mono, voter: str, number: int, out: list[Action]) -> None:
+    def _granted(self, now: MonotonicTime, voter: str, number: int, out: list[Action]) -> None:
         everyone = frozenset(v for a in self.asks for v in a.granted)
         self.asks = tuple(Ask(a.number, a.at, everyone) for a in self.asks)
         super()._granted(now, voter, number, out)
 
 
 class TakesOldAnswers(Candidate):
-    def heard(self, now: Mono, voter: str, answer: Answer) -> list[Action]:
-        if not isinstance(answer, Refused):
+    def heard(self, now: MonotonicTime, voter: str, answer: VoterResponse) -> list[Action]:
+        if not isinstance(answer, LeaseRejection):
             answer = replace_ballot(answer, self)
         return super().heard(now, voter, answer)
 
@@ -132,25 +147,25 @@
 
 
 class ForgetsTheDrift(Candidate):
-    def _granted(self, now: Mono, voter: str, number: int, out: list[Action]) -> None:
+    def _granted(self, now: MonotonicTime, voter: str, number: int, out: list[Action]) -> None:
         super()._granted(now, voter, number, out)
         if self.until:
             self.until = max([self.until, *(a.at + self.times.lease for a in self.asks)])
             if out:
-                self.until += self.times.lease - self.times.holds
+                self.until += self.times.lease - self.times.hold_duration
 
 
 class HoldsWithoutEnd(Candidate):
-    def mine(self, now: Mono) -> bool:
+    def mine(self, now: MonotonicTime) -> bool:
         return self.state is candidates.State.HOLDING
 
 
-def replace_ballot(answer: Answer, mine: Candidate) -> Answer:
+def replace_ballot(answer: VoterResponse, mine: Candidate) -> VoterResponse:
     import msgspec
 
     changes: dict[str, object] = {"ballot": mine.ballot}
-    if hasattr(answer, "ask"):
-        changes["ask"] = mine.asked
+    if hasattr(answer, "request_number"):
+        changes["request_number"] = mine.asked
     return msgspec.structs.replace(answer, **changes)
 
 
--- a/tests/fleet/test_machines.py
+++ b/tests/fleet/test_machines.py
@@ -6,24 +6,24 @@
 
 from roadpulley.fleet.duties.candidate import Began, Candidate, Claim, Ended, Send, State
 from roadpulley.fleet.duties.memory import BLOCK, Memory
-from roadpulley.fleet.duties.roll import FIRST
 from roadpulley.fleet.duties.spread import spread
 from roadpulley.fleet.duties.terms import (
     Accept,
     Ballot,
-    Granted,
+    LeaseGrant,
+    LeaseRejection,
+    LeaseTimes,
     Prepare,
+    ProcessId,
     Promise,
-    Refused,
     Release,
-    Times,
-    Who,
 )
 from roadpulley.fleet.duties.voter import FIRST_COOL_S, Voter
+from roadpulley.fleet.duties.voter_config import INITIAL_CONFIG_ID
 from roadpulley.fleet.duties.work import Duty
 
-TIMES = Times(lease=4.0, drift=0.05, margin=0.1, answer=0.2)
-A, B = Who("a", 1), Who("b", 2)
+TIMES = LeaseTimes(lease=4.0, drift=0.05, margin=0.1, answer=0.2)
+A, B = ProcessId("a", 1), ProcessId("b", 2)
 VOTERS = ("v0", "v1", "v2")
 
 
@@ -31,8 +31,8 @@
     return Voter(TIMES, now, floor, lost_memory=False)
 
 
-def accept(number: int, who: Who, held: bool = False, lease: float = 4.0) -> Accept:
-    return Accept("d", Ballot(number, who), 1, FIRST, int(lease * 1000), held)
+def accept(number: int, who: ProcessId, held: bool = False, lease: float = 4.0) -> Accept:
+    return Accept("d", Ballot(number, who), 1, INITIAL_CONFIG_ID, int(lease * 1000), held)
 
 
 def candidate() -> Candidate:
@@ -49,7 +49,7 @@
     for name in VOTERS[:2]:
         found.heard(at, name, Promise("d", found.ballot))
     for name in VOTERS[:2]:
-        out = found.heard(at, name, Granted("d", found.ballot, found.asked))
+        out = found.heard(at, name, LeaseGrant("d", found.ballot, found.asked))
     assert Claim("d", found.ballot.round) in out
     assert found.claimed(at, found.ballot.round) == [Began("d", found.ballot.round)]
     return found
@@ -57,86 +57,92 @@
 
 def test_a_voter_that_lost_its_memory_says_nothing_for_a_lease() -> None:
     fresh = Voter(TIMES, 10.0)
-    assert fresh.on(13.99, Prepare("d", Ballot(1, A), FIRST)) is None
-    assert isinstance(fresh.on(14.0, Prepare("d", Ballot(1, A), FIRST)), Promise)
+    assert fresh.on(13.99, Prepare("d", Ballot(1, A), INITIAL_CONFIG_ID)) is None
+    assert isinstance(fresh.on(14.0, Prepare("d", Ballot(1, A), INITIAL_CONFIG_ID)), Promise)
 
 
 def test_who_asks_cannot_disturb_who_holds() -> None:
     v = voter()
-    v.on(0.0, Prepare("d", Ballot(5, A), FIRST))
-    assert isinstance(v.on(0.1, accept(5, A)), Granted)
-    refused = v.on(1.0, Prepare("d", Ballot(9, B), FIRST))
-    assert isinstance(refused, Refused) and refused.holder == A and 3_000 < refused.left_ms <= 3_101
-    assert isinstance(v.on(2.0, accept(5, A, held=True)), Granted)  # its renewal goes on
-    assert isinstance(v.on(5.9, accept(9, B)), Refused)
-    assert isinstance(v.on(6.0, Prepare("d", Ballot(9, B), FIRST)), Promise)
+    v.on(0.0, Prepare("d", Ballot(5, A), INITIAL_CONFIG_ID))
+    assert isinstance(v.on(0.1, accept(5, A)), LeaseGrant)
+    refused = v.on(1.0, Prepare("d", Ballot(9, B), INITIAL_CONFIG_ID))
+    assert (
+        isinstance(refused, LeaseRejection)
+        and refused.holder == A
+        and 3_000 < refused.retry_after_ms <= 3_101
+    )
+    assert isinstance(v.on(2.0, accept(5, A, held=True)), LeaseGrant)  # its renewal goes on
+    assert isinstance(v.on(5.9, accept(9, B)), LeaseRejection)
+    assert isinstance(v.on(6.0, Prepare("d", Ballot(9, B), INITIAL_CONFIG_ID)), Promise)
 
 
 def test_a_renewal_joins_a_voter_whose_floor_is_above_it_and_a_late_accept_does_not() -> None:
     v = voter(floor=1_000)
-    assert isinstance(v.on(0.0, accept(5, A, held=False)), Refused)
-    assert isinstance(v.on(0.0, accept(5, A, held=True)), Granted)
-    assert isinstance(v.on(5.0, Prepare("d", Ballot(999, B), FIRST)), Refused)
-    assert isinstance(v.on(5.0, Prepare("d", Ballot(1_001, B), FIRST)), Promise)
+    assert isinstance(v.on(0.0, accept(5, A, held=False)), LeaseRejection)
+    assert isinstance(v.on(0.0, accept(5, A, held=True)), LeaseGrant)
+    assert isinstance(v.on(5.0, Prepare("d", Ballot(999, B), INITIAL_CONFIG_ID)), LeaseRejection)
+    assert isinstance(v.on(5.0, Prepare("d", Ballot(1_001, B), INITIAL_CONFIG_ID)), Promise)
 
 
 def test_two_candidates_never_share_a_round() -> None:
     v = voter()
-    assert isinstance(v.on(0.0, Prepare("d", Ballot(5, A), FIRST)), Promise)
-    assert isinstance(v.on(0.0, Prepare("d", Ballot(5, A), FIRST)), Promise)  # repeated
-    assert isinstance(v.on(0.0, Prepare("d", Ballot(5, B), FIRST)), Refused)
+    assert isinstance(v.on(0.0, Prepare("d", Ballot(5, A), INITIAL_CONFIG_ID)), Promise)
+    assert isinstance(v.on(0.0, Prepare("d", Ballot(5, A), INITIAL_CONFIG_ID)), Promise)  # repeated
+    assert isinstance(v.on(0.0, Prepare("d", Ballot(5, B), INITIAL_CONFIG_ID)), LeaseRejection)
 
 
 def test_a_renewal_after_the_release_is_worth_nothing() -> None:
     v = voter()
-    v.on(0.0, Prepare("d", Ballot(5, A), FIRST))
+    v.on(0.0, Prepare("d", Ballot(5, A), INITIAL_CONFIG_ID))
     v.on(0.0, accept(5, A))
     v.on(1.0, Release("d", Ballot(4, B), False))  # not its own: nothing ends
-    assert isinstance(v.on(1.0, Prepare("d", Ballot(6, B), FIRST)), Refused)
+    assert isinstance(v.on(1.0, Prepare("d", Ballot(6, B), INITIAL_CONFIG_ID)), LeaseRejection)
     v.on(1.0, Release("d", Ballot(5, A), False))
-    assert isinstance(v.on(1.1, accept(5, A)), Refused)
-    assert isinstance(v.on(1.1, Prepare("d", Ballot(6, B), FIRST)), Promise)
+    assert isinstance(v.on(1.1, accept(5, A)), LeaseRejection)
+    assert isinstance(v.on(1.1, Prepare("d", Ballot(6, B), INITIAL_CONFIG_ID)), Promise)
 
 
 def test_a_failed_holding_cools_longer_each_time_and_one_that_lasted_does_not() -> None:
     v, now = voter(), 0.0
     for number in range(1, 4):
-        v.on(now, Prepare("d", Ballot(number, A), FIRST))
+        v.on(now, Prepare("d", Ballot(number, A), INITIAL_CONFIG_ID))
         v.on(now, accept(number, A))
         v.on(now, Release("d", Ballot(number, A), True))
         wait = FIRST_COOL_S * 2 ** (number - 1)
-        assert isinstance(v.on(now + wait * 0.99, Prepare("d", Ballot(number + 1, B), FIRST)), Refused)
+        assert isinstance(
+            v.on(now + wait * 0.99, Prepare("d", Ballot(number + 1, B), INITIAL_CONFIG_ID)), LeaseRejection
+        )
         now += wait
-    v.on(now, Prepare("d", Ballot(9, A), FIRST))
+    v.on(now, Prepare("d", Ballot(9, A), INITIAL_CONFIG_ID))
     for step in range(6):
         v.on(now + step * 3, accept(9, A, held=True))
     v.on(now + 16, Release("d", Ballot(9, A), True))
-    assert isinstance(v.on(now + 16 + FIRST_COOL_S, Prepare("d", Ballot(10, B), FIRST)), Promise)
+    assert isinstance(v.on(now + 16 + FIRST_COOL_S, Prepare("d", Ballot(10, B), INITIAL_CONFIG_ID)), Promise)
 
 
 @pytest.mark.parametrize("lease", [0.0, 4.1, 1e6])
 def test_a_grant_never_outlives_the_silence_after_a_restart(lease: float) -> None:
     v = voter()
-    v.on(0.0, Prepare("d", Ballot(5, A), FIRST))
-    assert isinstance(v.on(0.0, accept(5, A, lease=lease)), Refused)
+    v.on(0.0, Prepare("d", Ballot(5, A), INITIAL_CONFIG_ID))
+    assert isinstance(v.on(0.0, accept(5, A, lease=lease)), LeaseRejection)
 
 
 def test_a_round_that_leaps_to_the_end_of_all_numbers_is_refused() -> None:
-    assert isinstance(voter().on(0.0, Prepare("d", Ballot(2**52, A), FIRST)), Refused)
+    assert isinstance(voter().on(0.0, Prepare("d", Ballot(2**52, A), INITIAL_CONFIG_ID)), LeaseRejection)
 
 
 def test_voters_of_an_older_roll_are_not_answered_with_a_vote() -> None:
     v = voter()
-    v.roll = (2, 3)
-    assert isinstance(v.on(0.0, Prepare("d", Ballot(5, A), (1, 7))), Refused)
+    v.config_id = (2, 3)
+    assert isinstance(v.on(0.0, Prepare("d", Ballot(5, A), (1, 7))), LeaseRejection)
     assert isinstance(v.on(0.0, Prepare("d", Ballot(5, A), (2, 3))), Promise)
 
 
 def test_time_counts_from_the_ask() -> None:
     found = holding(10.0)
-    assert found.until == pytest.approx(10.0 + TIMES.holds)
-    assert found.mine(10.0 + TIMES.holds - 0.001)
-    assert not found.mine(10.0 + TIMES.holds)  # also where nobody has looked at the clock
+    assert found.until == pytest.approx(10.0 + TIMES.hold_duration)
+    assert found.mine(10.0 + TIMES.hold_duration - 0.001)
+    assert not found.mine(10.0 + TIMES.hold_duration)  # also where nobody has looked at the clock
     assert [type(a) for a in found.tick(found.until)][0] is Ended
 
 
@@ -155,8 +161,8 @@
     first = held.asked
     held.tick(held.due)
     for name in VOTERS:
-        held.heard(1.0, name, Granted("d", held.ballot, first))
-    assert held.until == pytest.approx(TIMES.holds)
+        held.heard(1.0, name, LeaseGrant("d", held.ballot, first))
+    assert held.until == pytest.approx(TIMES.hold_duration)
 
 
 def test_grants_that_come_after_their_time_are_worth_nothing() -> None:
@@ -165,7 +171,7 @@
     for name in VOTERS[:2]:
         found.heard(0.0, name, Promise("d", found.ballot))
     for name in VOTERS:
-        assert found.heard(TIMES.holds, name, Granted("d", found.ballot, found.asked)) == []
+        assert found.heard(TIMES.hold_duration, name, LeaseGrant("d", found.ballot, found.asked)) == []
     assert found.state is State.ACCEPTING
 
 
@@ -194,7 +200,7 @@
     now = 0.0
     while found.state is not State.IDLE or not now:
         for name in VOTERS[:2]:
-            found.heard(now, name, Granted("d", found.ballot, found.asked))
+            found.heard(now, name, LeaseGrant("d", found.ballot, found.asked))
         now = found.next_at()
         out = found.tick(now)
     assert now == pytest.approx(TIMES.claim)
@@ -205,7 +211,7 @@
     found = candidate()
     found.tick(0.0)
     for name in VOTERS[:2]:
-        found.heard(0.0, name, Refused("d", found.ballot, B, 2_500, 77))
+        found.heard(0.0, name, LeaseRejection("d", found.ballot, B, 2_500, 77))
     assert found.state is State.IDLE and found.due == pytest.approx(2.5) and found.holder == B
     found.tick(found.due)
     assert found.ballot.round == 78
@@ -217,13 +223,13 @@
 )
 def test_times_that_leave_no_time_are_turned_down(wrong: dict[str, float]) -> None:
     with pytest.raises(ValueError):
-        Times(**{"lease": 4.0, "drift": 0.05, "margin": 0.1, "answer": 0.2, **wrong})
+        LeaseTimes(**{"lease": 4.0, "drift": 0.05, "margin": 0.1, "answer": 0.2, **wrong})
 
 
 @pytest.mark.parametrize("drift", [0.0, 0.02, 0.05, 0.2])
 def test_the_slowest_holder_stops_before_the_fastest_voter_forgets(drift: float) -> None:
-    times = Times(lease=6.0, drift=drift, margin=0.1, answer=0.2)
-    assert times.holds / (1 - drift) + times.margin <= times.lease / (1 + drift) + 1e-9
+    times = LeaseTimes(lease=6.0, drift=drift, margin=0.1, answer=0.2)
+    assert times.hold_duration / (1 - drift) + times.margin <= times.lease / (1 + drift) + 1e-9
 
 
 def test_what_a_voter_used_is_remembered_on_disk(tmp_path_factory: pytest.TempPathFactory) -> None:
@@ -237,7 +243,7 @@
 
 
 def test_duties_are_spread_evenly_and_preferences_are_kept() -> None:
-    who = [Who(f"i{n}", n + 1) for n in range(5)]
+    who = [ProcessId(f"i{n}", n + 1) for n in range(5)]
     duties = {f"d{n:02}": who for n in range(64)}
     found = spread(duties, {"d00": ["i3"], "d01": ["i3", "i1"]})
     load = [sum(order[0] == w for order in found.values()) for w in who]
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -9,12 +9,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from roadpulley.fleet.duties.terms import Who
+from roadpulley.fleet.duties.terms import ProcessId
 from roadpulley.fleet.members.messages import Ack, Claim, MemberState, Ping, SwimParameters
 from roadpulley.fleet.members.state_machine import Membership
 from roadpulley.testbed.members_world import MembersWorld
 
-A, B = Who("a", 1), Who("b", 2)
+A, B = ProcessId("a", 1), ProcessId("b", 2)
 
 
 def one(times: SwimParameters | None = None) -> Membership:
@@ -33,7 +33,7 @@
         found = one()
         found.heard(0.0, B, "b", Ping(1, (Claim(B, 0, MemberState.ALIVE, "b"),)))
         for claim in (*order, *order[:1]):
-            found.heard(0.0, Who("c", 3), "c", Ping(2, (claim,)))
+            found.heard(0.0, ProcessId("c", 3), "c", Ping(2, (claim,)))
         last = found.table[B].claim
         ends.add((last.incarnation, last.state))
     assert len(ends) == 1
@@ -112,5 +112,5 @@
     world._send("m004", world.machines["m004"].leave(world.now))
     world.kill("m004")
     world.run(13.0)
-    states = [m.table[Who("m004", 1)].claim.state for n, m in world.machines.items() if n != "m004"]
+    states = [m.table[ProcessId("m004", 1)].claim.state for n, m in world.machines.items() if n != "m004"]
     assert set(states) == {MemberState.LEFT}
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -9,7 +9,7 @@
 from mintford import interface as api
 from roadpulley.checks import Table, ValidationError
 from roadpulley.core.discovery import host_number
-from roadpulley.fleet.duties.roll import Roll, RollId, first
+from roadpulley.fleet.duties.voter_config import VoterConfig, VoterConfigId, initial_config
 from roadpulley.fleet.orders.client import to_orders_changed
 from roadpulley.fleet.orders.even_shares import EvenShares
 from roadpulley.fleet.orders.follower import Follower, FollowerSettings
@@ -41,7 +41,7 @@
 
 def ready(fence: int = 7) -> Publisher:
     """It has read two voters whose memory is whole, and both took its book."""
-    made = Publisher(fence, first(VOTERS), OrderBook(), 0.1)
+    made = Publisher(fence, initial_config(VOTERS), OrderBook(), 0.1)
     for voter in ("v0", "v1"):
         made.kept(voter, VoterReply(fence, Version(0, 0), True), OrderBook())
     took(made, "v0", "v1")
@@ -70,7 +70,7 @@
 def test_the_next_publisher_goes_on_from_what_one_voter_has_and_knows_the_call_again() -> None:
     """The one before had a single voter take it, and died; whoever asked asks again."""
     left = book(7, 3, BLOCK)
-    made = Publisher(9, first(VOTERS), OrderBook(), 0.1)
+    made = Publisher(9, initial_config(VOTERS), OrderBook(), 0.1)
     made.kept("v1", VoterReply(9, Version(7, 2), True), book(7, 2))
     made.kept("v0", VoterReply(9, left.id, True), None)
     assert made.step is PublisherState.READING  # its sheets are on their way
@@ -84,7 +84,7 @@
 
 
 def test_a_higher_fence_ends_it_and_an_answer_to_an_earlier_one_is_no_reading() -> None:
-    made = Publisher(9, first(VOTERS), OrderBook(), 0.1)
+    made = Publisher(9, initial_config(VOTERS), OrderBook(), 0.1)
     made.kept("v0", VoterReply(8, Version(0, 0), True), OrderBook())
     assert not made.heard
     made.kept("v1", VoterReply(10, Version(0, 0), True), OrderBook())
@@ -92,7 +92,7 @@
 
 
 def test_voters_without_a_memory_are_made_up_for_by_asking_all_or_by_an_operator() -> None:
-    made = Publisher(9, first(VOTERS), OrderBook(), 0.1)
+    made = Publisher(9, initial_config(VOTERS), OrderBook(), 0.1)
     made.kept("v0", VoterReply(9, Version(0, 0), False), OrderBook())
     made.kept("v1", VoterReply(9, Version(0, 0), True), OrderBook())
     assert made.step is PublisherState.READING
@@ -108,7 +108,7 @@
 
 def test_other_voters_have_to_take_the_book_before_more_is_published() -> None:
     made = ready()
-    roll = Roll(RollId(1, 8), {**VOTERS, "v3": "", "v4": ""}, VOTERS)
+    roll = VoterConfig(VoterConfigId(1, 8), {**VOTERS, "v3": "", "v4": ""}, VOTERS)
     made.adopt(roll)
     assert made.step is PublisherState.TAKING
     took(made, "v0", "v1")
--- a/tests/fleet/test_orders_world.py
+++ b/tests/fleet/test_orders_world.py
@@ -72,7 +72,7 @@
 
 
 def one_is_enough(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(publishing, "majority", lambda voters: 1)
+    patch.setattr(publishing, "majority_size", lambda voters: 1)
 
 
 def back_to_a_lower_book(patch: pytest.MonkeyPatch) -> None:
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -12,7 +12,7 @@
 
 from roadpulley.checks import ValidationError
 from roadpulley.cli import main
-from roadpulley.fleet.duties.terms import Ballot, Prepare, Who
+from roadpulley.fleet.duties.terms import Ballot, Prepare, ProcessId
 from roadpulley.fleet.peers.envelope import (
     MAX_DATAGRAM_BYTES,
     REPLAY_WINDOW_SIZE,
@@ -31,7 +31,9 @@
 
 
 def packed(of: Codec, count: int = 1, to_boot: int = 9) -> list[bytes]:
-    return of.pack(to_boot, [of.body(Prepare(f"d{n}", Ballot(5, Who("a", 1)), (0, 0))) for n in range(count)])
+    return of.pack(
+        to_boot, [of.body(Prepare(f"d{n}", Ballot(5, ProcessId("a", 1)), (0, 0))) for n in range(count)]
+    )
 
 
 def test_a_datagram_comes_as_it_was_sent_and_once() -> None:
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -11,7 +11,7 @@
 import pytest
 
 from roadpulley.fleet.control import call_agent
-from roadpulley.fleet.duties.terms import Ballot, Prepare, Who
+from roadpulley.fleet.duties.terms import Ballot, Prepare, ProcessId
 from roadpulley.fleet.peers.envelope import Codec
 from roadpulley.testbed.fleet import Fleet, FleetPlan
 from roadpulley.testbed.holders import Judgement, read_lines
@@ -228,7 +228,7 @@
         await fleet.start()
         await fleet.all_held()
         fences = [fleet.fence(d) for d in fleet.plan.duty_names]
-        body = Prepare("duty-0", Ballot(2**52, Who("x", 7)), (0, 0))
+        body = Prepare("duty-0", Ballot(2**52, ProcessId("x", 7)), (0, 0))
         key = (tmp_path / "fleet.key").read_bytes()
         codecs = [
             Codec("trial", "x", 7, b"z" * 32),
--- a/tests/fleet/test_verdicts.py
+++ b/tests/fleet/test_verdicts.py
@@ -10,13 +10,13 @@
 
 from mintford.interface import Outcome
 from roadpulley.checks import Table, ValidationError
-from roadpulley.fleet.duties.terms import Who
+from roadpulley.fleet.duties.terms import ProcessId
 from roadpulley.fleet.verdicts.evidence import BackendObservations
 from roadpulley.fleet.verdicts.messages import MAX_ROWS, HealthReport, HealthReportBatch, ObservationRow
 from roadpulley.fleet.verdicts.service import merge_observations, read_verdict_settings
 from roadpulley.fleet.verdicts.state_machine import HealthReportTable, VerdictSettings
 
-ME, A, B, C = (Who(name, n) for n, name in enumerate(("me", "a", "b", "c"), 1))
+ME, A, B, C = (ProcessId(name, n) for n, name in enumerate(("me", "a", "b", "c"), 1))
 SETTINGS = VerdictSettings(life=3.0, share=0.3)
 WALL = 1_000_000
 
@@ -28,7 +28,7 @@
 
 
 def reports(
-    owner: Who, backend: int, failures: float, version: int = 1, tries: float = 3.0, **more: float
+    owner: ProcessId, backend: int, failures: float, version: int = 1, tries: float = 3.0, **more: float
 ) -> HealthReportBatch:
     seen, started = int(more.get("seen", WALL)), more.get("started", 5.0)
     return HealthReportBatch(owner, (HealthReport(backend, started, version, tries, failures, seen),))
@@ -60,7 +60,7 @@
     return row
 
 
-def told(owner: Who, row: ObservationRow, version: int = 1, seen: int = WALL) -> HealthReportBatch:
+def told(owner: ProcessId, row: ObservationRow, version: int = 1, seen: int = WALL) -> HealthReportBatch:
     return HealthReportBatch(owner, (HealthReport(7, 5.0, version, row.tries, row.failures, seen, row.run),))
 
 
@@ -92,7 +92,7 @@
     for owner in (A, B):
         made.merge_remote(0.0, WALL, told(owner, failed))
     for n in range(3):
-        made.merge_remote(0.0, WALL, told(Who("served", n), served))
+        made.merge_remote(0.0, WALL, told(ProcessId("served", n), served))
     assert level(made, 7) == 0
     # Served again themselves, they no longer find it failing.
     again = seen_by_a_gateway("....x.", 0.25)
@@ -130,13 +130,13 @@
     for owner in (A, B):
         made.merge_remote(0.0, WALL, reports(owner, 7, 3.0))
     for n in range(4):
-        made.merge_remote(0.0, WALL, reports(Who("served", n), 7, 0.0))
+        made.merge_remote(0.0, WALL, reports(ProcessId("served", n), 7, 0.0))
     assert level(made, 7) == 0
     made = book()
     for owner in (A, B):
         made.merge_remote(0.0, WALL, reports(owner, 7, 3.0))
     for n in range(4):
-        made.merge_remote(0.0, WALL, reports(Who("served", n), 7, 0.0, seen=WALL - 500))
+        made.merge_remote(0.0, WALL, reports(ProcessId("served", n), 7, 0.0, seen=WALL - 500))
     assert level(made, 7) > 0.5
 
 
@@ -145,7 +145,7 @@
     made.merge_remote(0.0, WALL, reports(A, 7, 1_000.0, tries=1_000.0))
     made.merge_remote(0.0, WALL, reports(B, 7, 3.0))
     for n in range(4):
-        made.merge_remote(0.0, WALL, reports(Who("served", n), 7, 0.0, tries=6.0))
+        made.merge_remote(0.0, WALL, reports(ProcessId("served", n), 7, 0.0, tries=6.0))
     assert level(made, 7) == 0
 
 
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -20,7 +20,7 @@
 import mintford
 import roadpulley
 from mintford import interface as api
-from roadpulley.fleet.duties import electing
+from roadpulley.fleet.duties import reconfiguration
 from roadpulley.fleet.members.messages import MemberState
 from roadpulley.operations import handover
 from roadpulley.plans import book, records, reserve, terms
@@ -130,7 +130,9 @@
         "enum values": enum_values(),
         "hand-over": keys(json.loads(handover.write("gives", "gateway", estate()))),
         "states of members": [state.name for state in MemberState],
-        "change of voters": keys(dataclasses.asdict(electing.Wish({"a": "127.0.0.1:1"}, "b"))),
+        "change of voters": keys(
+            dataclasses.asdict(reconfiguration.ChangeRequest({"a": "127.0.0.1:1"}, "b"))
+        ),
         "plans": plan_records(),
         "manifest": keys(json.loads(Manifest((Sealed(1, 2, 3, 4),), 5, 6, 7).pack().partition(b"\n")[2])),
         "usage": attributes(periods.Period, push.Lease, push.Receipt),
