--- a/benchmarks/mixed_versions.py
+++ b/benchmarks/mixed_versions.py
@@ -32,7 +32,7 @@
 from mintford.interface import Outcome
 from roadpulley.checks import ValidationError
 from roadpulley.core.clock import Timers, now_ms
-from roadpulley.core.discovery import host_number
+from roadpulley.core.discovery import hash_host_name
 from roadpulley.fleet.agent_link import AgentLink
 from roadpulley.fleet.control import call_agent
 from roadpulley.fleet.counts.client import ReplicatedCounter
@@ -270,7 +270,7 @@
         load=ClientLoad(rate=200.0, spread=len(of)),
         faults=(Fault(3.0, "node-fail", "t3", seconds=4.0),),
     )
-    failing, held_by = host_number("t3"), set[str]()
+    failing, held_by = hash_host_name("t3"), set[str]()
 
     async def watch(world: Installation) -> None:
         while True:
--- a/roadpulley/__main__.py
+++ b/roadpulley/__main__.py
@@ -19,13 +19,13 @@
 
 from mintford.interface import ListScope, Settings
 
-from .core.backends import Backends
+from .core.backends import BackendPools
 from .core.clock import Timers, now_ms
-from .core.counter import Counter
-from .core.discovery import Discovery, DiscoveryError, read_list
+from .core.counter import CounterClient
+from .core.discovery import DiscoveryClient, DiscoveryError, parse_member_list
 from .core.driver import Driver
-from .core.settings import Config, ConfigError, load_again, load_config
-from .core.tallies import Tallies
+from .core.request_stats import RequestStats
+from .core.settings import ConfigError, GatewayConfig, load_config, load_replacement
 from .edges.request_parser import RequestParser
 from .edges.resp_server import RespServer
 from .operations.address import OperatorAddress
@@ -38,17 +38,17 @@
 
 log = logging.getLogger("roadpulley")
 
-CLIENT_SHARE, BACKEND_SHARE = 0.5, 0.25  # of the descriptors; the rest is headroom
-MEMORY_SHARE = 0.2  # of the memory, for answers that are not whole, and again for those not yet taken
-STILL_COMING_S = 0.45  # after SIGTERM, new connections go on coming for this long
-LONGEST_WAIT_S = 3.0  # the longest deadline that SIGKILL waits for, and 0.7 s more
-LAST_ANSWER_S = 0.4  # of these 0.7 s: what is open then is failed, before SIGKILL would lose it
-FIRST_LIST_S = 0.5  # at the start, for the agent on this machine, which answers at once or is silent
-CLOSING_S = 0.2  # of the rest: for clients to take the last answers and see the end
+CLIENT_DESCRIPTORS_RATIO, BACKEND_DESCRIPTORS_RATIO = 0.5, 0.25  # of the descriptors; the rest is headroom
+BUFFER_MEMORY_RATIO = 0.2  # of the memory, for answers that are not whole, and again for those not yet taken
+MIN_DRAIN_S = 0.45  # after SIGTERM, new connections go on coming for this long
+MAX_DEADLINE_S = 3.0  # the longest deadline that SIGKILL waits for, and 0.7 s more
+FINAL_ANSWER_MARGIN_S = 0.4  # of these 0.7 s: what is open then is failed, before SIGKILL would lose it
+FIRST_LIST_TIMEOUT_S = 0.5  # at the start, for the agent on this machine, which answers at once or is silent
+CLOSE_TIMEOUT_S = 0.2  # of the rest: for clients to take the last answers and see the end
 GC_THRESHOLDS = (10_000, 20, 20)  # a request leaves no cycles behind, so there is seldom anything to collect
 
 
-class Reload:
+class ReloadTrigger:
     """A wish to read the configuration again, kept until somebody can fulfil it."""
 
     def __init__(self) -> None:
@@ -66,16 +66,16 @@
             self()
 
 
-class Retuning:
+class ConfigReloader:
     """One gateway's configuration in service: another takes its place whole, or not at all."""
 
     def __init__(
         self,
-        config: Config,
-        load: Callable[[Config], Config],
+        config: GatewayConfig,
+        load: Callable[[GatewayConfig], GatewayConfig],
         life: Life,
-        discovery: Discovery,
-        counter: Counter | None,
+        discovery: DiscoveryClient,
+        counter: CounterClient | None,
     ) -> None:
         self.config, self.load, self.life = config, load, life
         self.discovery, self.counter = discovery, counter
@@ -90,7 +90,7 @@
         self.life.configurations[0] += 1
         log.info("reloaded: classes %s", ", ".join(c.name for c in config.settings.classes))
 
-    def take(self, config: Config) -> None:
+    def take(self, config: GatewayConfig) -> None:
         """In one turn of the loop: no request is judged by a mixture.
 
         The address for clients, the operators' and the limits belong to the process and stay.
@@ -103,7 +103,7 @@
             self.life.server.retune(RequestParser(settings, config.workers))
             driver.backends.retune(config.connect_timeout, config.keepalive, settings.rules.drain_grace)
             driver.retune(settings, config.max_open)
-            self.life.machine.times = times(settings)
+            self.life.machine.times = lifecycle_times(settings)
         if config.discovery != self.discovery.address:
             self.discovery.move(config.discovery)
         if self.counter is not None and config.counter is not None:
@@ -111,23 +111,23 @@
             self.counter.move(config.counter)
 
 
-def times(settings: Settings) -> Times:
-    keep, last = drain_times(settings)
+def lifecycle_times(settings: Settings) -> Times:
+    keep, last = compute_drain_times(settings)
     return Times(keep * 1000, last * 1000)
 
 
-def drain_times(settings: Settings) -> tuple[float, float]:
+def compute_drain_times(settings: Settings) -> tuple[float, float]:
     """Seconds after SIGTERM until clients' connections are closed, and until what is open is failed.
 
     The place of this gateway is empty until it is back, so it serves on those that it has for as long as an
     answer within its aim can still come before SIGKILL.
     """
-    longest = min(LONGEST_WAIT_S, max((c.deadline for c in settings.classes), default=3_000.0) / 1000)
+    longest = min(MAX_DEADLINE_S, max((c.deadline for c in settings.classes), default=3_000.0) / 1000)
     aim = max((c.aim for c in settings.classes), default=3_000.0) / 1000
-    return max(STILL_COMING_S, longest + LAST_ANSWER_S - aim), longest + LAST_ANSWER_S
+    return max(MIN_DRAIN_S, longest + FINAL_ANSWER_MARGIN_S - aim), longest + FINAL_ANSWER_MARGIN_S
 
 
-def descriptors(told: int) -> int:
+def reserve_descriptors(told: int) -> int:
     """How many this process may hold: what the platform tells, and no more than the kernel allows.
 
     Danger: clients take their share of these. Shares of more than there are leave none for discovery, the
@@ -144,7 +144,7 @@
     return soft
 
 
-def inherited() -> socket.socket | None:
+def take_inherited_listener() -> socket.socket | None:
     """The listening socket that the platform holds for every process of this gateway. Raises ConfigError."""
     told = os.environ.get("LB_ACCEPT_FD")
     if not told:
@@ -162,11 +162,11 @@
 
 
 async def serve(
-    config: Config,
+    config: GatewayConfig,
     stop: asyncio.Event,
     ready: Callable[[int], None] | None = None,
-    again: Reload | None = None,
-    load: Callable[[Config], Config] | None = None,
+    again: ReloadTrigger | None = None,
+    load: Callable[[GatewayConfig], GatewayConfig] | None = None,
     attach: Callable[[Driver], object] | None = None,
     listener: socket.socket | None = None,
     closing: Callable[[], None] | None = None,
@@ -181,48 +181,50 @@
     """
     loop, begun = asyncio.get_running_loop(), now_ms()
     timers = Timers(loop)
-    tallies = Tallies()
-    memory, sockets = int(config.memory_mb * MEMORY_SHARE * 2**20), descriptors(config.sockets)
-    backends = Backends(
+    tallies = RequestStats()
+    memory, sockets = int(config.memory_mb * BUFFER_MEMORY_RATIO * 2**20), reserve_descriptors(config.sockets)
+    backends = BackendPools(
         loop,
         timers,
         config.connect_timeout,
         config.keepalive,
         config.settings.rules.drain_grace,
-        int(sockets * BACKEND_SHARE),
+        int(sockets * BACKEND_DESCRIPTORS_RATIO),
         memory,
         tallies,
     )
-    counter = Counter(loop, timers, config.counter, config.settings.count_wait) if config.counter else None
+    counter = (
+        CounterClient(loop, timers, config.counter, config.settings.count_wait) if config.counter else None
+    )
     driver = Driver(config.settings, config.seed, timers, backends, counter, config.max_open)
 
     version = None
     if config.known:
-        known = read_list(config.known)
+        known = parse_member_list(config.known)
         version = known.version
         driver.members(ListScope.SAVED, known.members, now_ms())
-    discovery = Discovery(config.discovery, version, driver.members, random.Random(config.seed))
+    discovery = DiscoveryClient(config.discovery, version, driver.members, random.Random(config.seed))
     server = RespServer(
         loop,
         timers,
         driver,
         RequestParser(config.settings, config.workers),
-        int(sockets * CLIENT_SHARE),
+        int(sockets * CLIENT_DESCRIPTORS_RATIO),
         memory,
         tallies,
     )
-    life = Life(Lifecycle(times(config.settings)), timers, driver, server)
-    ends = await linked(config, driver, life) if link else None
+    life = Life(Lifecycle(lifecycle_times(config.settings)), timers, driver, server)
+    ends = await open_link(config, driver, life) if link else None
     stopped = loop.create_task(stop.wait())
     operators = OperatorAddress(loop, life.answer)
     if config.admin is not None:
         await listening("admin", config.admin, partial(operators.listen, config.admin), stopped)
     watch = loop.create_task(discovery.run())
     if again is not None and load is not None:
-        again.ready(Retuning(config, load, life, discovery, counter))
+        again.ready(ConfigReloader(config, load, life, discovery, counter))
     # Danger: what the agent has counts as told from the first moment on, and what is known may be old.
     told = loop.create_task(discovery.told.wait())
-    await asyncio.wait({told, stopped}, timeout=FIRST_LIST_S, return_when=asyncio.FIRST_COMPLETED)
+    await asyncio.wait({told, stopped}, timeout=FIRST_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
     told.cancel()
     log.info("list %s after %.0f ms", "heard" if told.done() else "not heard", now_ms() - begun)
     port = await listening("listen", config.listen, partial(server.listen, *config.listen, listener), stopped)
@@ -247,7 +249,7 @@
             # It never ends but by a fault: better a crash that is seen than a list that is stale.
             watch.result()
         life.give(Event.STOP)
-    await drained(life, server, driver, closing)
+    await wait_for_drain(life, server, driver, closing)
     stopped.cancel()
     if ends is not None:
         await ends.close()
@@ -258,7 +260,9 @@
     operators.close()
 
 
-async def drained(life: Life, server: RespServer, driver: Driver, closing: Callable[[], None] | None) -> None:
+async def wait_for_drain(
+    life: Life, server: RespServer, driver: Driver, closing: Callable[[], None] | None
+) -> None:
     """Wait for the end of what was taken; what is open at the last time is failed, and nothing more taken."""
     await life.left.wait()
     if closing is not None:
@@ -272,11 +276,11 @@
         log.warning("%d requests open at the end", len(driver.requests))
         driver.fail_all()
     server.end()
-    await asyncio.wait({empty}, timeout=CLOSING_S)
+    await asyncio.wait({empty}, timeout=CLOSE_TIMEOUT_S)
     empty.cancel()
 
 
-async def linked(config: Config, driver: Driver, life: Life) -> Link:
+async def open_link(config: GatewayConfig, driver: Driver, life: Life) -> Link:
     """The link to the process before and after this one, with what the first gave."""
     from .operations.link import Link
 
@@ -289,13 +293,13 @@
 
 
 async def run(path: str) -> None:
-    loop, stop, again = asyncio.get_running_loop(), asyncio.Event(), Reload()
+    loop, stop, again = asyncio.get_running_loop(), asyncio.Event(), ReloadTrigger()
     for signum in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signum, stop.set)
     # Danger: without a handler SIGHUP ends the process, and all requests that are open in it.
     loop.add_signal_handler(signal.SIGHUP, again)
-    load = partial(load_again, path)
-    config, listener = load_config(path), inherited()
+    load = partial(load_replacement, path)
+    config, listener = load_config(path), take_inherited_listener()
     await serve(config, stop, again=again, load=load, listener=listener, link=listener is not None)
 
 
--- a/roadpulley/cli/check.py
+++ b/roadpulley/cli/check.py
@@ -14,7 +14,7 @@
 
 from mintford.reading import in_words, read_settings
 from roadpulley.checks import Table, ValidationError
-from roadpulley.core.judging import gateway
+from roadpulley.core.validation import validate_gateway_config
 from roadpulley.testbed import scenario
 
 from . import frame
@@ -45,7 +45,7 @@
     """What kind of file it is, in words. Raises ValidationError for one that is not right."""
     raw = parsed(path)
     if path.suffix == ".json":
-        gateway(raw).reject_unknown_keys()
+        validate_gateway_config(raw).reject_unknown_keys()
         offered = in_words(read_settings(raw["settings"]))
         return "configuration of a gateway\n" + "\n".join(f"    {line}" for line in offered)
     if DEPLOY_KEYS & set(raw) and not SCENARIO_KEYS & set(raw) - {"node"}:
--- a/roadpulley/cli/quota_error.py
+++ b/roadpulley/cli/quota_error.py
@@ -13,7 +13,7 @@
 from mintford import interface as api
 from mintford.reading import read_settings
 from roadpulley.checks import ValidationError
-from roadpulley.core.judging import gateway
+from roadpulley.core.validation import validate_gateway_config
 from roadpulley.limits.bounds import (
     CHANGES,
     EVENTS,
@@ -43,7 +43,7 @@
 def run(args: argparse.Namespace) -> int:
     try:
         raw = parsed(args.config)
-        gateway(raw).reject_unknown_keys()
+        validate_gateway_config(raw).reject_unknown_keys()
         settings = read_settings(raw["settings"])
         rows = [row for plan in settings.plans if plan.rate for row in rows_of(plan, settings, args)]
     except ValidationError as error:
--- a/roadpulley/cli/serve.py
+++ b/roadpulley/cli/serve.py
@@ -13,7 +13,7 @@
 import uvloop
 
 from roadpulley.checks import ValidationError
-from roadpulley.core.judging import gateway
+from roadpulley.core.validation import validate_gateway_config
 
 from . import frame
 from .check import parsed
@@ -81,7 +81,7 @@
                 "--config", "is missing, and LB_CONFIG is not set", "name the gateway's configuration"
             )
         raw = parsed(Path(path))
-        gateway(raw).reject_unknown_keys()
+        validate_gateway_config(raw).reject_unknown_keys()
         workers(args.workers)
         if args.plans:
             from roadpulley.plans.settings import read_settings
--- a/roadpulley/core/backends.py
+++ b/roadpulley/core/backends.py
@@ -14,16 +14,16 @@
 from mintford.interface import BackendState
 
 from .clock import Timers, now_ms
-from .connection import LOOK_MS, Attempt, Connection
-from .freshness import Freshness
-from .outcomes import Ending, Stage, outcome
+from .connection import STALL_CHECK_INTERVAL_MS, Attempt, Connection
+from .idle_limit import IdleLimit
+from .outcomes import EndReason, Stage, resolve_outcome
+from .request_stats import RequestStats
 from .settings import Address
-from .tallies import Tallies
 
 log = logging.getLogger(__name__)
 
-IDLE_SHARE = 0.6  # of the keep-alive time: retired before the backend may close it under a request
-SWEEP_MS = 1_000.0
+MAX_IDLE_RATIO = 0.6  # of the keep-alive time: retired before the backend may close it under a request
+SWEEP_INTERVAL_MS = 1_000.0
 # Before the end of the grace for new work to a draining backend. Danger: a process may be held up for 150 ms
 # between reading its clock and writing; the rest is for the way to the backend.
 CUTOFF_MARGIN_MS = 150.0 + 50.0
@@ -31,10 +31,10 @@
 # A long value of which nothing has come for this long, though it is read, is broken. Danger: past its
 # request's time its client is owed an end within half a second, and would wait for it in vain. The silence
 # may begin at that very time and be seen a look later, and the loop and the way to the client need some too.
-STALLED_MS, OVERDUE_MS = 5_000.0, 300.0
+STALL_TIMEOUT_MS, OVERDUE_STALL_TIMEOUT_MS = 5_000.0, 300.0
 # Before a connection is used again: a second answer may come some milliseconds after the first, and would be
 # taken for the next request's. Each stands idle so much longer, which is little beside a request's own time.
-REST_MS = 20.0
+REUSE_DELAY_MS = 20.0
 
 
 class Host:
@@ -49,7 +49,7 @@
         return now < self.cutoff
 
 
-class Backends:
+class BackendPools:
     """The pools. Decides nothing: it sends where it is told, or says why it cannot."""
 
     def __init__(
@@ -61,13 +61,13 @@
         drain_grace: float,
         most: int,
         memory: int,
-        tallies: Tallies | None = None,
+        tallies: RequestStats | None = None,
     ) -> None:
-        self.tallies = tallies or Tallies()
+        self.tallies = tallies or RequestStats()
         self.loop, self.timers, self.connect_timeout = loop, timers, connect_timeout
-        self.idle_ms, self.drain_grace, self.most = keepalive * IDLE_SHARE, drain_grace, most
+        self.idle_ms, self.drain_grace, self.most = keepalive * MAX_IDLE_RATIO, drain_grace, most
         self.most_held, self.held = memory, 0  # bytes of answers that are not whole, of all connections
-        self.freshness = Freshness()
+        self.freshness = IdleLimit()
         self.hosts: dict[int, Host] = {}
         self.connections: set[Connection] = set()
         self.long: dict[Connection, None] = {}  # of these, those with a long value under way
@@ -76,10 +76,10 @@
         self.view = memoryview(self.buffer)
         self.unopened: Tally[str] = Tally()  # since the last sweep: one line tells of all
         self.spoilt: Tally[str] = Tally()  # answers, likewise
-        self.timers.at(now_ms() + SWEEP_MS, self.sweep)
+        self.timers.at(now_ms() + SWEEP_INTERVAL_MS, self.sweep)
 
     def retune(self, connect_timeout: float, keepalive: float, drain_grace: float) -> None:
-        self.connect_timeout, self.idle_ms = connect_timeout, keepalive * IDLE_SHARE
+        self.connect_timeout, self.idle_ms = connect_timeout, keepalive * MAX_IDLE_RATIO
         self.drain_grace = drain_grace
 
     # ---- the list ----
@@ -115,12 +115,12 @@
     def send(self, attempt: Attempt) -> None:
         host = self.hosts.get(attempt.backend)
         if host is None or not host.takes_new(now_ms()):
-            return attempt.end(outcome(Stage.CONNECTING, Ending.SHUT))
+            return attempt.end(resolve_outcome(Stage.CONNECTING, EndReason.SHUT))
         now = now_ms()
         for place in range(len(host.idle) - 1, -1, -1):  # the last used first, once it has rested
             connection = host.idle[place]
             rested = now - connection.idle_since
-            if rested < REST_MS:
+            if rested < REUSE_DELAY_MS:
                 continue
             # Danger: what has come here since the loop last looked, an end or a second copy of an answer,
             # would be the next request's. The kernel is asked once more, though it costs a call.
@@ -132,18 +132,18 @@
             self.close_oldest()
         if len(self.connections) >= self.most:
             # Better one request turned away than no descriptors left.
-            return attempt.end(outcome(Stage.CONNECTING, Ending.BROKEN))
+            return attempt.end(resolve_outcome(Stage.CONNECTING, EndReason.BROKEN))
         try:
             self.connections.add(Connection(self, host, attempt))
         except OSError as error:
             self.unopened[error.strerror or "unknown"] += 1
-            attempt.end(outcome(Stage.CONNECTING, Ending.BROKEN))
+            attempt.end(resolve_outcome(Stage.CONNECTING, EndReason.BROKEN))
 
-    def give_up(self, attempt: Attempt, ending: Ending) -> None:
+    def give_up(self, attempt: Attempt, ending: EndReason) -> None:
         if attempt.connection is not None:
             attempt.connection.end(ending)
         else:
-            attempt.end(outcome(Stage.CONNECTING, ending))
+            attempt.end(resolve_outcome(Stage.CONNECTING, ending))
 
     # ---- pools ----
 
@@ -179,12 +179,14 @@
         for connection in list(self.long):
             attempt = connection.attempt
             overdue = attempt is not None and now > attempt.expires
-            if not connection.paused and now - connection.heard_at > (OVERDUE_MS if overdue else STALLED_MS):
+            if not connection.paused and now - connection.heard_at > (
+                OVERDUE_STALL_TIMEOUT_MS if overdue else STALL_TIMEOUT_MS
+            ):
                 self.spoilt["a long value that did not go on"] += 1
-                connection.end(Ending.BROKEN)
+                connection.end(EndReason.BROKEN)
         self.looking = bool(self.long)
         if self.looking:
-            self.timers.at(now + LOOK_MS, self.look_at_long)
+            self.timers.at(now + STALL_CHECK_INTERVAL_MS, self.look_at_long)
 
     def sweep(self) -> None:
         now = now_ms()
@@ -200,8 +202,8 @@
             if tally:
                 log.warning("%s: %s", what, dict(tally))
                 tally.clear()
-        self.timers.at(now + SWEEP_MS, self.sweep)
+        self.timers.at(now + SWEEP_INTERVAL_MS, self.sweep)
 
     def close(self) -> None:
         for connection in list(self.connections):
-            connection.end(Ending.BROKEN)
+            connection.end(EndReason.BROKEN)
--- a/roadpulley/core/budget.py
+++ b/roadpulley/core/budget.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 
-class Budget:
+class MemoryBudget:
     def __init__(self, most: int) -> None:
         self.most, self.held = most, 0
         self.waiting: dict[object, tuple[int, Callable[[], object]]] = {}  # in the order of asking
--- a/roadpulley/core/command.py
+++ b/roadpulley/core/command.py
@@ -30,7 +30,7 @@
         """No more of it will come, and the client must be able to tell."""
 
 
-class Slot(Protocol):
+class ReplySlot(Protocol):
     """Where the final answer of one command goes; an edge has one for each."""
 
     request: str | None  # the id of a request that is still open
--- a/roadpulley/core/connection.py
+++ b/roadpulley/core/connection.py
@@ -17,15 +17,15 @@
 
 from .clock import Timer, now_ms
 from .command import Sink, Source
-from .outcomes import Ending, Stage, outcome
-from .resp import Answer, LongValue, Malformed, long_value, parse_answer
+from .outcomes import EndReason, Stage, resolve_outcome
+from .resp import Answer, LongValue, MalformedError, parse_answer, parse_long_value_header
 
 if TYPE_CHECKING:
-    from .backends import Backends, Host
+    from .backends import BackendPools, Host
 
-ERROR = re.compile(rb"(?:BUSY|ERR failed)(?: [!-~]{1,512})?")  # a load report may stand last
-LOOK_MS = 100.0  # between two looks at the long values under way
-NOTHING = memoryview(b"")
+USABLE_ERROR = re.compile(rb"(?:BUSY|ERR failed)(?: [!-~]{1,512})?")  # a load report may stand last
+STALL_CHECK_INTERVAL_MS = 100.0  # between two looks at the long values under way
+EMPTY_VIEW = memoryview(b"")
 
 
 @dataclass(eq=False, slots=True)
@@ -62,7 +62,7 @@
     Answers come in order and giving up means closing, so a second attempt would share the first one's fate.
     """
 
-    def __init__(self, pool: Backends, host: Host, attempt: Attempt) -> None:
+    def __init__(self, pool: BackendPools, host: Host, attempt: Attempt) -> None:
         self.pool, self.host, self.address, self.started = pool, host, host.address, host.started
         self.attempt: Attempt | None = attempt
         self.answer = bytearray()  # what has come of it
@@ -70,7 +70,7 @@
         self.sink: Sink | None = None
         self.paused = False  # by the sink
         self.heard_at = 0.0
-        self.unsent = NOTHING
+        self.unsent = EMPTY_VIEW
         self.body: memoryview | None = None  # to be sent after that
         self.up = self.closed = self.writing = False
         self.idle_since = 0.0
@@ -88,7 +88,7 @@
             self.socket.close()
             raise
         self.timer: asyncio.TimerHandle | None = pool.loop.call_later(
-            pool.connect_timeout / 1000, self.end, Ending.CONNECT_TIME
+            pool.connect_timeout / 1000, self.end, EndReason.CONNECT_TIME
         )
         pool.loop.add_writer(self.fd, self._came_up)
 
@@ -97,7 +97,7 @@
         if self.timer is not None:
             self.timer.cancel()
         if self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-            return self.end(Ending.BROKEN)
+            return self.end(EndReason.BROKEN)
         self.up = True
         self.pool.loop.add_reader(self.fd, self._readable)
         attempt = self.attempt
@@ -105,7 +105,7 @@
         if attempt.wanted is None or attempt.wanted(attempt):
             self.write()
         elif self.attempt is attempt:
-            self.end(Ending.CALLED_OFF)
+            self.end(EndReason.CALLED_OFF)
 
     def start(self, attempt: Attempt) -> None:
         self.age = now_ms() - self.idle_since
@@ -122,7 +122,9 @@
         if expired or not self.host.takes_new(now) or not self.pool.current(self):
             self.attempt = None
             self.pool.release(self)  # it serves another, or closes
-            return attempt.end(outcome(Stage.CONNECTING, Ending.EXPIRED if expired else Ending.SHUT))
+            return attempt.end(
+                resolve_outcome(Stage.CONNECTING, EndReason.EXPIRED if expired else EndReason.SHUT)
+            )
         self.unsent = memoryview(attempt.encode(max(1, int(attempt.expires - now))))
         self.body = attempt.body
         self._flush()
@@ -133,13 +135,13 @@
         except (BlockingIOError, InterruptedError):
             sent = 0
         except OSError:
-            return self.end(Ending.BROKEN)
+            return self.end(EndReason.BROKEN)
         self.unsent = self.unsent[sent:]
         if not self.unsent and self.body is not None:
             self.unsent, self.body = self.body, None  # never empty between: the last byte has not left
         if not self.unsent:
             # Danger: an empty view of a long value keeps all of it, as long as this connection is idle.
-            self.unsent = NOTHING
+            self.unsent = EMPTY_VIEW
             self.pool.tallies.relayed += 1
         if bool(self.unsent) != self.writing:
             self.writing = not self.writing
@@ -159,29 +161,32 @@
         if not count:
             if self.attempt is not None and not self.answer:
                 self.pool.freshness.note(self.age, True)
-            return self.end(Ending.BROKEN)
+            return self.end(EndReason.BROKEN)
         if self.attempt is None:
             self.pool.spoilt["said what nobody asked for"] += 1
             return self.close()
         try:
             answer = self._long(self.pool.view[:count]) if self.long is not None else self._short(count)
-        except Malformed as error:
+        except MalformedError as error:
             self.pool.spoilt[str(error)] += 1
-            return self.end(Ending.BROKEN)
+            return self.end(EndReason.BROKEN)
         # What a long value brings out, a client that leaves, may have ended it here.
         if answer is not None and self.attempt is not None:
             self._answered(self.attempt, answer)
 
     def _short(self, count: int) -> Answer | None:
-        """An answer that is held until it is whole; a long one is passed on from here. Raises Malformed."""
+        """Buffers an answer until it is complete. A long value is streamed from here on.
+
+        Raises MalformedError.
+        """
         if not self.answer:
             self.pool.freshness.note(self.age, False)
         self.answer += self.pool.view[:count]
         self.pool.held += count
-        if (begun := long_value(self.answer)) and (came := self._begin(*begun)):
+        if (begun := parse_long_value_header(self.answer)) and (came := self._begin(*begun)):
             return self._long(came)
         if self.pool.held > self.pool.most_held:
-            raise Malformed("no room for it")
+            raise MalformedError("no room for it")
         return parse_answer(self.answer)
 
     def _begin(self, length: int, start: int) -> memoryview | None:
@@ -201,7 +206,7 @@
         self.heard_at = now_ms()
         if not self.pool.looking:
             self.pool.looking = True
-            self.pool.timers.at(self.heard_at + LOOK_MS, self.pool.look_at_long)
+            self.pool.timers.at(self.heard_at + STALL_CHECK_INTERVAL_MS, self.pool.look_at_long)
         self.pool.long[self] = None
         return came
 
@@ -234,7 +239,7 @@
         if answer.value is not None:
             said, usable = Outcome.OK, True
         if self.unsent and said is not Outcome.FULL:
-            return self.end(Ending.SAID)
+            return self.end(EndReason.SAID)
         self.attempt = None
         # Danger: what else comes here would be taken for the answer to the next request.
         if usable and answer.clean and not self.unsent:
@@ -257,9 +262,9 @@
             return Stage.CONNECTING
         return Stage.SENDING if self.unsent else Stage.SENT
 
-    def end(self, ending: Ending) -> None:
+    def end(self, ending: EndReason) -> None:
         """Close, and end the attempt that is on it. The close comes first: never two attempts at once."""
-        told = outcome(self.stage(), ending)
+        told = resolve_outcome(self.stage(), ending)
         attempt, self.attempt = self.attempt, None
         sink, self.sink = self.sink, None
         passed_on = self.long is not None and sink is None  # only what follows a value was still to come
@@ -294,6 +299,6 @@
 
 def read_error(line: bytes) -> tuple[Outcome, bool]:
     """What an error line says, and whether it is one that leaves its connection usable."""
-    if ERROR.fullmatch(line):
+    if USABLE_ERROR.fullmatch(line):
         return (Outcome.FULL if line.startswith(b"BUSY") else Outcome.FAILED), True
     return Outcome.FAILED, False
--- a/roadpulley/core/counter.py
+++ b/roadpulley/core/counter.py
@@ -21,23 +21,27 @@
 log = logging.getLogger(__name__)
 
 CONNECTIONS = 4  # a slow part of the counter holds up only the answers behind it on one of them
-SILENT_MS = 300.0  # a connection that owes an answer and says nothing for this long is taken for lost
-RETIRE_MS = 3_000.0  # unused for this long: closed before the counter does it under a call
-MOST_OWED = 1_000  # calls written and unanswered on one connection
-LATE_MS = 15.0  # a time-out that comes this late: the loop lagged, and the answer may lie unread
-LONGEST_LINE = 64  # a total has seven digits
-SUMMARY_MS = 1_000.0  # between lines of the log about connections that had to be dropped
+SILENCE_TIMEOUT_MS = (
+    300.0  # a connection that owes an answer and says nothing for this long is taken for lost
+)
+IDLE_TIMEOUT_MS = 3_000.0  # unused for this long: closed before the counter does it under a call
+MAX_UNANSWERED_CALLS = 1_000  # calls written and unanswered on one connection
+LATE_TIMER_THRESHOLD_MS = (
+    15.0  # a time-out that comes this late: the loop lagged, and the answer may lie unread
+)
+MAX_LINE_BYTES = 64  # a total has seven digits
+SUMMARY_INTERVAL_MS = 1_000.0  # between lines of the log about connections that had to be dropped
 TOTAL = re.compile(rb"ok (-?\d{1,18}(?:\.\d{0,18})?(?:[eE][+-]?\d\d?)?)")
 
-Done = Callable[[str, Outcome, float], None]
+CounterCallback = Callable[[str, Outcome, float], None]
 
 
-class Call:
+class CounterCall:
     """One call; `done` is called exactly once."""
 
     __slots__ = ("counter", "done", "line", "name", "outcome", "over", "reading", "timer")
 
-    def __init__(self, counter: Counter, name: str, line: bytes, done: Done) -> None:
+    def __init__(self, counter: CounterClient, name: str, line: bytes, done: CounterCallback) -> None:
         self.counter, self.name, self.line, self.done, self.over = counter, name, line, done, False
         self.outcome, self.reading = Outcome.TIMED_OUT, 0.0
         self.timer: Timer | None = None
@@ -53,10 +57,10 @@
 class CounterConnection(asyncio.Protocol):
     """Calls written one behind another; the oldest unanswered one gets the next answer, however late."""
 
-    def __init__(self, counter: Counter) -> None:
+    def __init__(self, counter: CounterClient) -> None:
         self.counter = counter
         self.transport: asyncio.Transport | None = None
-        self.owed: deque[Call] = deque()
+        self.owed: deque[CounterCall] = deque()
         self.rest = b""
         self.closed = False
         self.heard_at = self.used_at = now_ms()
@@ -64,7 +68,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
 
-    def write(self, calls: list[Call]) -> None:
+    def write(self, calls: list[CounterCall]) -> None:
         assert self.transport is not None
         now = now_ms()
         if not self.owed:
@@ -81,12 +85,12 @@
                 return
             if not self.owed:
                 return self.drop("an answer to nothing")
-            if (answer := read_answer(line)) is None:
+            if (answer := parse_answer(line)) is None:
                 # What was said of this call, and whether the next line would be for the next one, is unknown.
                 return self.drop("an answer that is none")
             # A late answer belongs to its own call, which has ended, and is not the next one's.
             self.owed.popleft().end(*answer)
-        if len(self.rest) > LONGEST_LINE:
+        if len(self.rest) > MAX_LINE_BYTES:
             self.drop("an endless line")
 
     def drop(self, reason: str = "") -> None:
@@ -110,7 +114,7 @@
             call.end(Outcome.TIMED_OUT)  # it may have been added
 
 
-def read_answer(line: bytes) -> tuple[Outcome, float] | None:
+def parse_answer(line: bytes) -> tuple[Outcome, float] | None:
     """None for what is no answer. `float` alone takes more than numbers: nan, inf, 1_0."""
     line = line.removesuffix(b"\r")
     if line in (b"busy", b"error"):
@@ -120,17 +124,19 @@
     return None
 
 
-class Lane:
+class CounterLane:
     """The calls whose names share a connection, so that answers for one name keep the order of its calls."""
 
-    def __init__(self, counter: Counter) -> None:
+    def __init__(self, counter: CounterClient) -> None:
         self.counter = counter
         self.connection: CounterConnection | None = None
-        self.waiting: list[Call] = []  # for a connection, or for the end of this turn of the event loop
+        self.waiting: list[
+            CounterCall
+        ] = []  # for a connection, or for the end of this turn of the event loop
         self.flushing = False
         self.connecting: asyncio.Task[None] | None = None
 
-    def add(self, call: Call) -> None:
+    def add(self, call: CounterCall) -> None:
         self.waiting.append(call)
         if not self.flushing:
             self.flushing = True
@@ -144,11 +150,11 @@
         connection, now = self.connection, now_ms()
         if connection is not None and not connection.closed:
             # The counter's machine may have vanished: such a connection stays open and silent for ever.
-            if connection.owed and now - connection.heard_at > SILENT_MS + 2 * self.counter.lag:
+            if connection.owed and now - connection.heard_at > SILENCE_TIMEOUT_MS + 2 * self.counter.lag:
                 connection.drop("silent")
-            elif len(connection.owed) >= MOST_OWED:
+            elif len(connection.owed) >= MAX_UNANSWERED_CALLS:
                 connection.drop("too far behind")
-            elif not connection.owed and now - connection.used_at > RETIRE_MS:
+            elif not connection.owed and now - connection.used_at > IDLE_TIMEOUT_MS:
                 connection.drop()
         if connection is None or connection.closed:
             if self.connecting is None:
@@ -190,17 +196,17 @@
             call.end(outcome)
 
 
-class Counter:
+class CounterClient:
     def __init__(
         self, loop: asyncio.AbstractEventLoop, timers: Timers, address: Address, wait: float
     ) -> None:
         self.loop, self.timers, self.address, self.wait = loop, timers, address, wait
-        self.lanes = [Lane(self) for _ in range(CONNECTIONS)]
+        self.lanes = [CounterLane(self) for _ in range(CONNECTIONS)]
         self.left: set[CounterConnection] = set()  # at an earlier address, for the answers still owed
-        self.calls: dict[str, deque[Call]] = {}  # by name, the oldest first: those not yet told of
+        self.calls: dict[str, deque[CounterCall]] = {}  # by name, the oldest first: those not yet told of
         self.dropped: Tally[str] = Tally()  # connections, by reason, since the last line of the log
         self.lag = 0.0  # of this gateway's own loop: the counter is not to blame for it
-        timers.at(now_ms() + SUMMARY_MS, self.summarize)
+        timers.at(now_ms() + SUMMARY_INTERVAL_MS, self.summarize)
 
     def move(self, address: Address) -> None:
         if address != self.address:
@@ -208,10 +214,10 @@
             for lane in self.lanes:
                 lane.move()
 
-    def add(self, name: str, amount: float, expire_in: float, done: Done) -> None:
+    def add(self, name: str, amount: float, expire_in: float, done: CounterCallback) -> None:
         encoded = name.encode()
         line = b"tally %b %b %d\r\n" % (encoded, b"%.6f" % amount, max(1, int(expire_in)))
-        call = Call(self, name, line, done)
+        call = CounterCall(self, name, line, done)
         self.calls.setdefault(name, deque()).append(call)
         lane = self.lanes[zlib.crc32(encoded) % len(self.lanes)]
         lane.add(call)
@@ -235,10 +241,12 @@
         if self.dropped:
             log.warning("connections dropped: %s", dict(self.dropped))
             self.dropped.clear()
-        self.timers.at(now_ms() + SUMMARY_MS, self.summarize)
+        self.timers.at(now_ms() + SUMMARY_INTERVAL_MS, self.summarize)
 
-    def expire(self, lane: Lane, call: Call, due: float) -> None:
-        if now_ms() - due > LATE_MS:  # once more after this turn of the loop, which reads what has come
+    def expire(self, lane: CounterLane, call: CounterCall, due: float) -> None:
+        if (
+            now_ms() - due > LATE_TIMER_THRESHOLD_MS
+        ):  # once more after this turn of the loop, which reads what has come
             call.timer = self.timers.at(now_ms(), partial(self.expire, lane, call, math.inf))
             return
         written = call not in lane.waiting
--- a/roadpulley/core/discovery.py
+++ b/roadpulley/core/discovery.py
@@ -17,18 +17,18 @@
 from mintford.interface import BackendEntry, BackendState, ListScope
 
 from .clock import now_ms
+from .discovery_watch import CloseCall, DiscoveryWatch, OpenCall, WatchAction
 from .settings import Address, parse_address
-from .watch import Act, Leave, Open, Watch
 
 log = logging.getLogger(__name__)
 
 PATH = "/catalog/members"
-LONGEST_OBJECT = 16 * 1024 * 1024
+MAX_OBJECT_BYTES = 16 * 1024 * 1024
 # Before a call is given up for its time: what has come meanwhile is read first, also by a loop that was late.
-READ_FIRST_S = 0.002
-FIRST_LINE_S = 0.02  # from the head until the first line, which comes or begins to come with it
-STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
-STATES = {"up": BackendState.READY, "draining": BackendState.DRAINING, "removed": BackendState.GONE}
+READ_GRACE_S = 0.002
+FIRST_LINE_TIMEOUT_S = 0.02  # from the head until the first line, which comes or begins to come with it
+JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
+BACKEND_STATES = {"up": BackendState.READY, "draining": BackendState.DRAINING, "removed": BackendState.GONE}
 
 
 class DiscoveryError(Exception):
@@ -52,31 +52,31 @@
 Listener = Callable[[ListScope, tuple[Member, ...], float], None]
 
 
-def host_number(host: str) -> int:
+def hash_host_name(host: str) -> int:
     """A number for a host's name: the same at every gateway and after every start."""
     return int.from_bytes(hashlib.blake2b(host.encode(), digest_size=8).digest(), "big")
 
 
-def read_member(raw: dict[str, Any]) -> Member:
+def parse_member(raw: dict[str, Any]) -> Member:
     entry = BackendEntry(
-        backend=host_number(raw["host"]),
+        backend=hash_host_name(raw["host"]),
         zone=str(raw.get("site") or ""),
         cell=int(raw.get("block") or 0),
         started=float(raw.get("born_ms") or 0),
-        state=STATES[raw["health"]],
+        state=BACKEND_STATES[raw["health"]],
     )
     return Member(entry, parse_address(raw["dial"]))
 
 
-def read_list(raw: Any) -> MemberList:
+def parse_member_list(raw: Any) -> MemberList:
     try:
-        members = tuple(read_member(host) for host in raw.get("hosts") or ())
+        members = tuple(parse_member(host) for host in raw.get("hosts") or ())
         return MemberList(int(raw["seq"]), bool(raw.get("whole")), members)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise DiscoveryError(f"{type(error).__name__}: {error}") from error
 
 
-class Objects:
+class JsonObjectSplitter:
     """Cuts a stream into JSON objects, however their lines are laid out, and the empty lines between them.
 
     A string holds no line break as it is written, so brackets are counted a line at a time.
@@ -104,24 +104,24 @@
         for line in lines:
             text = line.strip()
             if text:
-                plain = STRING.sub(b"", text)
+                plain = JSON_STRING.sub(b"", text)
                 self.depth += plain.count(b"{") - plain.count(b"}")
                 self.lines.append(text)
                 self.size += len(text)
             if self.depth <= 0 and (text or not self.lines):
                 whole.append(b" ".join(self.lines))
                 self.lines, self.depth, self.size = [], 0, 0
-        if self.size + len(self.rest) > LONGEST_OBJECT:
+        if self.size + len(self.rest) > MAX_OBJECT_BYTES:
             raise DiscoveryError("an endless line")
         return whole
 
 
-class Call(asyncio.Protocol):
+class DiscoveryCall(asyncio.Protocol):
     """One call to discovery, from its connection to its end, of which it tells once unless it is left."""
 
-    def __init__(self, discovery: Discovery, what: Open) -> None:
+    def __init__(self, discovery: DiscoveryClient, what: OpenCall) -> None:
         self.discovery, self.what = discovery, what
-        self.http, self.objects = h11.Connection(h11.CLIENT), Objects()
+        self.http, self.objects = h11.Connection(h11.CLIENT), JsonObjectSplitter()
         self.transport: asyncio.Transport | None = None
         self.left = False
 
@@ -182,15 +182,15 @@
             self.transport.abort()
 
 
-class Discovery:
+class DiscoveryClient:
     """Follows the list from a version on and reports each change. What to call and when is the watch's."""
 
     def __init__(
         self, address: Address, version: int | None, listener: Listener, chance: random.Random | None = None
     ) -> None:
-        self.watch, self.listener = Watch(address, version, chance or random.Random()), listener
+        self.watch, self.listener = DiscoveryWatch(address, version, chance or random.Random()), listener
         self.told = asyncio.Event()  # what the agent had at the start, or so far as can be seen
-        self.open: Call | None = None
+        self.open: DiscoveryCall | None = None
         self.connecting: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
 
@@ -221,14 +221,14 @@
             self.arm()
         elif read_first:
             # Danger: timers come before sockets in a turn of the loop; a late one would take all for silent.
-            self.timer = loop.call_later(READ_FIRST_S, self.on_time, False)
+            self.timer = loop.call_later(READ_GRACE_S, self.on_time, False)
         else:
             self.act(self.watch.on_time(now_ms()))
 
     def on_head(self, number: int) -> None:
         self.watch.on_head(now_ms(), number)
         self.arm()
-        asyncio.get_running_loop().call_later(FIRST_LINE_S, self.on_no_line)
+        asyncio.get_running_loop().call_later(FIRST_LINE_TIMEOUT_S, self.on_no_line)
 
     def on_no_line(self) -> None:
         # Danger: where the first line comes in pieces, what it tells counts already. It is waited for.
@@ -249,7 +249,7 @@
     def take(self, number: int, text: bytes) -> None:
         """Report a change, and go on whatever came: without a watch the list is stale, drains are missed."""
         try:
-            got = read_list(json.loads(text))
+            got = parse_member_list(json.loads(text))
             if got.whole or got.members:
                 scope = ListScope.FULL if got.whole else ListScope.CHANGES
                 self.listener(scope, got.members, self.watch.since)
@@ -264,13 +264,13 @@
 
     # ---- actions ----
 
-    def act(self, action: Act) -> None:
+    def act(self, action: WatchAction) -> None:
         if action is not None:
             self.leave()
-        if isinstance(action, Leave):
+        if isinstance(action, CloseCall):
             log.info("watch %s", action.reason)
-        elif isinstance(action, Open):
-            self.open = Call(self, action)
+        elif isinstance(action, OpenCall):
+            self.open = DiscoveryCall(self, action)
             self.connecting = asyncio.get_running_loop().create_task(self.connect(self.open))
         self.arm()
 
@@ -281,7 +281,7 @@
             self.connecting.cancel()
         self.open = self.connecting = None
 
-    async def connect(self, call: Call) -> None:
+    async def connect(self, call: DiscoveryCall) -> None:
         host, port = call.what.address
         try:
             await asyncio.get_running_loop().create_connection(lambda: call, host, port)
--- a/roadpulley/core/watch.py
+++ b/roadpulley/core/discovery_watch.py
@@ -43,23 +43,27 @@
 from dataclasses import dataclass
 from enum import Enum
 
-SILENT_MS = 3_000.0  # an empty line comes every 2 s; one that is late by half of that is taken for none
-ANSWER_MS = 1_500.0  # until the head: the agent stands on this machine and answers at once, or not at all
+SILENCE_TIMEOUT_MS = (
+    3_000.0  # an empty line comes every 2 s; one that is late by half of that is taken for none
+)
+ANSWER_TIMEOUT_MS = (
+    1_500.0  # until the head: the agent stands on this machine and answers at once, or not at all
+)
 BACKOFF_MS = (200.0, 600.0)  # the longest first pause before a new call, and the longest of all
 # Of a pause, and only downwards, so that the sums hold with any chance. Danger: without it gateways that lost
 # their watches at once would call as one.
-JITTER = 0.75
-TOLD_MS = 6_000.0  # a change counts as told so long after discovery had it and could be reached
+JITTER_RATIO = 0.75
+CHANGE_DEADLINE_MS = 6_000.0  # a change counts as told so long after discovery had it and could be reached
 
 
-class State(Enum):
+class WatchState(Enum):
     WAITING = "waiting"
     CALLING = "calling"
     FOLLOWING = "following"
 
 
 @dataclass(frozen=True, slots=True)
-class Open:
+class OpenCall:
     """Leave what is open, and call. `version`: changes after it; None: the whole list."""
 
     call: int
@@ -68,21 +72,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
+class CloseCall:
     """Leave what is open."""
 
     reason: str
 
 
-Act = Open | Leave | None
+WatchAction = OpenCall | CloseCall | None
 
 
-class Watch:
+class DiscoveryWatch:
     """The only owner of what this process asks discovery, and when. Times are milliseconds."""
 
     def __init__(self, address: tuple[str, int], version: int | None, chance: random.Random) -> None:
         self.address, self.version, self.chance = address, version, chance
-        self.state, self.call = State.WAITING, 0
+        self.state, self.call = WatchState.WAITING, 0
         self.due = -math.inf  # calls at the first event of time
         self.wait = BACKOFF_MS[0]  # the next pause at the longest
         self.whole = False  # the call under way is for the whole list
@@ -90,48 +94,48 @@
         self.since = -math.inf  # from when on what the last line tells may have counted as told
         self.first = True  # the next line is its call's first
 
-    def on_time(self, now: float) -> Act:
+    def on_time(self, now: float) -> WatchAction:
         if now < self.due:
             return None
-        if self.state is State.WAITING:
+        if self.state is WatchState.WAITING:
             return self.open(now)
-        return self.lost(now, "no answer" if self.state is State.CALLING else "silent")
+        return self.lost(now, "no answer" if self.state is WatchState.CALLING else "silent")
 
     def on_head(self, now: float, call: int) -> None:
-        if call == self.call and self.state is State.CALLING:
-            self.state, self.due = State.FOLLOWING, now + SILENT_MS
+        if call == self.call and self.state is WatchState.CALLING:
+            self.state, self.due = WatchState.FOLLOWING, now + SILENCE_TIMEOUT_MS
 
     def on_line(self, now: float, call: int) -> bool:
         """A line came whole; whether it is to be acted on."""
-        if call != self.call or self.state is not State.FOLLOWING:
+        if call != self.call or self.state is not WatchState.FOLLOWING:
             return False
         self.since, self.heard_at = self.heard_at if self.first else now, now
-        self.due, self.wait, self.first = now + SILENT_MS, BACKOFF_MS[0], False
+        self.due, self.wait, self.first = now + SILENCE_TIMEOUT_MS, BACKOFF_MS[0], False
         return True
 
-    def on_end(self, now: float, call: int, reason: str, clean: bool = False) -> Act:
+    def on_end(self, now: float, call: int, reason: str, clean: bool = False) -> WatchAction:
         """`clean`: the answer ended where it should, and not by a break."""
-        if call != self.call or self.state is State.WAITING:
+        if call != self.call or self.state is WatchState.WAITING:
             return None
         if clean and self.whole and self.version is not None:
             return self.open(now)
         return self.lost(now, reason)
 
-    def on_move(self, now: float, address: tuple[str, int]) -> Act:
+    def on_move(self, now: float, address: tuple[str, int]) -> WatchAction:
         """Versions of another address need not be those of this one: the whole list comes before changes."""
         self.address, self.version, self.wait = address, None, BACKOFF_MS[0]
         return self.open(now)
 
-    def open(self, now: float) -> Open:
-        self.state, self.call, self.whole = State.CALLING, self.call + 1, self.version is None
-        self.due, self.first = now + ANSWER_MS, True
-        return Open(self.call, self.address, self.version)
+    def open(self, now: float) -> OpenCall:
+        self.state, self.call, self.whole = WatchState.CALLING, self.call + 1, self.version is None
+        self.due, self.first = now + ANSWER_TIMEOUT_MS, True
+        return OpenCall(self.call, self.address, self.version)
 
-    def lost(self, now: float, reason: str) -> Leave:
+    def lost(self, now: float, reason: str) -> CloseCall:
         pause = self.backoff(self.wait)
         self.wait = min(BACKOFF_MS[1], self.wait * 2)
-        self.state, self.due, self.call = State.WAITING, now + pause, self.call + 1
-        return Leave(f"{reason}; again in {pause / 1000:.2f} s")
+        self.state, self.due, self.call = WatchState.WAITING, now + pause, self.call + 1
+        return CloseCall(f"{reason}; again in {pause / 1000:.2f} s")
 
     def backoff(self, wait: float) -> float:
-        return wait * (1 - JITTER * self.chance.random())
+        return wait * (1 - JITTER_RATIO * self.chance.random())
--- a/roadpulley/core/driver.py
+++ b/roadpulley/core/driver.py
@@ -12,31 +12,35 @@
 from mintford import Gateway
 from mintford import interface as api
 
-from .backends import Backends
+from .backends import BackendPools
 from .clock import Timer, Timers, now_ms
-from .command import Command, Sink, Slot, Source
+from .command import Command, ReplySlot, Sink, Source
 from .connection import Attempt
-from .counter import Counter
+from .counter import CounterClient
 from .discovery import Member
-from .figures import read_cost
-from .outcomes import Ending
-from .resp import bulk
+from .outcomes import EndReason
+from .resp import encode_bulk
+from .usage_figures import parse_cost
 
 log = logging.getLogger(__name__)
 
 FAILED = b"-ERR failed\r\n"
-LOOK_MS = 20.0  # between two looks at the lag of the loop
-LEAST_LEFT_MS = 60.0  # of a request's time: in less the module could not even refuse it
-LATE_MS = 20.0  # lag in which a client may have left unseen: small beside the 100 ms in which that must show
-SEEN_MS = 5.0  # lag that is worth a word: timers come up to a tick and the loop's rounding late anyway
+LAG_CHECK_INTERVAL_MS = 20.0  # between two looks at the lag of the loop
+MIN_REMAINING_MS = 60.0  # of a request's time: in less the module could not even refuse it
+CLIENT_PROBE_LAG_MS = (
+    20.0  # lag in which a client may have left unseen: small beside the 100 ms in which that must show
+)
+MIN_REPORTED_LAG_MS = (
+    5.0  # lag that is worth a word: timers come up to a tick and the loop's rounding late anyway
+)
 
 
-def busy(retry_after: float) -> bytes:
+def encode_busy(retry_after: float) -> bytes:
     wait = math.ceil(retry_after)
     return b"-BUSY %d\r\n" % wait if wait > 0 else b"-BUSY\r\n"
 
 
-class Meter(Protocol):
+class UsageMeter(Protocol):
     """Counts use. A request is one try of its client, however often it is attempted."""
 
     def sent(self, command: Command) -> Any:
@@ -46,7 +50,7 @@
         """Its answer told its true units."""
 
 
-Ended = Callable[[], None]
+EndCallback = Callable[[], None]
 
 
 class Rights(Protocol):
@@ -57,7 +61,7 @@
         asked: api.SpendRights,
         lasting: float,
         within: float,
-        done: Callable[[bool, Ended | None], None],
+        done: Callable[[bool, EndCallback | None], None],
     ) -> None:
         """`done` is called once, at once or within so many seconds: whether rights were held and are spent.
 
@@ -89,7 +93,7 @@
         "timer",
     )
 
-    def __init__(self, command: Command, slot: Slot, expires: float) -> None:
+    def __init__(self, command: Command, slot: ReplySlot, expires: float) -> None:
         self.command, self.slot, self.expires = command, slot, expires
         self.came_at = expires - command.wait
         self.made, self.most = 0, 1  # attempts so far; allowed when it came
@@ -97,7 +101,7 @@
         self.live: dict[int, Attempt] = {}  # attempts out, by number
         self.timer: Timer | None = None  # of its end
         self.counted: Any = None  # by the meter
-        self.back: list[Ended] = []  # what hears of its end, as rights come back then
+        self.back: list[EndCallback] = []  # what hears of its end, as rights come back then
 
 
 class Driver:
@@ -112,8 +116,8 @@
         settings: api.Settings,
         seed: int,
         timers: Timers,
-        backends: Backends,
-        counter: Counter | None,
+        backends: BackendPools,
+        counter: CounterClient | None,
         max_open: int,
     ) -> None:
         self.gateway, self.settings = Gateway(settings, seed), settings
@@ -122,7 +126,7 @@
         self.attempts: dict[tuple[str, int], Attempt] = {}  # out, also those of requests that have ended
         self.events: deque[api.Event] = deque()
         self.busy = False
-        self.meter: Meter | None = None  # counts what is sent on
+        self.meter: UsageMeter | None = None  # counts what is sent on
         self.rights: Rights | None = None  # where gateways of a fleet have them
         self.attempt_observer: AttemptObserver | None = None  # where they tell each other what they find
         self.look_due, self.behind = math.inf, 0.0  # the next look at the lag; that of the last one
@@ -171,12 +175,12 @@
 
     def watch_lag(self) -> None:
         """Look at the lag of the loop from now on."""
-        due = self.look_due = now_ms() + LOOK_MS
+        due = self.look_due = now_ms() + LAG_CHECK_INTERVAL_MS
         self.timers.at(due, partial(self.on_look, due))
 
     def on_look(self, due: float) -> None:
         lag = now_ms() - due
-        if lag < SEEN_MS:
+        if lag < MIN_REPORTED_LAG_MS:
             lag = 0.0
         self.behind = lag
         if lag or self.lagging or self.strained:
@@ -198,7 +202,7 @@
     def turn_away(self, request_class: str) -> bytes | None:
         """The refusal of a request that the module turns away at the door; None: let it in."""
         wait = self.gateway.turn_away(request_class)
-        return None if wait is None else busy(wait)
+        return None if wait is None else encode_busy(wait)
 
     def retune(self, settings: api.Settings, max_open: int) -> None:
         """Other settings hold from the next event on; open requests keep what they came with."""
@@ -218,7 +222,7 @@
             self.backends.update(entry.backend, member.address, entry.state, entry.started, since)
         self.give(api.BackendsChanged(scope, tuple(m.entry for m in members)))
 
-    def on_command(self, command: Command, slot: Slot) -> None:
+    def on_command(self, command: Command, slot: ReplySlot) -> None:
         if command.id in self.requests:
             slot.request = None  # the other one's
             return slot.answer(b"-ERR id in use\r\n")
@@ -227,7 +231,7 @@
         # Danger: its time counts from when the client sent it. While this loop stood still it may have lain
         # unread as long, and a last answer that is late by more than its client's patience counts as none.
         now = now_ms()
-        expires = now + max(command.wait - self.lag(now), LEAST_LEFT_MS)
+        expires = now + max(command.wait - self.lag(now), MIN_REMAINING_MS)
         event = api.RequestArrived(
             command.id,
             command.request_class,
@@ -247,7 +251,7 @@
     def on_expired(self, owner: Request) -> None:
         """The client's patience ends: so do the attempts, and the module owes the final answer."""
         request = owner.command.id
-        self.give_up(owner, Ending.TIME)
+        self.give_up(owner, EndReason.TIME)
         if self.requests.get(request) is owner:
             # Only a fault brings a request here unanswered; its client must not wait in vain even so.
             log.error("request %s had no answer at its end", request)
@@ -260,7 +264,7 @@
             return
         self.give(api.RequestAbandoned(request))
         # Nobody is waiting any more; a backend may then drop what it has not begun.
-        self.give_up(owner, Ending.CALLED_OFF)
+        self.give_up(owner, EndReason.CALLED_OFF)
         self.settle(owner)
 
     def on_begun(self, attempt: Attempt, length: int, source: Source) -> Sink | None:
@@ -290,14 +294,14 @@
         if owner.begun and not attempt.passes_on:
             pass  # another attempt's value is under way
         elif outcome is api.Outcome.OK or owner.begun:
-            self.finish(request, bulk(value))  # of a value that was passed on, the slot has its answer
+            self.finish(request, encode_bulk(value))  # of a value that was passed on, the slot has its answer
         finished = self.requests.get(request) is not owner
         if finished:
             self.settle(owner)
         lag = now_ms() - sent_at
         if self.attempt_observer is not None:
             self.attempt_observer.record(attempt.backend, outcome)
-        cost = read_cost(attempt.use) if attempt.use and self.settings.offers.settles else 0.0
+        cost = parse_cost(attempt.use) if attempt.use and self.settings.offers.settles else 0.0
         if cost > 0 and outcome is api.Outcome.OK and owner.counted is not None and self.meter is not None:
             # As the module charges it: what one request can count, and once.
             true = min(cost, max(self.settings.most_units, owner.command.units))
@@ -312,10 +316,10 @@
 
     def cancel(self, action: api.Cancel) -> None:
         if attempt := self.attempts.get((action.request, action.attempt)):
-            self.backends.give_up(attempt, Ending.CALLED_OFF)
+            self.backends.give_up(attempt, EndReason.CALLED_OFF)
 
     def refuse(self, action: api.Refuse) -> None:
-        self.finish(action.request, busy(action.retry_after))
+        self.finish(action.request, encode_busy(action.retry_after))
 
     def set_timer(self, action: api.SetTimer) -> None:
         self.timers.at(now_ms() + action.delay, partial(self.give, api.TimerFired(action.token)))
@@ -329,7 +333,7 @@
     def spend(self, action: api.SpendRights) -> None:
         owner = self.requests.get(action.request)
 
-        def granted(paid: bool, ended: Ended | None) -> None:
+        def granted(paid: bool, ended: EndCallback | None) -> None:
             if ended is not None and owner is not None and self.requests.get(action.request) is owner:
                 owner.back.append(ended)
             elif ended is not None:
@@ -344,7 +348,7 @@
     def send(self, action: api.Send) -> None:
         request, backend, timeout = action.request, action.backend, action.timeout
         now, owner = now_ms(), self.requests.get(request)
-        if owner is not None and owner.slot.gone(self.lag(now) > LATE_MS):
+        if owner is not None and owner.slot.gone(self.lag(now) > CLIENT_PROBE_LAG_MS):
             owner = None
         if owner is None or owner.made >= min(owner.most, self.settings.max_attempts):
             # Danger: under another number the module would count this attempt as out for ever.
@@ -368,7 +372,7 @@
         )
         self.attempts[key] = owner.live[number] = attempt
         if 0 < timeout < owner.expires - now:
-            give_up = partial(self.backends.give_up, attempt, Ending.TIME)
+            give_up = partial(self.backends.give_up, attempt, EndReason.TIME)
             attempt.timer = self.timers.at(now + timeout, give_up)
         self.backends.send(attempt)
 
@@ -377,7 +381,7 @@
         owner = self.requests.get(attempt.key[0])
         return owner is not None and not owner.slot.gone(True)
 
-    def give_up(self, owner: Request, ending: Ending) -> None:
+    def give_up(self, owner: Request, ending: EndReason) -> None:
         for attempt in list(owner.live.values()):
             self.backends.give_up(attempt, ending)
 
--- a/roadpulley/core/outcomes.py
+++ b/roadpulley/core/outcomes.py
@@ -36,7 +36,7 @@
     SENT = "sent"
 
 
-class Ending(Enum):
+class EndReason(Enum):
     BROKEN = "broken"
     TIME = "time"
     CONNECT_TIME = "connect time"
@@ -50,27 +50,27 @@
 NEVER_RAN = {Outcome.CONNECT, Outcome.IGNORED, Outcome.FULL}
 
 _EARLY = {
-    Ending.BROKEN: Outcome.CONNECT,
-    Ending.TIME: Outcome.CONNECT,
-    Ending.CALLED_OFF: Outcome.CANCELLED,
+    EndReason.BROKEN: Outcome.CONNECT,
+    EndReason.TIME: Outcome.CONNECT,
+    EndReason.CALLED_OFF: Outcome.CANCELLED,
 }
-TABLE: dict[Stage, dict[Ending, Outcome]] = {
+OUTCOMES: dict[Stage, dict[EndReason, Outcome]] = {
     Stage.CONNECTING: {
         **_EARLY,
-        Ending.CONNECT_TIME: Outcome.CONNECT,
-        Ending.EXPIRED: Outcome.IGNORED,
-        Ending.SHUT: Outcome.CONNECT,
+        EndReason.CONNECT_TIME: Outcome.CONNECT,
+        EndReason.EXPIRED: Outcome.IGNORED,
+        EndReason.SHUT: Outcome.CONNECT,
     },
-    Stage.SENDING: {**_EARLY, Ending.FULL: Outcome.FULL, Ending.SAID: Outcome.CONNECT},
+    Stage.SENDING: {**_EARLY, EndReason.FULL: Outcome.FULL, EndReason.SAID: Outcome.CONNECT},
     Stage.SENT: {
-        Ending.BROKEN: Outcome.RESET,
-        Ending.TIME: Outcome.TIMED_OUT,
-        Ending.CALLED_OFF: Outcome.CANCELLED,
-        Ending.FULL: Outcome.FULL,
+        EndReason.BROKEN: Outcome.RESET,
+        EndReason.TIME: Outcome.TIMED_OUT,
+        EndReason.CALLED_OFF: Outcome.CANCELLED,
+        EndReason.FULL: Outcome.FULL,
     },
 }
 
 
-def outcome(stage: Stage, ending: Ending) -> Outcome:
+def resolve_outcome(stage: Stage, ending: EndReason) -> Outcome:
     """What an attempt is told; a pair that can't be, by the table, is told as what leaves most open."""
-    return TABLE[stage].get(ending, Outcome.RESET)
+    return OUTCOMES[stage].get(ending, Outcome.RESET)
--- a/roadpulley/core/tallies.py
+++ b/roadpulley/core/request_stats.py
@@ -5,7 +5,7 @@
 SERVED, REFUSED, FAILED = range(3)
 
 
-class Tallies:
+class RequestStats:
     """Final answers by class and outcome, and attempts written whole.
 
     A class stays once it was known: what was counted of it stays true when the settings drop it.
--- a/roadpulley/core/resp.py
+++ b/roadpulley/core/resp.py
@@ -11,34 +11,39 @@
 import re
 from typing import NamedTuple
 
-LARGEST_VALUE = 64 * 1024
-LARGEST_BODY = 4 * 1024 * 1024  # the value of a request; over LARGEST_VALUE only once room is granted
-BODY_ARGUMENT = 4  # its place
-LARGEST_COMMAND = LARGEST_VALUE + 4 * 1024  # all of its arguments together
-MOST_ARGUMENTS = 16
-LARGEST_ANSWER = 4 * 1024 * 1024
-LONG_ANSWER = 64 * 1024  # over this the first bytes are timed, and it is passed on as it comes
-BEGUN_BYTES = 16 * 1024  # of such a value, until it is passed on: a wrong length seldom has so much behind
-LONGEST_ERROR = 1024
-LARGEST_EXTRA = 4 * 1024  # figures on use and load report, as they are on the wire
-
-FAST_COMMAND = 1024  # bytes in which a whole command is looked for, to be cut at once
-HEADERS = [b"$%d" % length for length in range(512)]
+MAX_VALUE_BYTES = 64 * 1024
+MAX_BODY_BYTES = 4 * 1024 * 1024  # the value of a request; over MAX_VALUE_BYTES only once room is granted
+BODY_ARGUMENT_INDEX = 4  # its place
+MAX_COMMAND_BYTES = MAX_VALUE_BYTES + 4 * 1024  # all of its arguments together
+MAX_ARGUMENTS = 16
+MAX_ANSWER_BYTES = 4 * 1024 * 1024
+LONG_VALUE_THRESHOLD_BYTES = 64 * 1024  # over this the first bytes are timed, and it is passed on as it comes
+STREAMING_START_BYTES = (
+    16 * 1024
+)  # of such a value, until it is passed on: a wrong length seldom has so much behind
+MAX_ERROR_BYTES = 1024
+MAX_EXTRA_BYTES = 4 * 1024  # figures on use and load report, as they are on the wire
+
+FAST_PATH_BYTES = 1024  # bytes in which a whole command is looked for, to be cut at once
+LENGTH_HEADERS = [b"$%d" % length for length in range(512)]
 COUNT = re.compile(rb"\*(\d{1,6})\r\n")
 LENGTH = re.compile(rb"\$(\d{1,7})\r\n")
-BEGUN = {COUNT: re.compile(rb"\*(?:\d{0,6}|\d{1,6}\r)"), LENGTH: re.compile(rb"\$(?:\d{0,7}|\d{1,7}\r)")}
-SERVED = re.compile(rb"\*3\r\n\$(\d{1,7})\r\n")
-NOTHING = b"*3\r\n$0\r\n"  # how an answer with an empty value begins
-SERVED_BEGUN = re.compile(rb"\*(?:3(?:\r(?:\n(?:\$(?:\d{0,7}|\d{1,7}\r))?)?)?)?")
+PARTIAL_HEADER = {
+    COUNT: re.compile(rb"\*(?:\d{0,6}|\d{1,6}\r)"),
+    LENGTH: re.compile(rb"\$(?:\d{0,7}|\d{1,7}\r)"),
+}
+VALUE_HEADER = re.compile(rb"\*3\r\n\$(\d{1,7})\r\n")
+EMPTY_VALUE_HEADER = b"*3\r\n$0\r\n"  # how an answer with an empty value begins
+PARTIAL_VALUE_HEADER = re.compile(rb"\*(?:3(?:\r(?:\n(?:\$(?:\d{0,7}|\d{1,7}\r))?)?)?)?")
 EXTRA = re.compile(rb"\$-1\r\n|:-?\d{1,18}\r\n|\$(\d{1,5})\r\n")
-EXTRA_BEGUN = re.compile(rb"\$(?:-1?|-1\r|\d{0,5}|\d{1,5}\r)|:-?(?:\d{0,18}|\d{1,18}\r)")
+PARTIAL_EXTRA = re.compile(rb"\$(?:-1?|-1\r|\d{0,5}|\d{1,5}\r)|:-?(?:\d{0,18}|\d{1,18}\r)")
 
 
-class Malformed(Exception):
+class MalformedError(Exception):
     """What came is none of the protocol's forms; nothing after it can be understood either."""
 
 
-def bulk(value: bytes) -> bytes:
+def encode_bulk(value: bytes) -> bytes:
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
@@ -95,24 +100,24 @@
                 if number is None:
                     return None
                 if not self._left:
-                    if not 0 < number <= MOST_ARGUMENTS:
-                        raise Malformed("number of arguments")
+                    if not 0 < number <= MAX_ARGUMENTS:
+                        raise MalformedError("number of arguments")
                     self._left, self._args, self._total = number, [], 0
                     continue
-                if number > LARGEST_VALUE and self._left == 1 and len(self._args) == BODY_ARGUMENT:
-                    if number > LARGEST_BODY:
-                        raise Malformed("length of an argument")
+                if number > MAX_VALUE_BYTES and self._left == 1 and len(self._args) == BODY_ARGUMENT_INDEX:
+                    if number > MAX_BODY_BYTES:
+                        raise MalformedError("length of an argument")
                     self.wants = self._size = number
                     return None
                 self._total += number
-                if number > LARGEST_VALUE or self._total > LARGEST_COMMAND:
-                    raise Malformed("length of an argument")
+                if number > MAX_VALUE_BYTES or self._total > MAX_COMMAND_BYTES:
+                    raise MalformedError("length of an argument")
                 self._size = number
             end = self._at + self._size
             if len(self._buffer) < end + 2:
                 return None
             if self._buffer[end : end + 2] != b"\r\n":
-                raise Malformed("end of an argument")
+                raise MalformedError("end of an argument")
             self._args.append(bytes(self._buffer[self._at : end]))
             self._at, self._size = end + 2, -1
             self._left -= 1
@@ -129,13 +134,13 @@
         if len(self._body) < self._size + 2:
             return None
         if not self._body.endswith(b"\r\n"):
-            raise Malformed("end of an argument")
+            raise MalformedError("end of an argument")
         args, self._args, self._total, self._left, self._size = self._args, [], 0, 0, -1
         return args
 
     def _cut(self) -> list[bytes] | None:
         """A command of four arguments in its plainest form; None where only the long way can tell."""
-        data = bytes(self._buffer[self._at : self._at + FAST_COMMAND])
+        data = bytes(self._buffer[self._at : self._at + FAST_PATH_BYTES])
         parts = data.split(b"\r\n", 9)
         if len(parts) < 10 or parts[0] != b"*4":
             return None
@@ -143,10 +148,10 @@
         if (
             len(verb) < 512 > len(customer)
             and len(request) < 512 > len(listed)
-            and h0 == HEADERS[len(verb)]
-            and h1 == HEADERS[len(customer)]
-            and h2 == HEADERS[len(request)]
-            and h3 == HEADERS[len(listed)]
+            and h0 == LENGTH_HEADERS[len(verb)]
+            and h1 == LENGTH_HEADERS[len(customer)]
+            and h2 == LENGTH_HEADERS[len(request)]
+            and h3 == LENGTH_HEADERS[len(listed)]
         ):
             self._at += len(data) - len(rest)
             return [verb, customer, request, listed]
@@ -158,8 +163,8 @@
             return int(got[1])
         # A line that never ends, or that begins as no header does, is told by its first bytes.
         rest = self._buffer[self._at : self._at + 10]
-        if rest and not BEGUN[form].fullmatch(rest):
-            raise Malformed("not an array of bulk strings")
+        if rest and not PARTIAL_HEADER[form].fullmatch(rest):
+            raise MalformedError("not an array of bulk strings")
         return None
 
 
@@ -171,14 +176,16 @@
     report: bytes = b""
 
 
-def long_value(data: bytearray) -> tuple[int, int] | None:
+def parse_long_value_header(data: bytearray) -> tuple[int, int] | None:
     """Length of a long value and where it begins, once so much of it is here that it may be passed on."""
-    if len(data) < BEGUN_BYTES:
+    if len(data) < STREAMING_START_BYTES:
         return None
-    head = SERVED.match(data)
-    if head is None or len(data) < head.end() + BEGUN_BYTES:
+    head = VALUE_HEADER.match(data)
+    if head is None or len(data) < head.end() + STREAMING_START_BYTES:
         return None
-    return (int(head[1]), head.end()) if LONG_ANSWER < int(head[1]) <= LARGEST_ANSWER else None
+    return (
+        (int(head[1]), head.end()) if LONG_VALUE_THRESHOLD_BYTES < int(head[1]) <= MAX_ANSWER_BYTES else None
+    )
 
 
 class LongValue:
@@ -188,7 +195,7 @@
 
     def __init__(self, length: int) -> None:
         self.left = length  # bytes of the value to come
-        self.tail = bytearray(NOTHING)  # and what the answer ends with
+        self.tail = bytearray(EMPTY_VALUE_HEADER)  # and what the answer ends with
 
     def take(self, data: memoryview) -> memoryview:
         """Take in what has come; gives what of it belongs to the value."""
@@ -198,12 +205,12 @@
         return value
 
     def ended(self) -> bool:
-        """Whether the value's own end is here. Raises Malformed for another end."""
+        """Whether the value's own end is here. Raises MalformedError for another end."""
         if self.left:
             return False
-        end = bytes(self.tail[len(NOTHING) : len(NOTHING) + 2])
+        end = bytes(self.tail[len(EMPTY_VALUE_HEADER) : len(EMPTY_VALUE_HEADER) + 2])
         if not b"\r\n".startswith(end):
-            raise Malformed("end of the value")
+            raise MalformedError("end of the value")
         return len(end) == 2
 
     def answer(self) -> Answer | None:
@@ -214,29 +221,29 @@
 def parse_answer(data: bytearray) -> Answer | None:
     """The answer of a backend that `data` holds, None while it is not whole."""
     if data.startswith(b"-"):
-        end = data.find(b"\r\n", 0, LONGEST_ERROR)
+        end = data.find(b"\r\n", 0, MAX_ERROR_BYTES)
         if end >= 0:
             return Answer(None, bytes(data[1:end]), end + 2 == len(data))
-        if len(data) >= LONGEST_ERROR:
-            raise Malformed("an endless error")
+        if len(data) >= MAX_ERROR_BYTES:
+            raise MalformedError("an endless error")
         return None
-    head = SERVED.match(data)
+    head = VALUE_HEADER.match(data)
     if head is None:
-        if not SERVED_BEGUN.fullmatch(data[:20]):
-            raise Malformed("not an answer")
+        if not PARTIAL_VALUE_HEADER.fullmatch(data[:20]):
+            raise MalformedError("not an answer")
         return None
     end = head.end() + int(head[1])
-    if int(head[1]) > LARGEST_ANSWER:
-        raise Malformed("length of the value")
+    if int(head[1]) > MAX_ANSWER_BYTES:
+        raise MalformedError("length of the value")
     if len(data) < end + 2:
         return None
     if data[end : end + 2] != b"\r\n":
-        raise Malformed("end of the value")
+        raise MalformedError("end of the value")
     at = end + 2
     extras: list[bytes] = []
     for _ in range(2):
         after = parse_extra(data, at)
-        if after is None and len(data) - end <= LARGEST_EXTRA:
+        if after is None and len(data) - end <= MAX_EXTRA_BYTES:
             return None
         if after is None or after < 0:
             # The value is whole and followed by what belongs behind it; only that can't be read.
@@ -253,8 +260,8 @@
         if got[1] is None:
             return got.end()
         end = got.end() + int(got[1])
-        if int(got[1]) > LARGEST_EXTRA or not b"\r\n".startswith(data[end : end + 2]):
+        if int(got[1]) > MAX_EXTRA_BYTES or not b"\r\n".startswith(data[end : end + 2]):
             return -1
         return end + 2 if len(data) >= end + 2 else None
     rest = data[at : at + 22]
-    return None if not rest or EXTRA_BEGUN.fullmatch(rest) else -1
+    return None if not rest or PARTIAL_EXTRA.fullmatch(rest) else -1
--- a/roadpulley/core/settings.py
+++ b/roadpulley/core/settings.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True)
-class Config:
+class GatewayConfig:
     name: str
     listen: Address
     discovery: Address
@@ -47,7 +47,7 @@
     return host, int(port)
 
 
-def read_admin(configured: Any) -> Address | None:
+def read_admin_address(configured: Any) -> Address | None:
     """Where operators call: what the process was told, else what the configuration says; neither: nowhere.
 
     The process first: two processes of one gateway may share a file, and never this address.
@@ -65,7 +65,7 @@
     raise ValueError(f"{key} is {text!r}; give HOST:PORT, such as 127.0.0.1:19000")
 
 
-def whole(settings: dict[str, Any], key: str, default: int, least: int) -> int:
+def read_int(settings: dict[str, Any], key: str, default: int, least: int) -> int:
     """A whole number of the settings; what stands there instead is named, with what would be right."""
     value = settings.get(key)
     if value is None:
@@ -76,7 +76,7 @@
     return int(value)
 
 
-def parse_config(raw: Any) -> Config:
+def parse_config(raw: Any) -> GatewayConfig:
     try:
         settings = raw["settings"]
         caps = settings.get("caps") or {}
@@ -84,14 +84,14 @@
         workers, worker = int(raw.get("workers") or 1), int(raw.get("worker") or 0)
         if not 0 <= worker < workers:
             raise ValueError(f"worker is {worker}; give a number from 0 to {workers - 1}")
-        index, size = whole(settings, "selfIndex", 0, 0), whole(settings, "groupSize", 1, 1)
+        index, size = read_int(settings, "selfIndex", 0, 0), read_int(settings, "groupSize", 1, 1)
         settings = {**settings, "selfIndex": index * workers + worker, "groupSize": size * workers}
-        return Config(
+        return GatewayConfig(
             name=str(raw.get("name") or ""),
             listen=parse_address(raw["listen"]),
             discovery=parse_address(raw["discovery"]),
             counter=parse_address(raw["counter"]) if raw.get("counter") else None,
-            admin=read_admin(raw.get("admin")),
+            admin=read_admin_address(raw.get("admin")),
             seed=int(str(raw.get("seed") or "0"), 16),
             sockets=int((raw.get("limits") or {}).get("sockets") or 1024),
             memory_mb=int((raw.get("limits") or {}).get("memory_mb") or 64),
@@ -107,16 +107,16 @@
         raise ConfigError(f"{type(error).__name__}: {error}") from error
 
 
-def load_again(path: str, standing: Config) -> Config:
+def load_replacement(path: str, standing: GatewayConfig) -> GatewayConfig:
     """A configuration to take the place of one that stands: judged whole. Raises ConfigError."""
     from roadpulley.checks import ValidationError
 
-    from .judging import complete, gateway
+    from .validation import require_existing_keys, validate_gateway_config
 
     try:
         raw = json.loads(Path(path).read_text())
-        gateway(raw)
-        complete(raw["settings"], standing.told)
+        validate_gateway_config(raw)
+        require_existing_keys(raw["settings"], standing.told)
         if standing.counter is not None and not raw.get("counter"):
             raise ValidationError(
                 "counter", "is missing", "give HOST:PORT, as in the configuration that stands"
@@ -126,16 +126,16 @@
         raise ConfigError(f"{path}: {error}") from error
 
 
-def load_config(path: str) -> Config:
+def load_config(path: str) -> GatewayConfig:
     """The configuration at the start. Raises ConfigError, with the key and what would be right."""
     from roadpulley.checks import ValidationError
 
-    from .judging import gateway
+    from .validation import validate_gateway_config
 
     raw, odd = None, None
     try:
         raw = json.loads(Path(path).read_text())
-        gateway(raw)
+        validate_gateway_config(raw)
     except ValidationError as error:
         odd = error
     except (OSError, ValueError, RecursionError) as error:
--- a/roadpulley/core/judging.py
+++ b/roadpulley/core/validation.py
@@ -12,13 +12,13 @@
 from mintford.reading import FIELDS
 from roadpulley.checks import Table, ValidationError, format_value
 
-from .discovery import STATES
+from .discovery import BACKEND_STATES
 from .settings import parse_address
 
-MOST_PRECEDENT = 12  # levels of tables within tables
+MAX_NESTING_DEPTH = 12  # levels of tables within tables
 
 
-def gateway(raw: object) -> Table:
+def validate_gateway_config(raw: object) -> Table:
     """Judge what a gateway is told; gives the table, for the caller to ask what else is in it.
 
     Raises ValidationError.
@@ -27,20 +27,20 @@
     top.read_text("name", "")
     top.read_text("seed", "0")
     for key in ("listen", "discovery", "counter", "admin"):
-        address(top, key, required=key not in ("counter", "admin"))
+        validate_address(top, key, required=key not in ("counter", "admin"))
     limits = top.read_table("limits")
     limits.read_number("cores", 1.0, 0.01)
     limits.read_int("memory_mb", 64, 16)
     limits.read_int("sockets", 1024, 64)
     limits.reject_unknown_keys()
-    hosts(top.read_table("known"))
+    validate_saved_hosts(top.read_table("known"))
     if not top.has("settings"):
         raise ValidationError("settings", "is missing", "give the table of classes, packages and rules")
-    settings(top.read_table("settings"))
+    validate_settings(top.read_table("settings"))
     return top
 
 
-def address(t: Table, key: str, required: bool = True) -> None:
+def validate_address(t: Table, key: str, required: bool = True) -> None:
     text = t.read_text(key, *(() if required else ("",)))
     if not text and not required:
         return
@@ -53,17 +53,17 @@
         raise ValidationError(t.path_of(key), f"is {text!r}", "give HOST:PORT, such as 127.0.0.1:6379")
 
 
-def hosts(known: Table) -> None:
+def validate_saved_hosts(known: Table) -> None:
     known.read_int("seq", 0)
     known.read_value("whole", True, "give true or false")
     for host in known.read_tables("hosts"):
         host.read_text("host")
-        host.read_text("health", ..., STATES)
-        address(host, "dial")
+        host.read_text("health", ..., BACKEND_STATES)
+        validate_address(host, "dial")
         host.read_number("born_ms", 0.0, 0)
 
 
-def settings(t: Table) -> None:
+def validate_settings(t: Table) -> None:
     """Only what a gateway reads is judged: the platform's settings hold more."""
     gateways = t.read_int("groupSize", 1, 1)
     t.read_int("selfIndex", 0, 0, gateways - 1)
@@ -79,10 +79,10 @@
     info.read_number("countWait", 0.0, 0)
     info.read_number("unitsTop", 1.0, 0.001)
     info.read_number("countFee", 0.0, 0)
-    offers(t)
+    validate_prices_and_telemetry(t)
     classes, plans = t.read_tables("classes"), t.read_tables("packages")
     for kind in classes:
-        request_class(kind)
+        validate_request_class(kind)
     for plan in plans:
         plan.read_text("name")
         for key in (
@@ -97,10 +97,10 @@
             plan.read_number(key, 0.0, 0)
         plan.read_int("open", 0)
     for key, tables in (("classes", classes), ("packages", plans)):
-        distinct(t.path_of(key), [each.raw["name"] for each in tables])
+        require_unique_names(t.path_of(key), [each.raw["name"] for each in tables])
 
 
-def offers(t: Table) -> None:
+def validate_prices_and_telemetry(t: Table) -> None:
     """What the deployment tells and charges beyond its rules."""
     prices, telemetry = t.read_table("prices"), t.read_table("telemetry")
     for key in ("waste", "lateFail", "crossZone", "probe"):
@@ -117,7 +117,7 @@
         )
 
 
-def request_class(t: Table) -> None:
+def validate_request_class(t: Table) -> None:
     t.read_text("name")
     deadline = t.read_number("deadline", ..., 1, 3_600_000)
     t.read_number("aim", deadline, 1, deadline)
@@ -127,7 +127,7 @@
     t.read_number("importance", 0.0, 0)
 
 
-def distinct(path: str, names: list[str]) -> None:
+def require_unique_names(path: str, names: list[str]) -> None:
     if not names:
         raise ValidationError(path, "is empty", "give one at least")
     twice = next((name for name in names if names.count(name) > 1), None)
@@ -138,14 +138,14 @@
 # ---- beside the configuration that stands ----
 
 
-def complete(new: Any, standing: Any, path: str = "settings", level: int = 0) -> None:
+def require_existing_keys(new: Any, standing: Any, path: str = "settings", level: int = 0) -> None:
     """Raises ValidationError for a key that the standing settings have and the new ones lack.
 
     What a deployment tells is known from what it has told: a file that is short of a key is cut or half
     edited, and a default in its place would change a rule unseen. Of tables in an array (classes, packages),
     each needs the keys that all the standing ones have.
     """
-    if level > MOST_PRECEDENT or not isinstance(standing, dict):
+    if level > MAX_NESTING_DEPTH or not isinstance(standing, dict):
         return
     if not isinstance(new, dict):
         raise ValidationError(path, f"is {format_value(new)}", "give a table")
@@ -158,6 +158,6 @@
         if isinstance(old, list) and old and all(isinstance(each, dict) for each in old):
             needed = dict.fromkeys(set.intersection(*(set(each) for each in old)))
             for number, each in enumerate(new[key] if isinstance(new[key], list) else ()):
-                complete(each, needed, f"{at}[{number}]", level + 1)
+                require_existing_keys(each, needed, f"{at}[{number}]", level + 1)
         else:
-            complete(new[key], old, at, level + 1)
+            require_existing_keys(new[key], old, at, level + 1)
--- a/roadpulley/edges/connection.py
+++ b/roadpulley/edges/connection.py
@@ -33,7 +33,7 @@
 from typing import TYPE_CHECKING
 
 from roadpulley.core.clock import now_ms
-from roadpulley.core.resp import CommandReader, Malformed, bulk
+from roadpulley.core.resp import CommandReader, MalformedError, encode_bulk
 
 from .request_parser import REQUEST_VERBS
 from .slots import Slot, StreamingReply
@@ -171,7 +171,7 @@
                     return
                 self.due = None
                 self.command(args)
-        except Malformed as error:
+        except MalformedError as error:
             self.refuse_protocol(str(error))
 
     def _ask(self) -> bool:
@@ -180,7 +180,7 @@
         try:
             granted = self.server.bodies.ask(self, size, self._granted)
         except ValueError:
-            raise Malformed("length of an argument") from None
+            raise MalformedError("length of an argument") from None
         if granted:
             self._grant(size)
         else:
@@ -285,7 +285,7 @@
             if not self.server.says_yes:
                 slot.answer(b"-ERR takes no clients now\r\n")
             else:
-                slot.answer(bulk(args[1]) if len(args) > 1 else b"+PONG\r\n")
+                slot.answer(encode_bulk(args[1]) if len(args) > 1 else b"+PONG\r\n")
         elif verb in SETUP_COMMANDS:
             slot.answer(b"+OK\r\n")
         elif verb == b"QUIT":
--- a/roadpulley/edges/request_parser.py
+++ b/roadpulley/edges/request_parser.py
@@ -6,7 +6,7 @@
 
 from mintford import interface as api
 from roadpulley.core.command import Command
-from roadpulley.core.resp import bulk
+from roadpulley.core.resp import encode_bulk
 
 REQUEST_VERBS = {
     b"API.READ": True,
@@ -110,7 +110,7 @@
             b"$%d\r\n%b\r\n$16\r\n%b\r\n$%d\r\n%b\r\n" % (len(verb), verb, customer, len(request), request),
             before,
             after,
-            b"$%d\r\n" % (len(body) - 2) if body else bulk(args[4]) if len(args) > 4 else b"",
+            b"$%d\r\n" % (len(body) - 2) if body else encode_bulk(args[4]) if len(args) > 4 else b"",
             len(args) + (body is not None),
             request.decode("ascii"),
             f"{number:016x}",
--- a/roadpulley/edges/resp_server.py
+++ b/roadpulley/edges/resp_server.py
@@ -12,11 +12,11 @@
 from collections import Counter as Tally
 from typing import Protocol
 
-from roadpulley.core.budget import Budget
+from roadpulley.core.budget import MemoryBudget
 from roadpulley.core.clock import Timer, Timers, now_ms
-from roadpulley.core.command import Command, Slot
-from roadpulley.core.resp import LARGEST_BODY
-from roadpulley.core.tallies import Tallies
+from roadpulley.core.command import Command, ReplySlot
+from roadpulley.core.request_stats import RequestStats
+from roadpulley.core.resp import MAX_BODY_BYTES
 
 from .connection import ClientConnection
 from .request_parser import ATTRIBUTES_PATTERN, CLASS_PATTERN, RequestParser
@@ -42,7 +42,7 @@
 
     def turn_away(self, request_class: str) -> bytes | None: ...
 
-    def on_command(self, command: Command, slot: Slot) -> None: ...
+    def on_command(self, command: Command, slot: ReplySlot) -> None: ...
 
     def on_client_gone(self, request: str) -> None: ...
 
@@ -58,13 +58,13 @@
         terms: RequestParser,
         most: int,
         memory: int,
-        tallies: Tallies | None = None,
+        tallies: RequestStats | None = None,
     ) -> None:
         self.loop, self.timers, self.handler, self.most = loop, timers, handler, most
-        self.tallies = tallies or Tallies()
+        self.tallies = tallies or RequestStats()
         self.retune(terms)
         self.long = 0  # long values under way
-        self.bodies = Budget(max(LARGEST_BODY, memory // 2))
+        self.bodies = MemoryBudget(max(MAX_BODY_BYTES, memory // 2))
         self.most_unsent, self.unsent = memory, 0  # bytes of answers that are not taken yet, of all clients
         self.buffer = bytearray(
             READ_BUFFER_BYTES
--- a/roadpulley/fleet/counts/client.py
+++ b/roadpulley/fleet/counts/client.py
@@ -9,7 +9,7 @@
 
 from mintford.interface import Outcome
 from roadpulley.core.clock import Timers, now_ms
-from roadpulley.core.counter import Call, Counter, Done
+from roadpulley.core.counter import CounterCall, CounterCallback, CounterClient
 from roadpulley.core.settings import Address
 from roadpulley.fleet.agent_link import AgentLink
 
@@ -19,30 +19,30 @@
 NO_ADDRESS: Address = ("", 0)
 
 
-class ReplicatedCounter(Counter):
+class ReplicatedCounter(CounterClient):
     """Its calls go to the instance beside this process; all else is as at the counter service's client."""
 
     def __init__(self, line: AgentLink, timers: Timers, wait: float) -> None:
         super().__init__(asyncio.get_running_loop(), timers, NO_ADDRESS, wait)
         self.line = line
-        self.asked: dict[int, Call] = {}  # by their numbers
+        self.asked: dict[int, CounterCall] = {}  # by their numbers
         self.number = 0
         line.listeners.append(self._heard)
 
-    def add(self, name: str, amount: float, expire_in: float, done: Done) -> None:
+    def add(self, name: str, amount: float, expire_in: float, done: CounterCallback) -> None:
         self.number += 1
         ask = AddRequest(self.line.number, self.number, name, amount, max(1, int(expire_in)))
-        call = self.asked[self.number] = Call(self, name, b"", done)
+        call = self.asked[self.number] = CounterCall(self, name, b"", done)
         self.calls.setdefault(name, deque()).append(call)
         self._send(call, ask, now_ms() + self.wait)
 
-    def _send(self, call: Call, ask: AddRequest, due: float) -> None:
+    def _send(self, call: CounterCall, ask: AddRequest, due: float) -> None:
         self.line.send(ask)
         call.timer = self.timers.at(
             min(now_ms() + RETRY_INTERVAL_MS, due), partial(self._again, call, ask, due)
         )
 
-    def _again(self, call: Call, ask: AddRequest, due: float) -> None:
+    def _again(self, call: CounterCall, ask: AddRequest, due: float) -> None:
         if now_ms() < due:
             return self._send(call, ask, due)  # an instance takes each number once
         del self.asked[ask.number]
--- a/roadpulley/fleet/orders/client.py
+++ b/roadpulley/fleet/orders/client.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from mintford import interface as api
-from roadpulley.core.discovery import host_number
+from roadpulley.core.discovery import hash_host_name
 from roadpulley.fleet.agent_link import AgentLink
 from roadpulley.fleet.clock import Clock, from_environment, wall_ms
 from roadpulley.fleet.rights.client import RightsClient, UnitCost
@@ -36,7 +36,7 @@
         return frozenset(order.subject for order in orders if order.kind == kind)
 
     pools = tuple(subject for scope, subject in limited if scope == "pool")
-    off = frozenset(map(host_number, subjects("keep-off")))
+    off = frozenset(map(hash_host_name, subjects("keep-off")))
     return api.OrdersChanged(limited, pools, subjects("block"), subjects("shed"), off)
 
 
--- a/roadpulley/testbed/node.py
+++ b/roadpulley/testbed/node.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple, cast
 
 from roadpulley.core.clock import now_ms
-from roadpulley.core.resp import CommandReader, Malformed
+from roadpulley.core.resp import CommandReader, MalformedError
 
 from .ledger import Attempt, Ledger, Oddity, Started
 from .node_machine import Change, Job, NodeMachine, Seen, State, draw_work
@@ -131,7 +131,7 @@
                     self.node.command(self, args, receipt, now)
                 else:
                     self.behind.append((args, receipt))
-        except Malformed as error:
+        except MalformedError as error:
             self.node.odd(self, str(error))
             self.transport.write(SYNTAX)
             return self.transport.close()
--- a/roadpulley/workers/worker.py
+++ b/roadpulley/workers/worker.py
@@ -23,7 +23,7 @@
 
 from roadpulley.__main__ import serve
 from roadpulley.core.driver import Driver
-from roadpulley.core.settings import Config, ConfigError, parse_config
+from roadpulley.core.settings import ConfigError, GatewayConfig, parse_config
 
 if TYPE_CHECKING:
     from roadpulley.fleet.agent_link import AgentLink
@@ -51,7 +51,7 @@
     return {**settings, "rights": told["part"]}
 
 
-def load() -> Config:
+def load() -> GatewayConfig:
     """The gateway's configuration with this worker's place. Raises ConfigError."""
     path = os.environ["LB_CONFIG"]
     try:
--- a/setup.py
+++ b/setup.py
@@ -28,7 +28,7 @@
     "roadpulley/core/connection.py",
     "roadpulley/core/counter.py",
     "roadpulley/core/driver.py",
-    "roadpulley/core/freshness.py",
+    "roadpulley/core/idle_limit.py",
     "roadpulley/core/outcomes.py",
     "roadpulley/core/resp.py",
     "roadpulley/edges/resp_server.py",
--- a/tests/cli/test_check.py
+++ b/tests/cli/test_check.py
@@ -12,7 +12,7 @@
 from roadpulley.checks import ValidationError
 from roadpulley.cli import main
 from roadpulley.cli.check import deploy, judge
-from roadpulley.core.judging import gateway
+from roadpulley.core.validation import validate_gateway_config
 from roadpulley.testbed import terms
 from roadpulley.testbed.scenario import shipped
 
@@ -102,7 +102,7 @@
 )
 def test_a_bad_key_is_named_by_its_path_with_what_would_be_right(path: str, value: Any, words: str) -> None:
     with pytest.raises(ValidationError) as caught:
-        gateway(changed(path, value)).reject_unknown_keys()
+        validate_gateway_config(changed(path, value)).reject_unknown_keys()
     named = path if not path.endswith("[1].name") else "settings.classes"
     assert caught.value.path == named and words in str(caught.value)
 
@@ -167,7 +167,7 @@
 @given(st.sampled_from(PLACES), JUNK)
 def test_whatever_stands_in_a_place_it_is_taken_or_named(path: str, junk: Any) -> None:
     try:
-        gateway(changed(path, junk))
+        validate_gateway_config(changed(path, junk))
     except ValidationError as error:
         assert "\n" not in str(error)
 
--- a/tests/core/test_backends.py
+++ b/tests/core/test_backends.py
@@ -14,10 +14,10 @@
 
 from mintford.interface import BackendState, Outcome
 from roadpulley.core import backends as module
-from roadpulley.core.backends import Backends
+from roadpulley.core.backends import BackendPools
 from roadpulley.core.clock import Timers, now_ms
 from roadpulley.core.connection import Attempt
-from roadpulley.core.outcomes import Ending
+from roadpulley.core.outcomes import EndReason
 
 VALUE = b"*3\r\n$5\r\nvalue\r\n"
 SERVED = VALUE + b"$-1\r\n$-1\r\n"
@@ -50,11 +50,11 @@
 
 
 @asynccontextmanager
-async def pool(*servers: Server, **given: Any) -> AsyncIterator[Backends]:
+async def pool(*servers: Server, **given: Any) -> AsyncIterator[BackendPools]:
     loop = asyncio.get_running_loop()
     values: dict[str, Any] = dict(connect_timeout=250, keepalive=15_000, drain_grace=1_000, most=50)
     values["memory"] = 10_000_000
-    made = Backends(loop, Timers(loop), **{**values, **given})
+    made = BackendPools(loop, Timers(loop), **{**values, **given})
     for number, server in enumerate(servers):
         await server.start()
         made.update(number, (LOCAL, server.port), BackendState.READY)
@@ -66,16 +66,16 @@
             await server.stop()
 
 
-async def rested(pool: Backends) -> None:
+async def rested(pool: BackendPools) -> None:
     """Until the idle connections may be used again."""
     idle = [connection for host in pool.hosts.values() for connection in host.idle]
-    await until(lambda: all(now_ms() - connection.idle_since > module.REST_MS for connection in idle))
+    await until(lambda: all(now_ms() - connection.idle_since > module.REUSE_DELAY_MS for connection in idle))
 
 
 class Try:
     """An attempt and how it ended."""
 
-    def __init__(self, pool: Backends, backend: int = 0, wait: float = 3000, body: bytes = b"") -> None:
+    def __init__(self, pool: BackendPools, backend: int = 0, wait: float = 3000, body: bytes = b"") -> None:
         self.endings: list[tuple[Outcome, bytes]] = []
         self.over = asyncio.Event()
         self.attempt = Attempt(backend, self.encode, now_ms() + wait, self.ended)
@@ -208,7 +208,7 @@
 
 
 def test_losses_that_new_connections_share_say_nothing_of_age() -> None:
-    freshness = module.Freshness()
+    freshness = module.IdleLimit()
     for turn in range(100):
         for age in (None, 50.0, 300.0):
             freshness.note(age, lost=turn % 5 == 0)
@@ -318,7 +318,7 @@
 
 
 def test_an_idle_connection_is_retired_before_the_backend_closes_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "SWEEP_MS", 5.0)
+    monkeypatch.setattr(module, "SWEEP_INTERVAL_MS", 5.0)
 
     async def scenario() -> None:
         server = Backend()
@@ -347,7 +347,7 @@
             assert connection is not None
             closed: list[bool] = []
             tried.attempt.ended = lambda *_: closed.append(connection.socket.fileno() == -1)
-            made.give_up(tried.attempt, Ending.CALLED_OFF)
+            made.give_up(tried.attempt, EndReason.CALLED_OFF)
             assert closed == [True]
             await until(lambda: server.ended)
 
@@ -408,7 +408,7 @@
         server = Backend()
         async with pool(server) as made:
             tried = Try(made)
-            made.give_up(tried.attempt, Ending.TIME)
+            made.give_up(tried.attempt, EndReason.TIME)
             assert (await tried.result())[0] is Outcome.CONNECT
 
     in_loop(scenario)
--- a/tests/core/test_budget.py
+++ b/tests/core/test_budget.py
@@ -6,14 +6,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from roadpulley.core.budget import Budget
+from roadpulley.core.budget import MemoryBudget
 
 steps = st.lists(st.tuples(st.sampled_from(["ask", "give", "leave"]), st.integers(1, 10)), max_size=60)
 
 
 @given(steps)
 def test_never_over_in_order_and_nobody_waits_for_ever(steps: list[tuple[str, int]]) -> None:
-    budget, has, granted = Budget(10), dict[int, int](), list[int]()
+    budget, has, granted = MemoryBudget(10), dict[int, int](), list[int]()
     asked: list[int] = []
 
     def ask(who: int, size: int) -> None:
@@ -44,4 +44,4 @@
 
 def test_more_than_there_is_in_all_is_refused_at_once() -> None:
     with pytest.raises(ValueError):
-        Budget(10).ask("who", 11, lambda: None)
+        MemoryBudget(10).ask("who", 11, lambda: None)
--- a/tests/core/test_counter.py
+++ b/tests/core/test_counter.py
@@ -13,13 +13,13 @@
 from mintford.interface import Outcome
 from roadpulley.core import counter as module
 from roadpulley.core.clock import Timers
-from roadpulley.core.counter import Counter, read_answer
+from roadpulley.core.counter import CounterClient, parse_answer
 
 Ending = tuple[str, Outcome, float]
 
 
 class Calls:
-    def __init__(self, counter: Counter) -> None:
+    def __init__(self, counter: CounterClient) -> None:
         self.counter, self.endings = counter, list[Ending]()
 
     def add(self, name: str = "n", amount: float = 1.0) -> None:
@@ -34,7 +34,7 @@
 async def calling(service: Service, wait: float = 2_000.0) -> AsyncIterator[Calls]:
     loop = asyncio.get_running_loop()
     await service.start()
-    counter = Counter(loop, Timers(loop), (LOCAL, service.port), wait)
+    counter = CounterClient(loop, Timers(loop), (LOCAL, service.port), wait)
     try:
         yield Calls(counter)
     finally:
@@ -119,7 +119,7 @@
 
 def test_a_connection_that_owes_and_stays_silent_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
     """After the counter's machine vanished, its connections stay open and say nothing for ever."""
-    monkeypatch.setattr(module, "SILENT_MS", 50.0)
+    monkeypatch.setattr(module, "SILENCE_TIMEOUT_MS", 50.0)
 
     async def scenario() -> None:
         silent = True
@@ -151,7 +151,7 @@
     ],
 )
 def test_answers(line: bytes, ending: tuple[Outcome, float] | None) -> None:
-    assert read_answer(line) == ending
+    assert parse_answer(line) == ending
 
 
 def test_an_answer_that_is_none_ends_its_connection() -> None:
--- a/tests/core/test_discovery.py
+++ b/tests/core/test_discovery.py
@@ -13,10 +13,10 @@
 
 from mintford.interface import BackendState, ListScope
 from roadpulley.core import discovery as module
-from roadpulley.core import watch as pure
+from roadpulley.core import discovery_watch as pure
 from roadpulley.core.clock import now_ms
 from roadpulley.core.connection import Connection
-from roadpulley.core.discovery import DiscoveryError, Member, host_number, read_list
+from roadpulley.core.discovery import DiscoveryError, Member, hash_host_name, parse_member_list
 from roadpulley.core.driver import Driver
 
 GRACE_MS = 200.0
@@ -35,7 +35,7 @@
     async def __aenter__(self) -> Watch:
         await self.service.start()
         address = (LOCAL, self.service.port)
-        self.client = module.Discovery(address, self.version, self.take)
+        self.client = module.DiscoveryClient(address, self.version, self.take)
         self.task = asyncio.create_task(self.client.run())
         return self
 
@@ -58,8 +58,8 @@
             watch.service.change(43, host("h1", 1), whole=True)
             await until(lambda: len(watch.heard) == 2)
             assert watch.heard == [
-                (ListScope.CHANGES, [(host_number("h0"), BackendState.DRAINING)]),
-                (ListScope.FULL, [(host_number("h1"), BackendState.READY)]),
+                (ListScope.CHANGES, [(hash_host_name("h0"), BackendState.DRAINING)]),
+                (ListScope.FULL, [(hash_host_name("h1"), BackendState.READY)]),
             ]
 
     in_loop(scenario)
@@ -92,7 +92,7 @@
 
 def test_a_silent_watch_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     """A cut off machine says nothing, and the list would stay as it was for ever."""
-    monkeypatch.setattr(pure, "SILENT_MS", 50.0)
+    monkeypatch.setattr(pure, "SILENCE_TIMEOUT_MS", 50.0)
 
     async def scenario() -> None:
         async with Watch() as watch:
@@ -128,7 +128,7 @@
             watch.service.whole = {"seq": 43, "whole": True, "hosts": [host("h1", 1)]}
             watch.service.change(42, host("h0", 1))
             await watch.watched(2)
-            assert watch.heard == [(ListScope.FULL, [(host_number("h1"), BackendState.READY)])]
+            assert watch.heard == [(ListScope.FULL, [(hash_host_name("h1"), BackendState.READY)])]
 
     in_loop(scenario)
 
@@ -146,11 +146,11 @@
 )
 def test_a_malformed_list_is_named(raw: Any) -> None:
     with pytest.raises(DiscoveryError):
-        read_list(raw)
+        parse_member_list(raw)
 
 
 def test_a_host_has_one_number_everywhere() -> None:
-    assert host_number("s-5be2a07c") == host_number("s-5be2a07c") != host_number("s-5be2a07d")
+    assert hash_host_name("s-5be2a07c") == hash_host_name("s-5be2a07c") != hash_host_name("s-5be2a07d")
 
 
 def test_a_drained_backend_gets_nothing_new_and_a_new_one_is_used() -> None:
@@ -202,7 +202,7 @@
         async with running(world, attach=drivers.append):
             known, hosts = drivers[0].gateway.fleet.backends, drivers[0].backends.hosts
             world.discovery.change(42, host("h8", 1, "draining"))
-            await until(lambda: host_number("h8") in known)  # here the list is as the agent has it
+            await until(lambda: hash_host_name("h8") in known)  # here the list is as the agent has it
             heard = now_ms()
             await until(lambda: now_ms() > heard + GRACE_MS)
             with monkeypatch.context() as held:  # the connection comes up late
@@ -219,7 +219,7 @@
                 world.discovery.hang_up()
                 await until(lambda: len(world.discovery.watches) == 2)
                 world.discovery.tell(said)
-            await until(lambda: host_number("h9") in hosts)
+            await until(lambda: hash_host_name("h9") in hosts)
             stuck[0]._came_up()
             assert await peer.receive() == b"value"
             assert not old.got and len(new.got) == 1
@@ -239,7 +239,7 @@
                 watch.client.move((LOCAL, new.port))
                 await until(lambda: new.watches)  # noqa: B023
                 assert new.requests == ["/catalog/members", "/catalog/members?stream=1&index=7"]
-                assert watch.heard[-1] == (ListScope.FULL, [(host_number(f"h{turn}"), BackendState.READY)])
+                assert watch.heard[-1] == (ListScope.FULL, [(hash_host_name(f"h{turn}"), BackendState.READY)])
                 await until(lambda: not watch.service.open)
                 await watch.service.stop()
                 watch.service = new
@@ -264,9 +264,9 @@
 
 def test_gateways_that_lose_their_watches_at_once_call_again_apart() -> None:
     """In step they would overwhelm discovery, which turns callers away then."""
-    watches = [pure.Watch((LOCAL, 1), 1, random.Random(seed)) for seed in range(48)]
+    watches = [pure.DiscoveryWatch((LOCAL, 1), 1, random.Random(seed)) for seed in range(48)]
     for wait in pure.BACKOFF_MS:
         pauses = sorted(watch.backoff(wait) for watch in watches)
-        assert wait * (1 - pure.JITTER) <= pauses[0] and pauses[-1] <= wait
+        assert wait * (1 - pure.JITTER_RATIO) <= pauses[0] and pauses[-1] <= wait
         in_step = max(sum(at <= other < at + wait / 10 for other in pauses) for at in pauses)
         assert in_step <= 16, "a third of them within a tenth of the wait"
--- a/tests/core/test_watch.py
+++ b/tests/core/test_discovery_watch.py
@@ -20,19 +20,28 @@
 
 from mintford.interface import ListScope
 from roadpulley.core import discovery as module
-from roadpulley.core import watch as pure
+from roadpulley.core import discovery_watch as pure
 from roadpulley.core.clock import now_ms
-from roadpulley.core.discovery import DiscoveryError, Member, Objects
-from roadpulley.core.watch import ANSWER_MS, BACKOFF_MS, SILENT_MS, TOLD_MS, Leave, Open, State, Watch
+from roadpulley.core.discovery import DiscoveryError, JsonObjectSplitter, Member
+from roadpulley.core.discovery_watch import (
+    ANSWER_TIMEOUT_MS,
+    BACKOFF_MS,
+    CHANGE_DEADLINE_MS,
+    SILENCE_TIMEOUT_MS,
+    CloseCall,
+    DiscoveryWatch,
+    OpenCall,
+    WatchState,
+)
 
 HERE, THERE = ("127.0.0.1", 1), ("127.0.0.1", 2)
 
 
-def at(state: State) -> Watch:
-    watch = Watch(HERE, 41, random.Random(1))
-    if state is not State.WAITING:
+def at(state: WatchState) -> DiscoveryWatch:
+    watch = DiscoveryWatch(HERE, 41, random.Random(1))
+    if state is not WatchState.WAITING:
         watch.on_time(0)
-    if state is State.FOLLOWING:
+    if state is WatchState.FOLLOWING:
         watch.on_head(0, watch.call)
     return watch
 
@@ -40,27 +49,29 @@
 # ---- the table ----
 
 
-@pytest.mark.parametrize("state", State)
-def test_every_event_in_every_state(state: State) -> None:
-    def after(act: Callable[[Watch], object]) -> tuple[object, State]:
+@pytest.mark.parametrize("state", WatchState)
+def test_every_event_in_every_state(state: WatchState) -> None:
+    def after(act: Callable[[DiscoveryWatch], object]) -> tuple[object, WatchState]:
         watch = at(state)
         return act(watch), watch.state
 
-    early = state is State.WAITING
-    headed = State.FOLLOWING if state is State.CALLING else state
+    early = state is WatchState.WAITING
+    headed = WatchState.FOLLOWING if state is WatchState.CALLING else state
     assert after(lambda w: w.on_head(1, w.call)) == (None, headed)
-    assert after(lambda w: w.on_line(1, w.call)) == (state is State.FOLLOWING, state)
+    assert after(lambda w: w.on_line(1, w.call)) == (state is WatchState.FOLLOWING, state)
     ended, now = after(lambda w: w.on_end(1, w.call, "reset"))
-    assert now is State.WAITING and isinstance(ended, type(None) if early else Leave)
+    assert now is WatchState.WAITING and isinstance(ended, type(None) if early else CloseCall)
     moved, now = after(lambda w: w.on_move(1, THERE))
-    assert now is State.CALLING and isinstance(moved, Open)
+    assert now is WatchState.CALLING and isinstance(moved, OpenCall)
     assert (moved.address, moved.version) == (THERE, None)  # versions of another address need not be the same
     timed, now = after(lambda w: w.on_time(1e9))
-    assert (type(timed), now) == ((Open, State.CALLING) if early else (Leave, State.WAITING))
+    assert (type(timed), now) == (
+        (OpenCall, WatchState.CALLING) if early else (CloseCall, WatchState.WAITING)
+    )
 
 
-@pytest.mark.parametrize("state", [State.CALLING, State.FOLLOWING])
-def test_events_of_a_call_that_was_left_change_nothing(state: State) -> None:
+@pytest.mark.parametrize("state", [WatchState.CALLING, WatchState.FOLLOWING])
+def test_events_of_a_call_that_was_left_change_nothing(state: WatchState) -> None:
     """A line of the old address that crosses a move would be acted on, and its version taken up."""
     watch = at(state)
     old = watch.call
@@ -71,12 +82,12 @@
     assert watch.on_end(8, old, "reset") is None
     assert (watch.state, watch.due, watch.version, watch.call) == was
     watch.on_head(9, watch.call)  # the new one is followed by now
-    assert not watch.on_line(10, old) and watch.due == 9 + SILENT_MS
+    assert not watch.on_line(10, old) and watch.due == 9 + SILENCE_TIMEOUT_MS
 
 
 def test_what_the_first_line_of_a_call_tells_may_be_as_old_as_the_last_line_before_it() -> None:
     """What the agent has counts as told whether or not a watch is open; it may end one instead of telling."""
-    watch = at(State.FOLLOWING)
+    watch = at(WatchState.FOLLOWING)
     assert watch.on_line(100, watch.call) and watch.since == -math.inf  # a process that has just started
     assert watch.on_line(1_500, watch.call) and watch.since == 1_500
     watch.on_end(1_900, watch.call, "reset")
@@ -94,8 +105,8 @@
 
 
 def test_a_whole_list_is_followed_at_once_and_a_broken_one_after_a_pause() -> None:
-    for clean, kind in ((True, Open), (False, Leave)):
-        watch = Watch(HERE, None, random.Random(1))
+    for clean, kind in ((True, OpenCall), (False, CloseCall)):
+        watch = DiscoveryWatch(HERE, None, random.Random(1))
         watch.on_time(0)
         watch.on_head(1, watch.call)
         assert watch.on_line(1, watch.call)
@@ -108,17 +119,17 @@
 
 def test_the_sums_beside_the_constants() -> None:
     first, longest = BACKOFF_MS
-    assert SILENT_MS + first + ANSWER_MS + 2 * first == 5_100
-    assert SILENT_MS + ANSWER_MS + 2 * longest == 5_700 < TOLD_MS
-    assert 2 * (ANSWER_MS + longest) == 4_200
-    assert ANSWER_MS + first == 1_700 < 4_000
-    assert SILENT_MS > 2_000  # an empty line comes every 2 s
+    assert SILENCE_TIMEOUT_MS + first + ANSWER_TIMEOUT_MS + 2 * first == 5_100
+    assert SILENCE_TIMEOUT_MS + ANSWER_TIMEOUT_MS + 2 * longest == 5_700 < CHANGE_DEADLINE_MS
+    assert 2 * (ANSWER_TIMEOUT_MS + longest) == 4_200
+    assert ANSWER_TIMEOUT_MS + first == 1_700 < 4_000
+    assert SILENCE_TIMEOUT_MS > 2_000  # an empty line comes every 2 s
 
 
 class Agent:
     """An agent in virtual time that is silent until `back`; `broken`: how calls fail after that."""
 
-    def __init__(self, watch: Watch, back: float, broken: list[str]) -> None:
+    def __init__(self, watch: DiscoveryWatch, back: float, broken: list[str]) -> None:
         self.watch, self.back, self.broken = watch, back, broken
         self.told = None  # when the watch had what the agent has
 
@@ -137,7 +148,7 @@
             self.told = now
 
     def act(self, now: float, action: object) -> None:
-        if isinstance(action, Open):
+        if isinstance(action, OpenCall):
             self.answer(now, action.call)
 
     def run(self, now: float) -> float:
@@ -155,8 +166,8 @@
 )
 def test_after_any_silence_a_change_is_known_in_time(seed: int, phase: float, broken: list[str]) -> None:
     """Calls fail through a silence of any length; the one after the return may fail once more."""
-    agent = Agent(Watch(HERE, 41, random.Random(seed)), phase, list(broken))
-    assert agent.run(0) - phase < TOLD_MS
+    agent = Agent(DiscoveryWatch(HERE, 41, random.Random(seed)), phase, list(broken))
+    assert agent.run(0) - phase < CHANGE_DEADLINE_MS
 
 
 @settings(max_examples=300)
@@ -169,20 +180,22 @@
     seed: int, heard: float, broken: list[str]
 ) -> None:
     """Only the watch is dead, in the moment after a line: the agent can be reached all the time."""
-    agent = Agent(Watch(HERE, 41, random.Random(seed)), 0, [])
+    agent = Agent(DiscoveryWatch(HERE, 41, random.Random(seed)), 0, [])
     assert agent.run(0) == 0
     assert agent.watch.on_line(heard, agent.watch.call)
     agent.told, agent.broken = None, list(broken)
-    bound = TOLD_MS + (SILENT_MS if broken == ["head"] else 0)  # that one fell silent a second time
+    bound = CHANGE_DEADLINE_MS + (
+        SILENCE_TIMEOUT_MS if broken == ["head"] else 0
+    )  # that one fell silent a second time
     assert agent.run(heard) - heard < bound
 
 
 def test_the_clock_of_silence_starts_with_whole_lines_only() -> None:
-    watch = at(State.FOLLOWING)
+    watch = at(WatchState.FOLLOWING)
     assert watch.on_line(1_000, watch.call)
-    assert watch.due == 1_000 + SILENT_MS
+    assert watch.due == 1_000 + SILENCE_TIMEOUT_MS
     watch.on_head(2_000, watch.call)  # a second one
-    assert watch.due == 1_000 + SILENT_MS
+    assert watch.due == 1_000 + SILENCE_TIMEOUT_MS
 
 
 # ---- objects ----
@@ -196,7 +209,7 @@
 def test_objects_are_cut_alike_however_they_are_laid_out(indent: Any, end: bytes, step: int) -> None:
     text = json.dumps(LIST, indent=indent).encode().replace(b"\n", end)
     stream = end + text + end + end + text + end
-    objects, got = Objects(), list[bytes]()
+    objects, got = JsonObjectSplitter(), list[bytes]()
     for place in range(0, len(stream), step):
         got += objects.feed(stream[place : place + step])
     assert [json.loads(one) if one else None for one in got] == [None, LIST, None, LIST]
@@ -204,15 +217,15 @@
 
 def test_only_the_end_of_an_answer_stands_for_the_end_of_its_last_line() -> None:
     text = json.dumps(LIST, indent=1).encode()
-    objects = Objects()
+    objects = JsonObjectSplitter()
     assert objects.feed(text) == []
     assert [json.loads(one) for one in objects.feed(b"", last=True)] == [LIST]
 
 
 def test_an_object_without_end_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "LONGEST_OBJECT", 1_000)
+    monkeypatch.setattr(module, "MAX_OBJECT_BYTES", 1_000)
     for piece in (b"x", b'{"a":\n'):
-        objects = Objects()
+        objects = JsonObjectSplitter()
         with pytest.raises(DiscoveryError):
             for _ in range(1_001):
                 objects.feed(piece)
@@ -271,7 +284,7 @@
         return self.calls[count - 1]
 
 
-Scenario = Callable[[Scripted, module.Discovery], Awaitable[None]]
+Scenario = Callable[[Scripted, module.DiscoveryClient], Awaitable[None]]
 
 
 def followed(scenario: Scenario, version: int | None = 41) -> None:
@@ -279,7 +292,7 @@
         agent = Scripted()
         server = await asyncio.start_server(agent.talk, LOCAL, 0)
         port = server.sockets[0].getsockname()[1]
-        client = module.Discovery((LOCAL, port), version, agent.take, random.Random(1))
+        client = module.DiscoveryClient((LOCAL, port), version, agent.take, random.Random(1))
         task = asyncio.create_task(client.run())
         try:
             await scenario(agent, client)
@@ -297,15 +310,15 @@
 
 
 def quick(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pure, "SILENT_MS", 300.0)
-    monkeypatch.setattr(pure, "ANSWER_MS", 300.0)
+    monkeypatch.setattr(pure, "SILENCE_TIMEOUT_MS", 300.0)
+    monkeypatch.setattr(pure, "ANSWER_TIMEOUT_MS", 300.0)
     monkeypatch.setattr(pure, "BACKOFF_MS", (1.0, 1.0))
 
 
 def test_half_lines_do_not_keep_a_silent_watch_alive(monkeypatch: pytest.MonkeyPatch) -> None:
     quick(monkeypatch)
 
-    async def scenario(agent: Scripted, client: module.Discovery) -> None:
+    async def scenario(agent: Scripted, client: module.DiscoveryClient) -> None:
         call = await agent.called(1)
         call.say(CHUNKED)
         while len(agent.calls) < 2:  # it would be waited for as long as this goes on
@@ -316,11 +329,11 @@
 
 
 def test_a_head_that_never_comes_is_not_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(pure, "SILENT_MS", 1e9)
-    monkeypatch.setattr(pure, "ANSWER_MS", 50.0)
+    monkeypatch.setattr(pure, "SILENCE_TIMEOUT_MS", 1e9)
+    monkeypatch.setattr(pure, "ANSWER_TIMEOUT_MS", 50.0)
     monkeypatch.setattr(pure, "BACKOFF_MS", (1.0, 1.0))
 
-    async def scenario(agent: Scripted, client: module.Discovery) -> None:
+    async def scenario(agent: Scripted, client: module.DiscoveryClient) -> None:
         await agent.called(2)
 
     followed(scenario)
@@ -332,7 +345,7 @@
     """Timers are due at once then, also before the loop has read its sockets."""
     quick(monkeypatch)
 
-    async def scenario(agent: Scripted, client: module.Discovery) -> None:
+    async def scenario(agent: Scripted, client: module.DiscoveryClient) -> None:
         call = await agent.called(1)
         call.say(CHUNKED + chunk(b"\n"))
         await until(lambda: client.told.is_set())
@@ -342,14 +355,14 @@
         call.put(chunk(b"\n"))
         client.on_time()  # the timer, before any socket
         await asyncio.sleep(0.05)
-        assert len(agent.calls) == 1 and client.watch.state is State.FOLLOWING
+        assert len(agent.calls) == 1 and client.watch.state is WatchState.FOLLOWING
 
     followed(scenario)
 
 
 @pytest.mark.parametrize("indent", [None, 2])
 def test_changes_are_read_however_they_are_indented(indent: int | None) -> None:
-    async def scenario(agent: Scripted, client: module.Discovery) -> None:
+    async def scenario(agent: Scripted, client: module.DiscoveryClient) -> None:
         call = await agent.called(1)
         assert call.target == "/catalog/members?stream=1&index=41"
         text = change(42, 1, indent) + b"\n" + change(43, 2, indent)
@@ -369,7 +382,7 @@
 ) -> None:
     monkeypatch.setattr(pure, "BACKOFF_MS", (1e9, 1e9))
 
-    async def scenario(agent: Scripted, client: module.Discovery) -> None:
+    async def scenario(agent: Scripted, client: module.DiscoveryClient) -> None:
         call = await agent.called(1)
         assert call.target == "/catalog/members"
         body = change(7, 1, indent=2, whole=True)[:-1]
@@ -388,10 +401,10 @@
     """Where no length tells the end, only an orderly end of the connection does."""
     monkeypatch.setattr(pure, "BACKOFF_MS", (1.0, 1.0))
 
-    async def scenario(agent: Scripted, client: module.Discovery) -> None:
+    async def scenario(agent: Scripted, client: module.DiscoveryClient) -> None:
         call = await agent.called(1)
         call.say(b"HTTP/1.1 200 OK\r\n\r\n" + change(7, 1, whole=True)[:cut])
-        await until(lambda: client.watch.state is State.FOLLOWING)
+        await until(lambda: client.watch.state is WatchState.FOLLOWING)
         call.reset()
         assert (await agent.called(2)).target == "/catalog/members"
         assert agent.heard == []
@@ -404,12 +417,12 @@
     """Right after a drain notice this must be known; in its middle it must be asked for again."""
     monkeypatch.setattr(pure, "BACKOFF_MS", (1.0, 1.0))
 
-    async def scenario(agent: Scripted, client: module.Discovery) -> None:
+    async def scenario(agent: Scripted, client: module.DiscoveryClient) -> None:
         call = await agent.called(1)
         line = change(42, 1)
         said = {"before": b"", "middle": chunk(line)[:60], "after": chunk(line)}[how]
         call.say(CHUNKED + said)
-        await until(lambda: client.watch.state is State.FOLLOWING)
+        await until(lambda: client.watch.state is WatchState.FOLLOWING)
         if how == "after":
             await until(lambda: agent.heard)
         call.reset()
@@ -426,14 +439,14 @@
 def test_a_first_line_that_comes_in_pieces_is_waited_for_at_the_start(begun: bool) -> None:
     """What it tells counts from the first moment on; an agent with nothing to tell may send a head only."""
 
-    async def scenario(agent: Scripted, client: module.Discovery) -> None:
+    async def scenario(agent: Scripted, client: module.DiscoveryClient) -> None:
         call, line = await agent.called(1), chunk(change(42, 1))
         call.say(CHUNKED + (line[:40] if begun else b""))
-        await until(lambda: client.watch.state is State.FOLLOWING)
+        await until(lambda: client.watch.state is WatchState.FOLLOWING)
         headed = now_ms()
         if not begun:
             await client.told.wait()
-        await until(lambda: now_ms() > headed + 2_000 * module.FIRST_LINE_S)
+        await until(lambda: now_ms() > headed + 2_000 * module.FIRST_LINE_TIMEOUT_S)
         assert client.told.is_set() != begun
         call.say(line[40:] if begun else line)
         await client.told.wait()
@@ -445,7 +458,7 @@
 def test_nothing_of_the_old_address_is_acted_on_after_a_move() -> None:
     """The old watch's last line lies in the kernel as the configuration is read again."""
 
-    async def scenario(agent: Scripted, client: module.Discovery) -> None:
+    async def scenario(agent: Scripted, client: module.DiscoveryClient) -> None:
         old = await agent.called(1)
         old.say(CHUNKED + chunk(b"\n"))
         await until(lambda: client.told.is_set())
@@ -460,7 +473,7 @@
 
 
 def test_a_move_while_a_call_is_being_opened_leaves_no_second_one() -> None:
-    async def scenario(agent: Scripted, client: module.Discovery) -> None:
+    async def scenario(agent: Scripted, client: module.DiscoveryClient) -> None:
         opening = []
         for _ in range(3):
             client.move(client.address)
--- a/tests/core/test_driver.py
+++ b/tests/core/test_driver.py
@@ -11,7 +11,7 @@
 from loopback import LOCAL, in_loop, request, until
 
 from mintford import interface as api
-from roadpulley.core.backends import Backends
+from roadpulley.core.backends import BackendPools
 from roadpulley.core.clock import Timers, now_ms
 from roadpulley.core.driver import FAILED, Driver
 from roadpulley.edges.connection import ClientConnection
@@ -45,7 +45,7 @@
     def __init__(self, max_open: int = 10) -> None:
         loop = asyncio.get_running_loop()
         timers = Timers(loop)
-        self.backends = Backends(loop, timers, 250, 15_000, 1_000, 10, 1_000_000)
+        self.backends = BackendPools(loop, timers, 250, 15_000, 1_000, 10, 1_000_000)
         terms = settings(max_attempts=2, classes=(SAFE,))
         self.driver = Driver(terms, 1, timers, self.backends, None, max_open)
         self.module = Module()
--- a/tests/core/test_lag.py
+++ b/tests/core/test_lag.py
@@ -78,7 +78,7 @@
 
 def test_a_counter_s_answer_that_lay_unread_in_a_stall_still_counts(monkeypatch: pytest.MonkeyPatch) -> None:
     """The time-out comes first after a stall, and would call a counter silent that had answered at once."""
-    monkeypatch.setattr(counter_module, "SILENT_MS", 50.0)
+    monkeypatch.setattr(counter_module, "SILENCE_TIMEOUT_MS", 50.0)
 
     async def scenario() -> None:
         service, got = Service(), list[Outcome]()
@@ -86,7 +86,7 @@
         loop = asyncio.get_running_loop()
         from roadpulley.core.clock import Timers
 
-        counter = counter_module.Counter(loop, Timers(loop), ("127.0.0.1", service.port), 100.0)
+        counter = counter_module.CounterClient(loop, Timers(loop), ("127.0.0.1", service.port), 100.0)
         counter.add("n", 1.0, 4_000.0, lambda name, outcome, total: got.append(outcome))
         await until(lambda: got)
         counter.add("n", 1.0, 4_000.0, lambda name, outcome, total: got.append(outcome))
@@ -110,7 +110,7 @@
         loop = asyncio.get_running_loop()
         from roadpulley.core.clock import Timers
 
-        counter = counter_module.Counter(loop, Timers(loop), ("127.0.0.1", service.port), 50.0)
+        counter = counter_module.CounterClient(loop, Timers(loop), ("127.0.0.1", service.port), 50.0)
         counter.add("n", 1.0, 4_000.0, lambda name, outcome, total: got.append(outcome))
         await until(lambda: service.got)
         time.sleep(0.15)
--- a/tests/core/test_outcomes.py
+++ b/tests/core/test_outcomes.py
@@ -24,10 +24,10 @@
 from mintford.guards import NEVER_RAN as MODULES
 from mintford.interface import BackendState, Outcome
 from roadpulley.core import outcomes
-from roadpulley.core.backends import REST_MS, Backends
+from roadpulley.core.backends import REUSE_DELAY_MS, BackendPools
 from roadpulley.core.clock import Timers, now_ms
 from roadpulley.core.connection import Attempt, Connection
-from roadpulley.core.outcomes import NEVER_RAN, TABLE, Ending, Stage, outcome
+from roadpulley.core.outcomes import NEVER_RAN, OUTCOMES, EndReason, Stage, resolve_outcome
 
 BIG = b"x" * 6_000_000  # more than the kernel takes at once
 
@@ -36,20 +36,20 @@
 
 
 @pytest.mark.parametrize("stage", Stage)
-@pytest.mark.parametrize("ending", Ending)
-def test_what_may_have_run_is_never_told_as_what_did_not(stage: Stage, ending: Ending) -> None:
-    told = outcome(stage, ending)
-    if stage is Stage.SENT and ending is not Ending.FULL:
+@pytest.mark.parametrize("ending", EndReason)
+def test_what_may_have_run_is_never_told_as_what_did_not(stage: Stage, ending: EndReason) -> None:
+    told = resolve_outcome(stage, ending)
+    if stage is Stage.SENT and ending is not EndReason.FULL:
         assert told not in NEVER_RAN
-    if ending is Ending.CALLED_OFF:
+    if ending is EndReason.CALLED_OFF:
         assert told is Outcome.CANCELLED  # no backend is blamed for it
-    if stage is not Stage.SENT and ending in (Ending.BROKEN, Ending.TIME):
+    if stage is not Stage.SENT and ending in (EndReason.BROKEN, EndReason.TIME):
         assert told is Outcome.CONNECT
 
 
 def test_the_module_and_the_table_mean_the_same_by_never_ran() -> None:
     assert NEVER_RAN == MODULES
-    assert {told for row in TABLE.values() for told in row.values()} >= NEVER_RAN
+    assert {told for row in OUTCOMES.values() for told in row.values()} >= NEVER_RAN
 
 
 # ---- drawn orders ----
@@ -126,7 +126,7 @@
 class Play:
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
-        self.pool = Backends(loop, Timers(loop), 5_000, 15_000, 0, 64, 50_000_000)
+        self.pool = BackendPools(loop, Timers(loop), 5_000, 15_000, 0, 64, 50_000_000)
         self.servers = [Server(), Server()]
         self.at, self.born, self.ready = 0, 1.0, True
         self.tries: list[tuple[Attempt, Told]] = []
@@ -170,14 +170,14 @@
     def out(self) -> list[tuple[Attempt, Told]]:
         return [(attempt, told) for attempt, told in self.tries if not attempt.over]
 
-    def end(self, ending: Ending) -> None:
+    def end(self, ending: EndReason) -> None:
         for attempt, _ in self.out()[:1]:
             self.pool.give_up(attempt, ending)
 
     def connect_time(self) -> None:
         for attempt, _ in self.out():
             if attempt.connection is not None and not attempt.connection.up:
-                return attempt.connection.end(Ending.CONNECT_TIME)
+                return attempt.connection.end(EndReason.CONNECT_TIME)
 
     def move(self) -> None:
         self.at = 1 - self.at
@@ -237,7 +237,7 @@
 
     async def judge(self) -> None:
         for attempt, _ in self.out():
-            self.pool.give_up(attempt, Ending.CALLED_OFF)
+            self.pool.give_up(attempt, EndReason.CALLED_OFF)
         self.pool.close()
         assert not self.pool.connections and not self.pool.held
         self.read()
@@ -263,8 +263,8 @@
     "send": lambda p: p.send(),
     "send big": lambda p: p.send(big=True),
     "send late": lambda p: p.send(late=True),
-    "time": lambda p: p.end(Ending.TIME),
-    "call off": lambda p: p.end(Ending.CALLED_OFF),
+    "time": lambda p: p.end(EndReason.TIME),
+    "call off": lambda p: p.end(EndReason.CALLED_OFF),
     "connect time": lambda p: p.connect_time(),
     "move": lambda p: p.move(),
     "restart": lambda p: p.restart(),
@@ -283,7 +283,7 @@
     "end": lambda p: p.hang_up(False),
     "reset": lambda p: p.hang_up(True),
 }
-WAITS = {"turn": 0.0005, "rest": 2 * REST_MS / 1000}
+WAITS = {"turn": 0.0005, "rest": 2 * REUSE_DELAY_MS / 1000}
 OFTEN = [*["turn"] * 10, "rest", *["send", "read", "served"] * 4]
 ORDERS = st.lists(st.sampled_from([*STEPS, *OFTEN]), max_size=24)
 
@@ -349,18 +349,18 @@
     self._flush()
 
 
-def forgiving(ending: Ending) -> dict[Stage, dict[Ending, Outcome]]:
-    return {**TABLE, Stage.SENT: {**TABLE[Stage.SENT], ending: Outcome.CONNECT}}
+def forgiving(ending: EndReason) -> dict[Stage, dict[EndReason, Outcome]]:
+    return {**OUTCOMES, Stage.SENT: {**OUTCOMES[Stage.SENT], ending: Outcome.CONNECT}}
 
 
 PLANTED: dict[str, tuple[Any, str, Any]] = {
-    "a reset never ran": (outcomes, "TABLE", forgiving(Ending.BROKEN)),
-    "a time-out never ran": (outcomes, "TABLE", forgiving(Ending.TIME)),
+    "a reset never ran": (outcomes, "OUTCOMES", forgiving(EndReason.BROKEN)),
+    "a time-out never ran": (outcomes, "OUTCOMES", forgiving(EndReason.TIME)),
     "idle connections are not looked at": (Connection, "alive", lambda self: True),
     "nothing is judged again at the first byte": (Connection, "write", blind_write),
-    "a connection leads wherever the host is": (Backends, "current", lambda self, connection: True),
+    "a connection leads wherever the host is": (BackendPools, "current", lambda self, connection: True),
     "an ended attempt stays on its connection": (Connection, "end", lambda self, ending: self.attempt and
-        self.attempt.end(outcome(self.stage(), ending))),
+        self.attempt.end(resolve_outcome(self.stage(), ending))),
 }  # fmt: skip
 
 
--- a/tests/core/test_figures.py
+++ b/tests/core/test_usage_figures.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from roadpulley.core.figures import read_cost, read_figures
-from roadpulley.core.resp import Malformed, parse_answer
+from roadpulley.core.resp import MalformedError, parse_answer
+from roadpulley.core.usage_figures import parse_cost, parse_figures
 
 
 @pytest.mark.parametrize(
@@ -28,7 +28,7 @@
     ],
 )
 def test_the_cost_is_read_where_it_is_a_plain_number(text: bytes, cost: float) -> None:
-    assert read_cost(text) == cost
+    assert parse_cost(text) == cost
 
 
 NEARLY = st.from_regex(rb"([a-z]{1,4}=[0-9.eE+-]{0,6},?){0,9}", fullmatch=True)
@@ -36,9 +36,9 @@
 
 @given(st.one_of(st.binary(max_size=200), NEARLY))
 def test_any_bytes_give_few_numbers_that_are_not_negative_and_finite(text: bytes) -> None:
-    figures = read_figures(text)
+    figures = parse_figures(text)
     assert len(figures) <= 8 and all(0 <= value < 1e9 for value in figures.values())
-    assert read_cost(text) == figures.get("cost", 0.0)
+    assert parse_cost(text) == figures.get("cost", 0.0)
 
 
 EXTRAS = st.one_of(st.none(), st.integers(-5, 10**6), st.binary(max_size=60))
@@ -67,6 +67,6 @@
     data = bytearray(b"*3\r\n$2\r\nok\r\n" + noise + b"!" * 5000)
     try:
         answer = parse_answer(data)
-    except Malformed:
+    except MalformedError:
         return
     assert answer is not None and answer.value == b"ok" and not answer.clean
--- a/tests/edges/test_client_disconnects.py
+++ b/tests/edges/test_client_disconnects.py
@@ -17,7 +17,7 @@
 
 from mintford import interface as api
 from roadpulley.core import driver as driver_module
-from roadpulley.core.backends import REST_MS
+from roadpulley.core.backends import REUSE_DELAY_MS
 from roadpulley.core.driver import Driver
 from roadpulley.edges import connection, resp_server
 from roadpulley.edges.connection import ClientConnection
@@ -102,7 +102,7 @@
         assert await scene.world.ask(warm, customer=b"%016x" % 7) == b"value"
         warm.close()
         await until(lambda: not scene.server.connections)
-        await asyncio.sleep(2 * REST_MS / 1000)
+        await asyncio.sleep(2 * REUSE_DELAY_MS / 1000)
         client = Leaver(scene.world.port)
         client.write(encode(*request(b"waits", plan=b"basic")))
         one = await scene.one()
--- a/tests/edges/test_connection_close.py
+++ b/tests/edges/test_connection_close.py
@@ -292,7 +292,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Answers given at the end make room for further commands, which nobody answered before."""
-    monkeypatch.setattr("roadpulley.__main__.drain_times", lambda settings: (0.05, 0.15))
+    monkeypatch.setattr("roadpulley.__main__.compute_drain_times", lambda settings: (0.05, 0.15))
     count = 3 * connection.MAX_PENDING_COMMANDS
 
     async def scenario(world: World, server: RespServer) -> None:
@@ -312,7 +312,7 @@
 def test_half_a_command_at_the_end_was_never_taken_and_its_connection_ends_without_a_reset(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("roadpulley.__main__.drain_times", lambda settings: (0.05, 0.15))
+    monkeypatch.setattr("roadpulley.__main__.compute_drain_times", lambda settings: (0.05, 0.15))
 
     async def scenario(world: World, server: RespServer) -> None:
         client = Raw(world.port)
--- a/tests/edges/test_fast_paths.py
+++ b/tests/edges/test_fast_paths.py
@@ -11,7 +11,7 @@
 
 from mintford.reading import read_settings
 from roadpulley.core import resp
-from roadpulley.core.resp import CommandReader, Malformed
+from roadpulley.core.resp import CommandReader, MalformedError
 from roadpulley.edges import request_parser as module
 from roadpulley.edges.request_parser import RequestParser
 
@@ -81,14 +81,14 @@
     got: list[Any] = []
     reader = CommandReader()
     edges = sorted({0, len(data), *(cut % (len(data) + 1) for cut in cuts)})
-    with mock.patch.object(resp, "FAST_COMMAND", fast):
+    with mock.patch.object(resp, "FAST_PATH_BYTES", fast):
         try:
             for start, end in zip(edges, edges[1:], strict=False):
                 reader.feed(data[start:end])
                 while (args := reader.next()) is not None:
                     got.append(args)
             got.append(reader.held)
-        except Malformed as error:
+        except MalformedError as error:
             got.append(str(error))
     return got
 
--- a/tests/edges/test_long_bodies.py
+++ b/tests/edges/test_long_bodies.py
@@ -7,7 +7,7 @@
 import pytest
 from loopback import Backend, Reply, World, in_loop, request, running, server_seen
 
-from roadpulley.core.resp import LARGEST_BODY, LARGEST_VALUE, CommandReader, Malformed
+from roadpulley.core.resp import MAX_BODY_BYTES, MAX_VALUE_BYTES, CommandReader, MalformedError
 from roadpulley.edges import connection, resp_server
 from roadpulley.edges.resp_server import RespServer
 
@@ -24,7 +24,7 @@
     return b"*5\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(arg), arg) for arg in args)
 
 
-@pytest.mark.parametrize("length", [LARGEST_VALUE, LARGEST_VALUE + 1, MIB + 3, LARGEST_BODY])
+@pytest.mark.parametrize("length", [MAX_VALUE_BYTES, MAX_VALUE_BYTES + 1, MIB + 3, MAX_BODY_BYTES])
 def test_a_long_value_reaches_the_backend_whole(length: int) -> None:
     async def scenario() -> None:
         body = body_of(length)
@@ -125,9 +125,9 @@
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             for wrong in (
-                written(b"1", b"x").replace(b"$1\r\nx\r\n", b"$%d\r\n" % (LARGEST_BODY + 1)),
+                written(b"1", b"x").replace(b"$1\r\nx\r\n", b"$%d\r\n" % (MAX_BODY_BYTES + 1)),
                 written(b"1", body_of(100_000))[:-2] + b"XX",
-                written(b"1", b"x").replace(b"$16\r\n", b"$%d\r\n" % (LARGEST_VALUE + 1)),
+                written(b"1", b"x").replace(b"$16\r\n", b"$%d\r\n" % (MAX_VALUE_BYTES + 1)),
             ):
                 peer = await world.client()
                 peer.writer.write(wrong)
@@ -140,7 +140,7 @@
 
 @pytest.mark.parametrize("step", [1_000, 65_537])
 def test_the_reader_gives_a_long_command_and_the_next_at_any_cut(step: int) -> None:
-    body = body_of(LARGEST_VALUE + 10)
+    body = body_of(MAX_VALUE_BYTES + 10)
     stream = written(b"1", body) + written(b"2", b"short")
     reader, got = CommandReader(), list[list[bytes]]()
     bodies: list[bytes] = []
@@ -163,6 +163,6 @@
 
 def test_only_the_last_argument_may_be_long() -> None:
     reader = CommandReader()
-    reader.feed(b"*5\r\n$%d\r\n" % (LARGEST_VALUE + 1))
-    with pytest.raises(Malformed):
+    reader.feed(b"*5\r\n$%d\r\n" % (MAX_VALUE_BYTES + 1))
+    with pytest.raises(MalformedError):
         reader.next()
--- a/tests/edges/test_long_values.py
+++ b/tests/edges/test_long_values.py
@@ -9,10 +9,17 @@
 import pytest
 from loopback import LOCAL, Peer, World, encode, in_loop, request, running, server_seen, until
 
-from roadpulley.core.backends import OVERDUE_MS, STALLED_MS
+from roadpulley.core.backends import OVERDUE_STALL_TIMEOUT_MS, STALL_TIMEOUT_MS
 from roadpulley.core.clock import now_ms
-from roadpulley.core.connection import LOOK_MS
-from roadpulley.core.resp import BEGUN_BYTES, LARGEST_ANSWER, LONG_ANSWER, LongValue, Malformed, long_value
+from roadpulley.core.connection import STALL_CHECK_INTERVAL_MS
+from roadpulley.core.resp import (
+    LONG_VALUE_THRESHOLD_BYTES,
+    MAX_ANSWER_BYTES,
+    STREAMING_START_BYTES,
+    LongValue,
+    MalformedError,
+    parse_long_value_header,
+)
 from roadpulley.edges.resp_server import RespServer
 from roadpulley.testbed.server import Server
 
@@ -53,7 +60,10 @@
     return World(Piecewise(script), **limits)  # type: ignore[arg-type]
 
 
-@pytest.mark.parametrize("length", [LONG_ANSWER, LONG_ANSWER + 1, 100_000, 3 * MIB + 7, LARGEST_ANSWER])
+@pytest.mark.parametrize(
+    "length",
+    [LONG_VALUE_THRESHOLD_BYTES, LONG_VALUE_THRESHOLD_BYTES + 1, 100_000, 3 * MIB + 7, MAX_ANSWER_BYTES],
+)
 def test_a_value_arrives_whole_and_the_connection_is_used_again(length: int) -> None:
     async def scenario() -> None:
         body = value(length)
@@ -99,7 +109,7 @@
     in_loop(scenario)
 
 
-@pytest.mark.parametrize("cut", [BEGUN_BYTES + 100, 150_000, 200_000 + 13])
+@pytest.mark.parametrize("cut", [STREAMING_START_BYTES + 100, 150_000, 200_000 + 13])
 @pytest.mark.parametrize("how", ["end", "wrong end"])
 def test_a_value_that_breaks_never_looks_whole(cut: int, how: str) -> None:
     """Cut soon after it began, in its middle, in its end; or with another end."""
@@ -127,7 +137,7 @@
     in_loop(scenario)
 
 
-@pytest.mark.parametrize("cut", [100, BEGUN_BYTES - 1])
+@pytest.mark.parametrize("cut", [100, STREAMING_START_BYTES - 1])
 def test_a_value_that_breaks_before_it_begins_is_an_ordinary_failure(cut: int) -> None:
     in_loop(lambda: failed_whole(cut))
 
@@ -174,7 +184,7 @@
 
 def test_the_times_of_a_value_that_stalls_leave_room_within_half_a_second() -> None:
     """It falls silent as its request's time ends, just after a look; a fifth is the loop's and the way's."""
-    assert OVERDUE_MS + LOOK_MS <= 500 - 100
+    assert OVERDUE_STALL_TIMEOUT_MS + STALL_CHECK_INTERVAL_MS <= 500 - 100
 
 
 def test_a_value_whose_backend_falls_silent_ends_soon_after_its_time() -> None:
@@ -192,7 +202,7 @@
             peer.send(*request(wait=300))
             got = await peer.reader.read(-1)
             assert got.startswith(b"$%d\r\n" % MIB) and len(got) < MIB
-            assert now_ms() - began < STALLED_MS
+            assert now_ms() - began < STALL_TIMEOUT_MS
 
     in_loop(scenario)
 
@@ -289,12 +299,12 @@
 
 
 def test_what_is_no_long_value_is_not_begun() -> None:
-    body = bytes(BEGUN_BYTES)
-    for length in (5, LONG_ANSWER, LARGEST_ANSWER + 1, 3_000_000_000):
-        assert long_value(bytearray(b"*3\r\n$%d\r\n" % length + body)) is None
-    head = b"*3\r\n$%d\r\n" % (LONG_ANSWER + 1)
-    assert long_value(bytearray(head + body[:-1])) is None
-    assert long_value(bytearray(head + body)) == (LONG_ANSWER + 1, len(head))
+    body = bytes(STREAMING_START_BYTES)
+    for length in (5, LONG_VALUE_THRESHOLD_BYTES, MAX_ANSWER_BYTES + 1, 3_000_000_000):
+        assert parse_long_value_header(bytearray(b"*3\r\n$%d\r\n" % length + body)) is None
+    head = b"*3\r\n$%d\r\n" % (LONG_VALUE_THRESHOLD_BYTES + 1)
+    assert parse_long_value_header(bytearray(head + body[:-1])) is None
+    assert parse_long_value_header(bytearray(head + body)) == (LONG_VALUE_THRESHOLD_BYTES + 1, len(head))
 
 
 @pytest.mark.parametrize("step", [1, 7, 4096])
@@ -313,5 +323,5 @@
 def test_another_end_of_a_value_is_malformed(end: bytes) -> None:
     long = LongValue(3)
     long.take(memoryview(b"abc" + end))
-    with pytest.raises(Malformed):
+    with pytest.raises(MalformedError):
         long.ended()
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -8,7 +8,7 @@
 
 from mintford import interface as api
 from roadpulley.checks import Table, ValidationError
-from roadpulley.core.discovery import host_number
+from roadpulley.core.discovery import hash_host_name
 from roadpulley.fleet.duties.voter_config import VoterConfig, VoterConfigId, initial_config
 from roadpulley.fleet.orders.client import to_orders_changed
 from roadpulley.fleet.orders.even_shares import EvenShares
@@ -238,7 +238,7 @@
         ("zone-a",),
         frozenset({"acme"}),
         frozenset({"view"}),
-        frozenset({host_number("t3")}),
+        frozenset({hash_host_name("t3")}),
     )
 
 
--- a/tests/fleet/test_verdicts_gateways.py
+++ b/tests/fleet/test_verdicts_gateways.py
@@ -12,7 +12,7 @@
 
 from roadpulley.checks import ValidationError
 from roadpulley.core.clock import now_ms
-from roadpulley.core.discovery import host_number
+from roadpulley.core.discovery import hash_host_name
 from roadpulley.fleet.control import call_agent
 from roadpulley.testbed.installation import Installation
 from roadpulley.testbed.scenario import DiscoveryKind, Fault, Load, Scenario
@@ -74,7 +74,7 @@
             return watch, world
 
     watch, world = uvloop.run(work())
-    failing = host_number("t3")
+    failing = hash_host_name("t3")
     first = min(a.first_at for a in world.ledger.attempts if a.node == "t3" and a.how == "failed")
     in_time = [(name, held) for at, name, held in watch.seen if first < at < first + LATEST_MS]
     assert {name for name, held in in_time if failing in held} == set(world.gateways)
--- a/tests/operations/test_calls.py
+++ b/tests/operations/test_calls.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from roadpulley.core.tallies import Tallies
+from roadpulley.core.request_stats import RequestStats
 from roadpulley.operations.calls import Call, Unknown, figures, read_call
 
 
@@ -25,7 +25,7 @@
 
 
 def test_an_answer_is_counted_by_what_it_says_to_the_client() -> None:
-    tallies = Tallies()
+    tallies = RequestStats()
     tallies.know("view")
     for reply in (b"$1\r\nx\r\n", b"-BUSY\r\n", b"-BUSY 20\r\n", b"-ERR failed\r\n"):
         tallies.answered("view", reply)
--- a/tests/operations/test_retuning.py
+++ b/tests/operations/test_retuning.py
@@ -14,8 +14,8 @@
 from loopback import World as Sockets
 
 from mintford import interface as api
-from roadpulley.__main__ import Reload
-from roadpulley.core.settings import Config, ConfigError, load_again, parse_config
+from roadpulley.__main__ import ReloadTrigger
+from roadpulley.core.settings import ConfigError, GatewayConfig, load_replacement, parse_config
 
 STANDING: dict[str, Any] = {
     "listen": "127.0.0.1:6379",
@@ -25,10 +25,10 @@
 }
 
 
-def judged(tmp_path: Path, text: str) -> Config:
+def judged(tmp_path: Path, text: str) -> GatewayConfig:
     file = tmp_path / "config.json"
     file.write_text(text)
-    return load_again(str(file), parse_config(STANDING))
+    return load_replacement(str(file), parse_config(STANDING))
 
 
 def test_a_file_cut_at_any_byte_is_turned_down(tmp_path: Path) -> None:
@@ -107,7 +107,7 @@
     """A gateway with a file of its own, read again when a test says so."""
 
     def __init__(self, world: Sockets, folder: Path) -> None:
-        self.world, self.file, self.again = world, folder / "config.json", Reload()
+        self.world, self.file, self.again = world, folder / "config.json", ReloadTrigger()
         self.raw: dict[str, Any] = {}
 
     def write(self, **changes: Any) -> None:
@@ -115,8 +115,8 @@
         self.file.write_text(json.dumps(raw))
 
     async def run(self, scenario: Any) -> None:
-        def load(old: Config) -> Config:
-            return load_again(str(self.file), old)
+        def load(old: GatewayConfig) -> GatewayConfig:
+            return load_replacement(str(self.file), old)
 
         async with running(self.world, again=self.again, load=load) as world:
             self.raw = world.config()
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -17,9 +17,9 @@
 from loopback import LOCAL, Backend, Peer, World, host, in_loop, request, said, until
 from test_process import connect, launched
 
-from roadpulley.__main__ import BACKEND_SHARE, CLIENT_SHARE, descriptors
+from roadpulley.__main__ import BACKEND_DESCRIPTORS_RATIO, CLIENT_DESCRIPTORS_RATIO, reserve_descriptors
 from roadpulley.core.clock import now_ms
-from roadpulley.core.watch import TOLD_MS
+from roadpulley.core.discovery_watch import CHANGE_DEADLINE_MS
 
 ROOT = Path(__file__).parents[1]
 ALLOWED = 96
@@ -114,7 +114,7 @@
             began = now_ms()
             resource.prlimit(process.pid, resource.RLIMIT_NOFILE, allowed)
             await until(lambda: len(world.discovery.requests) > calls)
-            assert now_ms() - began < TOLD_MS
+            assert now_ms() - began < CHANGE_DEADLINE_MS
             assert await waiting.receive() == b"value"
             peer.send(*request(b"fourth"))
             assert await peer.receive() == b"value" and len(new.got) == 2
@@ -131,12 +131,12 @@
     limits = [(100, 100)]
     monkeypatch.setattr(resource, "getrlimit", lambda _: limits[-1])
     monkeypatch.setattr(resource, "setrlimit", lambda _, given: limits.append(given))
-    assert descriptors(1_024) == 100 and len(limits) == 1
+    assert reserve_descriptors(1_024) == 100 and len(limits) == 1
     limits.append((100, 400))
-    assert descriptors(1_024) == 400 and limits[-1] == (400, 400)
+    assert reserve_descriptors(1_024) == 400 and limits[-1] == (400, 400)
     limits.append((100, resource.RLIM_INFINITY))
-    assert descriptors(1_024) == 1_024 == limits[-1][0]
+    assert reserve_descriptors(1_024) == 1_024 == limits[-1][0]
     limits.append((4_096, 4_096))
-    assert descriptors(1_024) == 1_024
+    assert reserve_descriptors(1_024) == 1_024
     # For a watch and the one after it, the counter's four, the listener, the loop's own.
-    assert ALLOWED - int(ALLOWED * CLIENT_SHARE) - int(ALLOWED * BACKEND_SHARE) >= 20
+    assert ALLOWED - int(ALLOWED * CLIENT_DESCRIPTORS_RATIO) - int(ALLOWED * BACKEND_DESCRIPTORS_RATIO) >= 20
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -29,7 +29,7 @@
 )
 
 from mintford import interface as api
-from roadpulley.__main__ import drain_times
+from roadpulley.__main__ import compute_drain_times
 from roadpulley.core import clock
 from roadpulley.core.settings import ConfigError, parse_config
 
@@ -159,7 +159,7 @@
 
 def test_what_is_open_at_the_end_is_failed_rather_than_lost(monkeypatch: pytest.MonkeyPatch) -> None:
     """SIGKILL would leave its client without an answer; whether it ran is not known, so it is no refusal."""
-    monkeypatch.setattr("roadpulley.__main__.drain_times", lambda settings: (0.05, 0.1))
+    monkeypatch.setattr("roadpulley.__main__.compute_drain_times", lambda settings: (0.05, 0.1))
 
     async def silent(command: list[bytes]) -> Reply:
         return None
@@ -186,13 +186,13 @@
 ) -> None:
     """SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s more."""
     kind = api.RequestClass("view", aim, deadline)
-    assert drain_times(settings(classes=(kind,))) == pytest.approx(times)
+    assert compute_drain_times(settings(classes=(kind,))) == pytest.approx(times)
     assert times[1] <= min(deadline / 1000, 3) + 0.7
 
 
 def test_connections_that_clients_have_are_served_while_draining(monkeypatch: pytest.MonkeyPatch) -> None:
     """The place of this gateway is empty until it is back."""
-    monkeypatch.setattr("roadpulley.__main__.drain_times", lambda settings: (0.3, 0.6))
+    monkeypatch.setattr("roadpulley.__main__.compute_drain_times", lambda settings: (0.3, 0.6))
 
     async def scenario() -> None:
         async with running(World(Backend())) as world:
