--- a/roadpulley/fleet/agent.py
+++ b/roadpulley/fleet/agent.py
@@ -488,7 +488,7 @@
         except (ValueError, ValidationError) as error:
             return {"error": str(error)}
         self.reconfiguration.request, self.reconfiguration.result = ChangeRequest(add, remove), {}
-        self.duties.holdings[VOTERS_DUTY].candidate.want(self.clock.now(), 0.0)
+        self.duties.holdings[VOTERS_DUTY].candidate.schedule_try(self.clock.now(), 0.0)
         self._set()
         return self.reconfiguration.status()
 
--- a/roadpulley/fleet/duties/service.py
+++ b/roadpulley/fleet/duties/service.py
@@ -16,7 +16,17 @@
 from roadpulley.fleet.members.messages import Claim as Member
 from roadpulley.fleet.settings import DutySettings, FleetSettings
 
-from .candidate import NEVER_DUE, Action, Began, Candidate, Claim, Ended, Renewed, Send, State
+from .candidate import (
+    NO_DEADLINE,
+    Action,
+    Candidate,
+    ClaimRegisters,
+    HoldingEnded,
+    HoldingRenewed,
+    HoldingStarted,
+    SendMessage,
+    State,
+)
 from .memory import Memory
 from .spread import STANDBY, STEP_S, spread
 from .terms import Accept, MonotonicTime, Prepare, ProcessId, VoterRequest, VoterResponse
@@ -112,37 +122,37 @@
             except OSError as error:
                 log.error("no vote: its memory cannot be written", why=str(error))
                 return None
-        return self.voter.on(self.clock.now(), question)
+        return self.voter.handle_request(self.clock.now(), question)
 
     def _reserve(self, number: int) -> None:
         assert self.memory is not None and self.voter is not None
-        if self.memory.reserved <= number <= self.voter.most():
+        if self.memory.reserved <= number <= self.voter.max_allowed_round():
             self.memory.reserve(number)
 
     # ---- candidates ----
 
     def answered(self, voter: str, answer: VoterResponse) -> None:
         if holding := self.holdings.get(answer.duty):
-            self.do(holding, holding.candidate.heard(self.clock.now(), voter, answer))
+            self.do(holding, holding.candidate.handle_response(self.clock.now(), voter, answer))
 
     def offered(self, name: str, rank: int, fence: int) -> None:
         """Another instance has let go of it."""
         if (holding := self.holdings.get(name)) and not self.leaving:
             # Danger: a try under a number that was used is refused, and while it waits the one that let go of
             # it takes it again.
-            holding.candidate.heard_of(fence)
-            holding.candidate.rest()  # what it waited for is over
-            holding.candidate.want(self.clock.now(), rank * STEP_S)
+            holding.candidate.observe_round(fence)
+            holding.candidate.stop_trying()  # what it waited for is over
+            holding.candidate.schedule_try(self.clock.now(), rank * STEP_S)
             self.changed()
 
     def tick(self) -> None:
         now = self.clock.now()
         for holding in self.holdings.values():
-            if now >= holding.candidate.next_at():
+            if now >= holding.candidate.next_tick_at():
                 self.do(holding, holding.candidate.tick(now))
 
     def next_at(self) -> MonotonicTime:
-        return min((h.candidate.next_at() for h in self.holdings.values()), default=NEVER_DUE)
+        return min((h.candidate.next_tick_at() for h in self.holdings.values()), default=NO_DEADLINE)
 
     def arrange(self, members: list[Member], bits: Mapping[str, int]) -> None:
         """Who tries to take what, by the members that are seen; and what should go to another instance."""
@@ -151,19 +161,19 @@
         self.orders = spread(able, {n: self.settings.duties[n].prefer for n in names})
         for name, holding in self.holdings.items():
             if name == VOTERS_DUTY:
-                if self.wished() and holding.candidate.due == NEVER_DUE and not self.leaving:
-                    holding.candidate.want(now, 0.0)
+                if self.wished() and holding.candidate.due_at == NO_DEADLINE and not self.leaving:
+                    holding.candidate.schedule_try(now, 0.0)
                 continue  # taken only by who has something to change
             order, candidate = self.orders.get(name, []), holding.candidate
             rank = order.index(self.me) if self.me in order else len(order)
             if self.leaving or rank >= STANDBY:
-                candidate.rest()
-            elif candidate.due == NEVER_DUE:
+                candidate.stop_trying()
+            elif candidate.due_at == NO_DEADLINE:
                 # Danger: who has just handed it over may be the first choice still, and would take it back.
                 others_first = STANDBY if now - holding.let_go < self.settings.times.lease else 0
-                candidate.want(now, (rank + others_first) * STEP_S)
+                candidate.schedule_try(now, (rank + others_first) * STEP_S)
             else:
-                candidate.handicap = rank * STEP_S
+                candidate.priority_delay_s = rank * STEP_S
         self._even_out(now)
         self.changed()
 
@@ -194,18 +204,18 @@
         name = holding.settings.name
         for action in actions:
             match action:
-                case Send(voter, message):
+                case SendMessage(voter, message):
                     self.ask(voter, message)
-                case Claim(_, fence):
+                case ClaimRegisters(_, fence):
                     self._take(holding, fence)
-                case Began(_, fence):
+                case HoldingStarted(_, fence):
                     holding.began = self.clock.now()
                     self._say("holds", holding, fence)
-                case Renewed(_, fence, until):
+                case HoldingRenewed(_, fence, until):
                     log.debug(
                         "renews", duty=name, fence=fence, boot=self.me.boot, until=until / self.clock.rate
                     )
-                case Ended(_, fence, why):
+                case HoldingEnded(_, fence, why):
                     self._stop(holding, fence, why)
         self.changed()
 
@@ -216,7 +226,7 @@
         duty = Duty(
             candidate.duty,
             fence,
-            lambda: candidate.until if candidate.state is State.HOLDING else -math.inf,
+            lambda: candidate.held_until if candidate.state is State.HOLDING else -math.inf,
             self.clock.now,
         )
         holding.duty, before = duty, holding.task
@@ -242,22 +252,24 @@
         try:
             if not await self._claim(holding, duty):
                 return
-            self.do(holding, candidate.claimed(self.clock.now(), fence))
+            self.do(holding, candidate.handle_claimed(self.clock.now(), fence))
             while not duty.ended.is_set():
                 wait = await self._threaded(holding.work.act, duty)
                 holding.acts += 1
                 await self._pause(holding, duty, holding.settings.every_s if wait is None else wait)
         except StaleFenceError as low:
             if not duty.ended.is_set():
-                self.do(holding, candidate.too_low(self.clock.now(), fence, low.highest))
+                self.do(holding, candidate.handle_low_fence(self.clock.now(), fence, low.highest))
         except WorkDone as done:
             if not duty.ended.is_set():
-                self.do(holding, candidate.finish(self.clock.now(), str(done)))
+                self.do(holding, candidate.release(self.clock.now(), str(done)))
         except Exception as error:  # whatever it is: the duty is not done here, and the next one should try
             if not isinstance(error, WorkFailed):
                 log.exception("work broke", duty=duty.name, fence=fence)
             if not duty.ended.is_set():
-                self.do(holding, candidate.finish(self.clock.now(), f"its work failed: {error}", failed=True))
+                self.do(
+                    holding, candidate.release(self.clock.now(), f"its work failed: {error}", failed=True)
+                )
 
     async def _claim(self, holding: Holding, duty: Duty) -> bool:
         owner = f"{self.me.name}.{self.me.boot}"
@@ -289,7 +301,7 @@
         held = holding is not None and holding.duty is not None
         if holding is not None:
             holding.hurry = held
-        return {"done": held, "duty": name, "holder": holding.candidate.holder.name if holding else ""}
+        return {"done": held, "duty": name, "holder": holding.candidate.known_holder.name if holding else ""}
 
     # ---- hand-over ----
 
@@ -313,7 +325,7 @@
         if holding.duty is not duty:
             return  # it ended by itself meanwhile
         holding.let_go = self.clock.now()
-        self.do(holding, holding.candidate.finish(holding.let_go, f"handed over: {why}"))
+        self.do(holding, holding.candidate.release(holding.let_go, f"handed over: {why}"))
         for who in others:
             self.offer(who, name, duty.fence)
 
@@ -321,7 +333,7 @@
         """SIGTERM, drain, upgrade: all that is held goes to others, now."""
         self.leaving = True
         for holding in self.holdings.values():
-            holding.candidate.rest()
+            holding.candidate.stop_trying()
         tasks = [
             asyncio.ensure_future(self._hand_over(h, h.duty, "this instance ends"))
             for h in self.holdings.values()
--- a/roadpulley/fleet/duties/voter.py
+++ b/roadpulley/fleet/duties/voter.py
@@ -37,21 +37,23 @@
     VoterResponse,
 )
 
-FIRST_COOL_S, LONGEST_COOL_S = 0.5, 60.0  # doubled with each holding in a row that failed
-MOST_DUTIES = 4096  # of which a voter keeps something; more names are no duties of an installation
-MOST_STEP = 2**44  # milliseconds in some 500 years: a round that leaps further is nobody's clock
-BUSY_MS = 20  # told to who has lost against a higher ballot
+# The cooldown doubles with each consecutive holding that failed.
+MIN_COOLDOWN_S = 0.5
+MAX_COOLDOWN_S = 60.0
+MAX_DUTIES = 4096  # of which a voter keeps something; more names are no duties of an installation
+MAX_ROUND_STEP = 2**44  # milliseconds in some 500 years: a round that leaps further is nobody's clock
+CONFLICT_RETRY_MS = 20  # told to who has lost against a higher ballot
 
 
 @dataclass(slots=True)
-class Kept:
+class DutyState:
     """Of one duty."""
 
-    promised: Ballot = NO_BALLOT
-    granted: Ballot = NO_BALLOT
-    until: MonotonicTime = 0.0
-    since: MonotonicTime = 0.0  # of the grant's ballot
-    cool: MonotonicTime = 0.0  # until when nobody may begin
+    promised_ballot: Ballot = NO_BALLOT
+    granted_ballot: Ballot = NO_BALLOT
+    granted_until: MonotonicTime = 0.0
+    granted_since: MonotonicTime = 0.0  # of the grant's ballot
+    cooldown_until: MonotonicTime = 0.0  # until when nobody may begin
     failures: int = 0
 
 
@@ -63,89 +65,95 @@
     """
 
     times: LeaseTimes
-    started: MonotonicTime
-    floor: int = 0
+    started_at: MonotonicTime
+    round_floor: int = 0
     config_id: tuple[int, int] = (0, 0)  # only what is asked under the same one is granted
-    lost_memory: bool = True  # False: the installation begins, and nobody has asked for anything yet
-    kept: dict[str, Kept] = field(default_factory=dict)
+    lost_state: bool = True  # False: the installation begins, and nobody has asked for anything yet
+    duty_states: dict[str, DutyState] = field(default_factory=dict)
 
-    def speaks_at(self) -> MonotonicTime:
-        return self.started + self.times.silence if self.lost_memory else self.started
+    def voting_starts_at(self) -> MonotonicTime:
+        return self.started_at + self.times.silence if self.lost_state else self.started_at
 
-    def on(self, now: MonotonicTime, asked: VoterRequest) -> VoterResponse | None:
+    def handle_request(self, now: MonotonicTime, request: VoterRequest) -> VoterResponse | None:
         """What a candidate of this installation asks; None: nothing is said."""
-        if now < self.speaks_at():
+        if now < self.voting_starts_at():
             return None
-        if asked.duty not in self.kept and len(self.kept) >= MOST_DUTIES:
+        if request.duty not in self.duty_states and len(self.duty_states) >= MAX_DUTIES:
             return None
-        kept = self.kept.setdefault(asked.duty, Kept())
-        if isinstance(asked, Release):
-            self._release(now, kept, asked)
+        state = self.duty_states.setdefault(request.duty, DutyState())
+        if isinstance(request, Release):
+            self._release(now, state, request)
             return None
-        if tuple(asked.config_id) != tuple(self.config_id):
+        if tuple(request.config_id) != tuple(self.config_id):
             # Danger: a majority of one roll need not share a voter with a majority of any other.
-            return LeaseRejection(asked.duty, asked.ballot, NO_PROCESS, 0, self._top(kept))
-        if isinstance(asked, Accept) and not 0 < asked.lease_ms <= self.times.silence * 1000:
+            return LeaseRejection(request.duty, request.ballot, NO_PROCESS, 0, self._highest_round(state))
+        if isinstance(request, Accept) and not 0 < request.lease_ms <= self.times.silence * 1000:
             # Danger: a grant that outlives the silence after a restart would be forgotten while it runs.
-            return LeaseRejection(asked.duty, asked.ballot, NO_PROCESS, BUSY_MS, self._top(kept))
-        if now < kept.until and kept.granted.who != asked.ballot.who:
-            return self._no(now, kept, asked, kept.until)
-        if isinstance(asked, Prepare) and now < kept.cool:
-            return self._no(now, kept, asked, kept.cool)
-        if not self._may(kept, asked):
-            return self._no(now, kept, asked, now)
-        kept.promised = asked.ballot
-        if isinstance(asked, Prepare):
-            return Promise(asked.duty, asked.ballot)
-        if kept.granted != asked.ballot:
-            kept.granted, kept.since = asked.ballot, now
-        kept.until = now + asked.lease_ms / 1000
-        return LeaseGrant(asked.duty, asked.ballot, asked.request_number)
-
-    def highest(self) -> int:
-        return max((k.promised.round for k in self.kept.values()), default=self.floor)
-
-    def most(self) -> int:
+            return LeaseRejection(
+                request.duty, request.ballot, NO_PROCESS, CONFLICT_RETRY_MS, self._highest_round(state)
+            )
+        if now < state.granted_until and state.granted_ballot.who != request.ballot.who:
+            return self._reject(now, state, request, state.granted_until)
+        if isinstance(request, Prepare) and now < state.cooldown_until:
+            return self._reject(now, state, request, state.cooldown_until)
+        if not self._is_ballot_allowed(state, request):
+            return self._reject(now, state, request, now)
+        state.promised_ballot = request.ballot
+        if isinstance(request, Prepare):
+            return Promise(request.duty, request.ballot)
+        if state.granted_ballot != request.ballot:
+            state.granted_ballot, state.granted_since = request.ballot, now
+        state.granted_until = now + request.lease_ms / 1000
+        return LeaseGrant(request.duty, request.ballot, request.request_number)
+
+    def highest_promised_round(self) -> int:
+        return max((s.promised_ballot.round for s in self.duty_states.values()), default=self.round_floor)
+
+    def max_allowed_round(self) -> int:
         """The highest round that any duty's ballot may have here."""
-        return min(MAX_ROUND, max(self.highest(), self.floor) + MOST_STEP)
+        return min(MAX_ROUND, max(self.highest_promised_round(), self.round_floor) + MAX_ROUND_STEP)
 
     # ---- inside ----
 
-    def _may(self, kept: Kept, asked: Prepare | Accept) -> bool:
+    def _is_ballot_allowed(self, state: DutyState, request: Prepare | Accept) -> bool:
         """Whether a ballot counts here. Two candidates never share a round, so that no two holdings do."""
-        number = asked.ballot.round
-        if asked.ballot == kept.promised:
+        round_ = request.ballot.round
+        if request.ballot == state.promised_ballot:
             return True
-        if isinstance(asked, Accept):
+        if isinstance(request, Accept):
             # A voter that came back knows no ballot, and its floor may be above those that are held: it joins
             # them. Danger: an Accept that is no renewal, for a ballot not promised here, may be of a try that
             # was overtaken long ago.
-            return asked.is_renewal and number > kept.promised.round
+            return request.is_renewal and round_ > state.promised_ballot.round
         # Danger: a round near the end of all numbers would leave none for the next holder.
-        top = max(kept.promised.round, self.floor)
-        return top < number <= min(MAX_ROUND, top + MOST_STEP)
+        highest = max(state.promised_ballot.round, self.round_floor)
+        return highest < round_ <= min(MAX_ROUND, highest + MAX_ROUND_STEP)
 
-    def _top(self, kept: Kept) -> int:
-        return max(kept.promised.round, self.floor)
+    def _highest_round(self, state: DutyState) -> int:
+        return max(state.promised_ballot.round, self.round_floor)
 
-    def _no(
-        self, now: MonotonicTime, kept: Kept, asked: Prepare | Accept, until: MonotonicTime
+    def _reject(
+        self, now: MonotonicTime, state: DutyState, request: Prepare | Accept, granted_until: MonotonicTime
     ) -> LeaseRejection:
-        holder = kept.granted.who if now < kept.until else NO_PROCESS
-        left = max(0, int((until - now) * 1000) + 1) if until > now else BUSY_MS
-        return LeaseRejection(asked.duty, asked.ballot, holder, left, self._top(kept))
-
-    def _release(self, now: MonotonicTime, kept: Kept, asked: Release) -> None:
-        if asked.ballot == kept.promised:
+        holder = state.granted_ballot.who if now < state.granted_until else NO_PROCESS
+        retry_after_ms = (
+            max(0, int((granted_until - now) * 1000) + 1) if granted_until > now else CONFLICT_RETRY_MS
+        )
+        return LeaseRejection(
+            request.duty, request.ballot, holder, retry_after_ms, self._highest_round(state)
+        )
+
+    def _release(self, now: MonotonicTime, state: DutyState, request: Release) -> None:
+        if request.ballot == state.promised_ballot:
             # Danger: a renewal that comes after the release would have it held by nobody for a lease.
-            kept.promised = Ballot(asked.ballot.round, NO_PROCESS)
-        if asked.ballot != kept.granted or now >= kept.until:
+            state.promised_ballot = Ballot(request.ballot.round, NO_PROCESS)
+        if request.ballot != state.granted_ballot or now >= state.granted_until:
             return
-        kept.until = now
-        if not asked.failed:
-            kept.failures = 0
+        state.granted_until = now
+        if not request.failed:
+            state.failures = 0
             return
         # Danger: work that fails wherever it is taken would travel round the fleet at full speed.
-        kept.failures = 0 if now - kept.since > self.times.steady else kept.failures
-        kept.cool = now + min(LONGEST_COOL_S, FIRST_COOL_S * 2.0 ** min(kept.failures, 30))
-        kept.failures += 1
+        state.failures = 0 if now - state.granted_since > self.times.steady else state.failures
+        state.cooldown_until = now + min(MAX_COOLDOWN_S, MIN_COOLDOWN_S * 2.0 ** min(state.failures, 30))
+        state.failures += 1
--- a/roadpulley/fleet/report.py
+++ b/roadpulley/fleet/report.py
@@ -60,7 +60,7 @@
     voter = agent.duties.voter
     for name in sorted(agent.settings.duties):
         holding = agent.duties.holdings.get(name)
-        kept = voter.kept.get(name) if voter is not None else None
+        duty_state = voter.duty_states.get(name) if voter is not None else None
         row: dict[str, Any] = {
             "duty": name,
             "work": agent.settings.duties[name].work,
@@ -71,27 +71,27 @@
             row |= {
                 "holder": agent.name,
                 "boot": agent.me.boot,
-                "since_s": round(now - holding.candidate.since, 1),
+                "since_s": round(now - holding.candidate.held_since, 1),
                 "fence": holding.candidate.ballot.round,
-                "left_s": round(holding.candidate.until - now, 2),
+                "left_s": round(holding.candidate.held_until - now, 2),
                 "state": holding.candidate.state.value,
                 "acts": holding.acts,
                 "known": "it is held here",
             }
-        elif kept is not None and now < kept.until:
+        elif duty_state is not None and now < duty_state.granted_until:
             row |= {
-                "holder": kept.granted.who.name,
-                "boot": kept.granted.who.boot,
-                "since_s": round(now - kept.since, 1),
-                "fence": kept.granted.round,
-                "left_s": round(kept.until - now, 2),
+                "holder": duty_state.granted_ballot.who.name,
+                "boot": duty_state.granted_ballot.who.boot,
+                "since_s": round(now - duty_state.granted_since, 1),
+                "fence": duty_state.granted_ballot.round,
+                "left_s": round(duty_state.granted_until - now, 2),
                 "state": "granted",
                 "known": "this instance's own vote",
             }
-        elif holding is not None and holding.candidate.holder != NO_PROCESS:
-            row |= {"holder": holding.candidate.holder.name, "known": "a voter told it at the last try"}
-        if kept is not None and now < kept.cool:
-            row["cools_s"] = round(kept.cool - now, 1)
+        elif holding is not None and holding.candidate.known_holder != NO_PROCESS:
+            row |= {"holder": holding.candidate.known_holder.name, "known": "a voter told it at the last try"}
+        if duty_state is not None and now < duty_state.cooldown_until:
+            row["cools_s"] = round(duty_state.cooldown_until - now, 1)
         if holding is not None and holding.last:
             row["last"] = holding.last
         order = agent.duties.orders.get(name, [])
@@ -112,7 +112,7 @@
         address = agent.address_of(name)
         who = agent.met.get(address, NO_PROCESS)
         ours = name == agent.name
-        silent = math.ceil(agent.duties.voter.speaks_at() - now) if ours and agent.duties.voter else 0
+        silent = math.ceil(agent.duties.voter.voting_starts_at() - now) if ours and agent.duties.voter else 0
         rows.append(
             {
                 "name": name,
--- a/roadpulley/testbed/lease_model.py
+++ b/roadpulley/testbed/lease_model.py
@@ -23,7 +23,15 @@
 from functools import partial
 from typing import Any
 
-from roadpulley.fleet.duties.candidate import Action, Began, Candidate, Claim, Ended, Send, State
+from roadpulley.fleet.duties.candidate import (
+    Action,
+    Candidate,
+    ClaimRegisters,
+    HoldingEnded,
+    HoldingStarted,
+    SendMessage,
+    State,
+)
 from roadpulley.fleet.duties.terms import NO_BALLOT, LeaseTimes, ProcessId
 from roadpulley.fleet.duties.voter import Voter
 
@@ -103,14 +111,14 @@
         self.names = tuple(f"v{n}" for n in range(3))
 
     def start(self) -> World:
-        voters = tuple((1, self.rules.voter(self.times, 0.0, lost_memory=False)) for _ in self.names)
+        voters = tuple((1, self.rules.voter(self.times, 0.0, lost_state=False)) for _ in self.names)
         return World(0, voters, tuple((1, self._candidate(n, 1)) for n in range(2)))
 
     def _candidate(self, n: int, boot: int) -> Candidate:
         made = self.rules.candidate(
             DUTY, ProcessId(f"c{n}", boot), frozenset(self.names), self.times, nothing
         )
-        made.due = 0.0
+        made.due_at = 0.0
         return made
 
     def clock(self, world: World, place: int) -> float:
@@ -138,7 +146,7 @@
                 yield 1.0, f"the register answers c{n}", partial(self._claim, world, n)
             if world.checked[n] is not None:
                 yield 0.3, f"the act of c{n} lands", partial(self._act, world, n)
-            elif candidate.mine(self.clock(world, 3 + n)):
+            elif candidate.is_held(self.clock(world, 3 + n)):
                 checked = put(world.checked, n, candidate.ballot.round)
                 yield 0.5, f"c{n} checks that it holds", partial(replace, world, checked=checked)
             if world.reboots < limits.reboots:
@@ -160,15 +168,18 @@
             yield 0.2, arrival(packet, "late"), partial(replace, rest, late=world.late + 1, flying=flying)
 
     def _may_tick(self, world: World, n: int, candidate: Candidate) -> bool:
-        if self.clock(world, 3 + n) < candidate.next_at():
+        if self.clock(world, 3 + n) < candidate.next_tick_at():
             return False
         if (
             candidate.state is State.IDLE
             and candidate.ballot.round > 0
-            and self.limits.tries <= candidate.tries
+            and self.limits.tries <= candidate.failed_tries
         ):
             return False
-        return candidate.asked < self.limits.asks or self.clock(world, 3 + n) >= candidate.until > 0
+        return (
+            candidate.last_request_number < self.limits.asks
+            or self.clock(world, 3 + n) >= candidate.held_until > 0
+        )
 
     # ---- what it does ----
 
@@ -180,14 +191,14 @@
             if boot != target_boot and self.rules.boots:
                 return world
             voter = clone(old_voter)
-            answer = voter.on(self.clock(world, n), message)
+            answer = voter.handle_request(self.clock(world, n), message)
             world = replace(world, voters=put(world.voters, n, (boot, voter)))
             return self._fly(world, [(target, boot, source, source_boot, answer)]) if answer else world
         boot, old = world.candidates[n]
         if boot != target_boot:
             return world
         candidate = clone(old)
-        out = candidate.heard(self.clock(world, 3 + n), source, message)
+        out = candidate.handle_response(self.clock(world, 3 + n), source, message)
         return self._done(replace(world, candidates=put(world.candidates, n, (boot, candidate))), n, out)
 
     def _tick(self, world: World, n: int) -> World:
@@ -201,15 +212,15 @@
         packets: list[Packet] = []
         for action in actions:
             match action:
-                case Send(voter, message):
+                case SendMessage(voter, message):
                     packets.append((f"c{n}", boot, voter, world.voters[int(voter[1:])][0], message))
-                case Claim(_, fence):
+                case ClaimRegisters(_, fence):
                     world = replace(world, claims=put(world.claims, n, fence))
-                case Began(_, fence):
+                case HoldingStarted(_, fence):
                     if fence <= world.begun:
                         raise Broken(f"c{n} begins under fence {fence} after {world.begun}")
                     world = replace(world, begun=fence)
-                case Ended():
+                case HoldingEnded():
                     world = replace(world, claims=put(world.claims, n, None))
         world = self._fly(world, packets)
         if not self.rules.claims and world.claims[n] is not None:
@@ -225,7 +236,7 @@
             return self._claimed(replace(world, register=(fence, mine)), n)
         boot, old = world.candidates[n]
         candidate = clone(old)
-        out = candidate.too_low(self.clock(world, 3 + n), fence, highest)
+        out = candidate.handle_low_fence(self.clock(world, 3 + n), fence, highest)
         world = replace(
             world, claims=put(world.claims, n, None), candidates=put(world.candidates, n, (boot, candidate))
         )
@@ -235,7 +246,7 @@
         fence, (boot, old) = world.claims[n], world.candidates[n]
         assert fence is not None
         candidate = clone(old)
-        out = candidate.claimed(self.clock(world, 3 + n), fence)
+        out = candidate.handle_claimed(self.clock(world, 3 + n), fence)
         world = replace(
             world, claims=put(world.claims, n, None), candidates=put(world.candidates, n, (boot, candidate))
         )
@@ -268,7 +279,7 @@
         """Danger: an act that was on its way from the process before goes on; nothing else of it is left."""
         boot = world.candidates[n][0] + 1
         fresh = self._candidate(n, boot)
-        fresh.due = self.clock(world, 3 + n)
+        fresh.due_at = self.clock(world, 3 + n)
         candidates = put(world.candidates, n, (boot, fresh))
         return replace(
             world, candidates=candidates, claims=put(world.claims, n, None), reboots=world.reboots + 1
@@ -281,7 +292,7 @@
     # ---- what must hold ----
 
     def look(self, world: World) -> None:
-        holders = [n for n, (_, c) in enumerate(world.candidates) if c.mine(self.clock(world, 3 + n))]
+        holders = [n for n, (_, c) in enumerate(world.candidates) if c.is_held(self.clock(world, 3 + n))]
         if len(holders) > 1:
             raise Broken("both candidates believe that they hold the duty")
 
@@ -307,7 +318,11 @@
         """All that concerns one voter, without its name."""
         name, (boot, voter) = self.names[n], world.voters[n]
         of = tuple(
-            (name in c.promised, name in c.held_off, tuple(name in a.granted for a in c.asks))
+            (
+                name in c.promised_by,
+                name in c.rejected_by,
+                tuple(name in a.granted_by for a in c.pending_accepts),
+            )
             for _, c in world.candidates
         )
         there = tuple(sorted(hash((p[0], p[1], p[3], p[4])) for p in world.flying if p[2] == name))
@@ -382,20 +397,25 @@
     new = object.__new__(type(machine))
     new.__dict__.update(machine.__dict__)
     if isinstance(machine, Voter):
-        new.kept = {name: dataclasses.replace(kept) for name, kept in machine.kept.items()}
+        new.duty_states = {name: dataclasses.replace(state) for name, state in machine.duty_states.items()}
     return new
 
 
 def voter_key(voter: Voter, now: float) -> tuple[Any, ...]:
-    kept = voter.kept.get(DUTY)
-    silent = max(0.0, voter.speaks_at() - now)
-    if kept is None:
+    state = voter.duty_states.get(DUTY)
+    silent = max(0.0, voter.voting_starts_at() - now)
+    if state is None:
         return (silent,)
-    running = kept.until > now
-    return (silent, kept.promised, kept.granted if running else NO_BALLOT, kept.until if running else 0.0)
+    running = state.granted_until > now
+    return (
+        silent,
+        state.promised_ballot,
+        state.granted_ballot if running else NO_BALLOT,
+        state.granted_until if running else 0.0,
+    )
 
 
 def candidate_key(c: Candidate) -> tuple[Any, ...]:
-    asks = tuple((a.number, a.at) for a in c.asks)
-    counts = (len(c.promised), len(c.held_off), c.asked, c.tries, c.wait_ms)
-    return (c.state, c.ballot, c.top, c.due, c.until, c.gave_up, asks, counts)
+    asks = tuple((a.number, a.sent_at) for a in c.pending_accepts)
+    counts = (len(c.promised_by), len(c.rejected_by), c.last_request_number, c.failed_tries, c.retry_delay_ms)
+    return (c.state, c.ballot, c.highest_round, c.due_at, c.held_until, c.claim_deadline, asks, counts)
--- a/tests/fleet/test_lease_model.py
+++ b/tests/fleet/test_lease_model.py
@@ -11,7 +11,7 @@
 import pytest
 
 from roadpulley.fleet.duties import candidate as candidates
-from roadpulley.fleet.duties.candidate import Action, Ask, Candidate
+from roadpulley.fleet.duties.candidate import Action, Candidate, PendingAccept
 from roadpulley.fleet.duties.terms import (
     Accept,
     LeaseRejection,
@@ -21,7 +21,7 @@
     VoterRequest,
     VoterResponse,
 )
-from roadpulley.fleet.duties.voter import Kept, Voter
+from roadpulley.fleet.duties.voter import DutyState, Voter
 from roadpulley.testbed.lease_model import Broken, Limits, Model, Rules
 
 # No drift and no margin: the bound itself is tried, not the room that settings leave below it.
@@ -72,8 +72,8 @@
 class Counting(Candidate):
     begun = 0
 
-    def claimed(self, now: MonotonicTime, fence: int) -> list[Action]:
-        out = super().claimed(now, fence)
+    def handle_claimed(self, now: MonotonicTime, fence: int) -> list[Action]:
+        out = super().handle_claimed(now, fence)
         Counting.begun += len(out)
         return out
 
@@ -82,62 +82,64 @@
 
 
 class VotesAtOnce(Voter):
-    def speaks_at(self) -> MonotonicTime:
-        return self.started
+    def voting_starts_at(self) -> MonotonicTime:
+        return self.started_at
 
 
 class GrantsTwice(Voter):
-    def on(self, now: MonotonicTime, asked: VoterRequest) -> VoterResponse | None:
-        if (kept := self.kept.get(asked.duty)) is not None and not isinstance(asked, Release):
-            kept.until = min(kept.until, now)
-        return super().on(now, asked)
+    def handle_request(self, now: MonotonicTime, request: VoterRequest) -> VoterResponse | None:
+        if (state := self.duty_states.get(request.duty)) is not None and not isinstance(request, Release):
+            state.granted_until = min(state.granted_until, now)
+        return super().handle_request(now, request)
 
 
 class KeepsTooShort(Voter):
-    def on(self, now: MonotonicTime, asked: VoterRequest) -> VoterResponse | None:
-        if isinstance(asked, Accept):
-            asked = Accept(
-                asked.duty,
-                asked.ballot,
-                asked.request_number,
-                asked.config_id,
-                asked.lease_ms // 2,
-                asked.is_renewal,
+    def handle_request(self, now: MonotonicTime, request: VoterRequest) -> VoterResponse | None:
+        if isinstance(request, Accept):
+            request = Accept(
+                request.duty,
+                request.ballot,
+                request.request_number,
+                request.config_id,
+                request.lease_ms // 2,
+                request.is_renewal,
             )
-        return super().on(now, asked)
+        return super().handle_request(now, request)
 
 
 class ReleasesForAnybody(Voter):
-    def _release(self, now: MonotonicTime, kept: Kept, asked: Release) -> None:
-        super()._release(now, kept, Release(asked.duty, kept.granted, asked.failed))
+    def _release(self, now: MonotonicTime, state: DutyState, request: Release) -> None:
+        super()._release(now, state, Release(request.duty, state.granted_ballot, request.failed))
 
 
 class CountsFromTheAnswer(Candidate):
-    def _granted(self, now: MonotonicTime, voter: str, number: int, out: list[Action]) -> None:
-        self.asks = tuple(Ask(a.number, now, a.granted) for a in self.asks)
-        super()._granted(now, voter, number, out)
+    def _handle_grant(self, now: MonotonicTime, voter: str, number: int, out: list[Action]) -> None:
+        self.pending_accepts = tuple(PendingAccept(a.number, now, a.granted_by) for a in self.pending_accepts)
+        super()._handle_grant(now, voter, number, out)
 
 
 class AddsToWhatIsLeft(Candidate):
-    def _granted(self, now: MonotonicTime, voter: str, number: int, out: list[Action]) -> None:
-        before = self.until
-        super()._granted(now, voter, number, out)
-        if before and self.until > before:
-            self.until = before + self.times.hold_duration
+    def _handle_grant(self, now: MonotonicTime, voter: str, number: int, out: list[Action]) -> None:
+        before = self.held_until
+        super()._handle_grant(now, voter, number, out)
+        if before and self.held_until > before:
+            self.held_until = before + self.times.hold_duration
 
 
 class MixesItsAsks(Candidate):
-    def _granted(self, now: MonotonicTime, voter: str, number: int, out: list[Action]) -> None:
-        everyone = frozenset(v for a in self.asks for v in a.granted)
-        self.asks = tuple(Ask(a.number, a.at, everyone) for a in self.asks)
-        super()._granted(now, voter, number, out)
+    def _handle_grant(self, now: MonotonicTime, voter: str, number: int, out: list[Action]) -> None:
+        everyone = frozenset(v for a in self.pending_accepts for v in a.granted_by)
+        self.pending_accepts = tuple(
+            PendingAccept(a.number, a.sent_at, everyone) for a in self.pending_accepts
+        )
+        super()._handle_grant(now, voter, number, out)
 
 
 class TakesOldAnswers(Candidate):
-    def heard(self, now: MonotonicTime, voter: str, answer: VoterResponse) -> list[Action]:
+    def handle_response(self, now: MonotonicTime, voter: str, answer: VoterResponse) -> list[Action]:
         if not isinstance(answer, LeaseRejection):
             answer = replace_ballot(answer, self)
-        return super().heard(now, voter, answer)
+        return super().handle_response(now, voter, answer)
 
 
 class NeedsTooFew(Candidate):
@@ -147,16 +149,18 @@
 
 
 class ForgetsTheDrift(Candidate):
-    def _granted(self, now: MonotonicTime, voter: str, number: int, out: list[Action]) -> None:
-        super()._granted(now, voter, number, out)
-        if self.until:
-            self.until = max([self.until, *(a.at + self.times.lease for a in self.asks)])
+    def _handle_grant(self, now: MonotonicTime, voter: str, number: int, out: list[Action]) -> None:
+        super()._handle_grant(now, voter, number, out)
+        if self.held_until:
+            self.held_until = max(
+                [self.held_until, *(a.sent_at + self.times.lease for a in self.pending_accepts)]
+            )
             if out:
-                self.until += self.times.lease - self.times.hold_duration
+                self.held_until += self.times.lease - self.times.hold_duration
 
 
 class HoldsWithoutEnd(Candidate):
-    def mine(self, now: MonotonicTime) -> bool:
+    def is_held(self, now: MonotonicTime) -> bool:
         return self.state is candidates.State.HOLDING
 
 
@@ -165,7 +169,7 @@
 
     changes: dict[str, object] = {"ballot": mine.ballot}
     if hasattr(answer, "request_number"):
-        changes["request_number"] = mine.asked
+        changes["request_number"] = mine.last_request_number
     return msgspec.structs.replace(answer, **changes)
 
 
--- a/tests/fleet/test_machines.py
+++ b/tests/fleet/test_machines.py
@@ -4,7 +4,14 @@
 
 import pytest
 
-from roadpulley.fleet.duties.candidate import Began, Candidate, Claim, Ended, Send, State
+from roadpulley.fleet.duties.candidate import (
+    Candidate,
+    ClaimRegisters,
+    HoldingEnded,
+    HoldingStarted,
+    SendMessage,
+    State,
+)
 from roadpulley.fleet.duties.memory import BLOCK, Memory
 from roadpulley.fleet.duties.spread import spread
 from roadpulley.fleet.duties.terms import (
@@ -18,7 +25,7 @@
     Promise,
     Release,
 )
-from roadpulley.fleet.duties.voter import FIRST_COOL_S, Voter
+from roadpulley.fleet.duties.voter import MIN_COOLDOWN_S, Voter
 from roadpulley.fleet.duties.voter_config import INITIAL_CONFIG_ID
 from roadpulley.fleet.duties.work import Duty
 
@@ -28,7 +35,7 @@
 
 
 def voter(now: float = 0.0, floor: int = 0) -> Voter:
-    return Voter(TIMES, now, floor, lost_memory=False)
+    return Voter(TIMES, now, floor, lost_state=False)
 
 
 def accept(number: int, who: ProcessId, held: bool = False, lease: float = 4.0) -> Accept:
@@ -37,158 +44,170 @@
 
 def candidate() -> Candidate:
     made = Candidate("d", A, frozenset(VOTERS), TIMES, lambda: 0.0)
-    made.due = 0.0
+    made.due_at = 0.0
     return made
 
 
 def holding(at: float = 0.0) -> Candidate:
     """It holds the duty, as granted by two voters to an ask made at that time."""
     found = candidate()
-    found.due = at
+    found.due_at = at
     found.tick(at)
     for name in VOTERS[:2]:
-        found.heard(at, name, Promise("d", found.ballot))
+        found.handle_response(at, name, Promise("d", found.ballot))
     for name in VOTERS[:2]:
-        out = found.heard(at, name, LeaseGrant("d", found.ballot, found.asked))
-    assert Claim("d", found.ballot.round) in out
-    assert found.claimed(at, found.ballot.round) == [Began("d", found.ballot.round)]
+        out = found.handle_response(at, name, LeaseGrant("d", found.ballot, found.last_request_number))
+    assert ClaimRegisters("d", found.ballot.round) in out
+    assert found.handle_claimed(at, found.ballot.round) == [HoldingStarted("d", found.ballot.round)]
     return found
 
 
 def test_a_voter_that_lost_its_memory_says_nothing_for_a_lease() -> None:
     fresh = Voter(TIMES, 10.0)
-    assert fresh.on(13.99, Prepare("d", Ballot(1, A), INITIAL_CONFIG_ID)) is None
-    assert isinstance(fresh.on(14.0, Prepare("d", Ballot(1, A), INITIAL_CONFIG_ID)), Promise)
+    assert fresh.handle_request(13.99, Prepare("d", Ballot(1, A), INITIAL_CONFIG_ID)) is None
+    assert isinstance(fresh.handle_request(14.0, Prepare("d", Ballot(1, A), INITIAL_CONFIG_ID)), Promise)
 
 
 def test_who_asks_cannot_disturb_who_holds() -> None:
     v = voter()
-    v.on(0.0, Prepare("d", Ballot(5, A), INITIAL_CONFIG_ID))
-    assert isinstance(v.on(0.1, accept(5, A)), LeaseGrant)
-    refused = v.on(1.0, Prepare("d", Ballot(9, B), INITIAL_CONFIG_ID))
+    v.handle_request(0.0, Prepare("d", Ballot(5, A), INITIAL_CONFIG_ID))
+    assert isinstance(v.handle_request(0.1, accept(5, A)), LeaseGrant)
+    refused = v.handle_request(1.0, Prepare("d", Ballot(9, B), INITIAL_CONFIG_ID))
     assert (
         isinstance(refused, LeaseRejection)
         and refused.holder == A
         and 3_000 < refused.retry_after_ms <= 3_101
     )
-    assert isinstance(v.on(2.0, accept(5, A, held=True)), LeaseGrant)  # its renewal goes on
-    assert isinstance(v.on(5.9, accept(9, B)), LeaseRejection)
-    assert isinstance(v.on(6.0, Prepare("d", Ballot(9, B), INITIAL_CONFIG_ID)), Promise)
+    assert isinstance(v.handle_request(2.0, accept(5, A, held=True)), LeaseGrant)  # its renewal goes on
+    assert isinstance(v.handle_request(5.9, accept(9, B)), LeaseRejection)
+    assert isinstance(v.handle_request(6.0, Prepare("d", Ballot(9, B), INITIAL_CONFIG_ID)), Promise)
 
 
 def test_a_renewal_joins_a_voter_whose_floor_is_above_it_and_a_late_accept_does_not() -> None:
     v = voter(floor=1_000)
-    assert isinstance(v.on(0.0, accept(5, A, held=False)), LeaseRejection)
-    assert isinstance(v.on(0.0, accept(5, A, held=True)), LeaseGrant)
-    assert isinstance(v.on(5.0, Prepare("d", Ballot(999, B), INITIAL_CONFIG_ID)), LeaseRejection)
-    assert isinstance(v.on(5.0, Prepare("d", Ballot(1_001, B), INITIAL_CONFIG_ID)), Promise)
+    assert isinstance(v.handle_request(0.0, accept(5, A, held=False)), LeaseRejection)
+    assert isinstance(v.handle_request(0.0, accept(5, A, held=True)), LeaseGrant)
+    assert isinstance(v.handle_request(5.0, Prepare("d", Ballot(999, B), INITIAL_CONFIG_ID)), LeaseRejection)
+    assert isinstance(v.handle_request(5.0, Prepare("d", Ballot(1_001, B), INITIAL_CONFIG_ID)), Promise)
 
 
 def test_two_candidates_never_share_a_round() -> None:
     v = voter()
-    assert isinstance(v.on(0.0, Prepare("d", Ballot(5, A), INITIAL_CONFIG_ID)), Promise)
-    assert isinstance(v.on(0.0, Prepare("d", Ballot(5, A), INITIAL_CONFIG_ID)), Promise)  # repeated
-    assert isinstance(v.on(0.0, Prepare("d", Ballot(5, B), INITIAL_CONFIG_ID)), LeaseRejection)
+    assert isinstance(v.handle_request(0.0, Prepare("d", Ballot(5, A), INITIAL_CONFIG_ID)), Promise)
+    assert isinstance(
+        v.handle_request(0.0, Prepare("d", Ballot(5, A), INITIAL_CONFIG_ID)), Promise
+    )  # repeated
+    assert isinstance(v.handle_request(0.0, Prepare("d", Ballot(5, B), INITIAL_CONFIG_ID)), LeaseRejection)
 
 
 def test_a_renewal_after_the_release_is_worth_nothing() -> None:
     v = voter()
-    v.on(0.0, Prepare("d", Ballot(5, A), INITIAL_CONFIG_ID))
-    v.on(0.0, accept(5, A))
-    v.on(1.0, Release("d", Ballot(4, B), False))  # not its own: nothing ends
-    assert isinstance(v.on(1.0, Prepare("d", Ballot(6, B), INITIAL_CONFIG_ID)), LeaseRejection)
-    v.on(1.0, Release("d", Ballot(5, A), False))
-    assert isinstance(v.on(1.1, accept(5, A)), LeaseRejection)
-    assert isinstance(v.on(1.1, Prepare("d", Ballot(6, B), INITIAL_CONFIG_ID)), Promise)
+    v.handle_request(0.0, Prepare("d", Ballot(5, A), INITIAL_CONFIG_ID))
+    v.handle_request(0.0, accept(5, A))
+    v.handle_request(1.0, Release("d", Ballot(4, B), False))  # not its own: nothing ends
+    assert isinstance(v.handle_request(1.0, Prepare("d", Ballot(6, B), INITIAL_CONFIG_ID)), LeaseRejection)
+    v.handle_request(1.0, Release("d", Ballot(5, A), False))
+    assert isinstance(v.handle_request(1.1, accept(5, A)), LeaseRejection)
+    assert isinstance(v.handle_request(1.1, Prepare("d", Ballot(6, B), INITIAL_CONFIG_ID)), Promise)
 
 
 def test_a_failed_holding_cools_longer_each_time_and_one_that_lasted_does_not() -> None:
     v, now = voter(), 0.0
     for number in range(1, 4):
-        v.on(now, Prepare("d", Ballot(number, A), INITIAL_CONFIG_ID))
-        v.on(now, accept(number, A))
-        v.on(now, Release("d", Ballot(number, A), True))
-        wait = FIRST_COOL_S * 2 ** (number - 1)
+        v.handle_request(now, Prepare("d", Ballot(number, A), INITIAL_CONFIG_ID))
+        v.handle_request(now, accept(number, A))
+        v.handle_request(now, Release("d", Ballot(number, A), True))
+        wait = MIN_COOLDOWN_S * 2 ** (number - 1)
         assert isinstance(
-            v.on(now + wait * 0.99, Prepare("d", Ballot(number + 1, B), INITIAL_CONFIG_ID)), LeaseRejection
+            v.handle_request(now + wait * 0.99, Prepare("d", Ballot(number + 1, B), INITIAL_CONFIG_ID)),
+            LeaseRejection,
         )
         now += wait
-    v.on(now, Prepare("d", Ballot(9, A), INITIAL_CONFIG_ID))
+    v.handle_request(now, Prepare("d", Ballot(9, A), INITIAL_CONFIG_ID))
     for step in range(6):
-        v.on(now + step * 3, accept(9, A, held=True))
-    v.on(now + 16, Release("d", Ballot(9, A), True))
-    assert isinstance(v.on(now + 16 + FIRST_COOL_S, Prepare("d", Ballot(10, B), INITIAL_CONFIG_ID)), Promise)
+        v.handle_request(now + step * 3, accept(9, A, held=True))
+    v.handle_request(now + 16, Release("d", Ballot(9, A), True))
+    assert isinstance(
+        v.handle_request(now + 16 + MIN_COOLDOWN_S, Prepare("d", Ballot(10, B), INITIAL_CONFIG_ID)), Promise
+    )
 
 
 @pytest.mark.parametrize("lease", [0.0, 4.1, 1e6])
 def test_a_grant_never_outlives_the_silence_after_a_restart(lease: float) -> None:
     v = voter()
-    v.on(0.0, Prepare("d", Ballot(5, A), INITIAL_CONFIG_ID))
-    assert isinstance(v.on(0.0, accept(5, A, lease=lease)), LeaseRejection)
+    v.handle_request(0.0, Prepare("d", Ballot(5, A), INITIAL_CONFIG_ID))
+    assert isinstance(v.handle_request(0.0, accept(5, A, lease=lease)), LeaseRejection)
 
 
 def test_a_round_that_leaps_to_the_end_of_all_numbers_is_refused() -> None:
-    assert isinstance(voter().on(0.0, Prepare("d", Ballot(2**52, A), INITIAL_CONFIG_ID)), LeaseRejection)
+    assert isinstance(
+        voter().handle_request(0.0, Prepare("d", Ballot(2**52, A), INITIAL_CONFIG_ID)), LeaseRejection
+    )
 
 
 def test_voters_of_an_older_roll_are_not_answered_with_a_vote() -> None:
     v = voter()
     v.config_id = (2, 3)
-    assert isinstance(v.on(0.0, Prepare("d", Ballot(5, A), (1, 7))), LeaseRejection)
-    assert isinstance(v.on(0.0, Prepare("d", Ballot(5, A), (2, 3))), Promise)
+    assert isinstance(v.handle_request(0.0, Prepare("d", Ballot(5, A), (1, 7))), LeaseRejection)
+    assert isinstance(v.handle_request(0.0, Prepare("d", Ballot(5, A), (2, 3))), Promise)
 
 
 def test_time_counts_from_the_ask() -> None:
     found = holding(10.0)
-    assert found.until == pytest.approx(10.0 + TIMES.hold_duration)
-    assert found.mine(10.0 + TIMES.hold_duration - 0.001)
-    assert not found.mine(10.0 + TIMES.hold_duration)  # also where nobody has looked at the clock
-    assert [type(a) for a in found.tick(found.until)][0] is Ended
+    assert found.held_until == pytest.approx(10.0 + TIMES.hold_duration)
+    assert found.is_held(10.0 + TIMES.hold_duration - 0.001)
+    assert not found.is_held(10.0 + TIMES.hold_duration)  # also where nobody has looked at the clock
+    assert [type(a) for a in found.tick(found.held_until)][0] is HoldingEnded
 
 
 def test_answers_of_an_old_ballot_an_old_ask_or_a_stranger_are_not_counted() -> None:
     found = candidate()
     found.tick(0.0)
     old = found.ballot
-    found.tick(found.due)  # crossed: nobody answered
-    found.tick(found.due)
+    found.tick(found.due_at)  # crossed: nobody answered
+    found.tick(found.due_at)
     assert found.ballot.round > old.round and found.state is State.PREPARING
     for name in VOTERS:
-        assert found.heard(1.0, name, Promise("d", old)) == []
-    assert found.heard(1.0, "stranger", Promise("d", found.ballot)) == []
+        assert found.handle_response(1.0, name, Promise("d", old)) == []
+    assert found.handle_response(1.0, "stranger", Promise("d", found.ballot)) == []
     assert found.state is State.PREPARING
     held = holding()
-    first = held.asked
-    held.tick(held.due)
+    first = held.last_request_number
+    held.tick(held.due_at)
     for name in VOTERS:
-        held.heard(1.0, name, LeaseGrant("d", held.ballot, first))
-    assert held.until == pytest.approx(TIMES.hold_duration)
+        held.handle_response(1.0, name, LeaseGrant("d", held.ballot, first))
+    assert held.held_until == pytest.approx(TIMES.hold_duration)
 
 
 def test_grants_that_come_after_their_time_are_worth_nothing() -> None:
     found = candidate()
     found.tick(0.0)
     for name in VOTERS[:2]:
-        found.heard(0.0, name, Promise("d", found.ballot))
+        found.handle_response(0.0, name, Promise("d", found.ballot))
     for name in VOTERS:
-        assert found.heard(TIMES.hold_duration, name, LeaseGrant("d", found.ballot, found.asked)) == []
+        assert (
+            found.handle_response(
+                TIMES.hold_duration, name, LeaseGrant("d", found.ballot, found.last_request_number)
+            )
+            == []
+        )
     assert found.state is State.ACCEPTING
 
 
 def test_a_fence_that_is_too_low_is_followed_by_a_higher_one_at_once() -> None:
     found = holding()
-    out = found.too_low(1.0, found.ballot.round, 1_000)
-    assert isinstance(out[0], Ended) and any(isinstance(a, Send) for a in out)
-    asked = [a.message for a in found.tick(1.0) if isinstance(a, Send)]
+    out = found.handle_low_fence(1.0, found.ballot.round, 1_000)
+    assert isinstance(out[0], HoldingEnded) and any(isinstance(a, SendMessage) for a in out)
+    asked = [a.message for a in found.tick(1.0) if isinstance(a, SendMessage)]
     assert asked and all(isinstance(m, Prepare) and m.ballot.round == 1_001 for m in asked)
 
 
 def test_who_is_offered_a_duty_tries_above_the_fence_that_it_was_held_under() -> None:
     """Else the try is refused, and who let go of it is back before the next one."""
     found = candidate()
-    found.heard_of(180)
+    found.observe_round(180)
     (first, *_) = found.tick(0.0)
-    assert isinstance(first, Send) and isinstance(first.message, Prepare)
+    assert isinstance(first, SendMessage) and isinstance(first.message, Prepare)
     assert first.message.ballot.round == 181
 
 
@@ -196,24 +215,24 @@
     found = candidate()
     found.tick(0.0)
     for name in VOTERS[:2]:
-        found.heard(0.0, name, Promise("d", found.ballot))
+        found.handle_response(0.0, name, Promise("d", found.ballot))
     now = 0.0
     while found.state is not State.IDLE or not now:
         for name in VOTERS[:2]:
-            found.heard(now, name, LeaseGrant("d", found.ballot, found.asked))
-        now = found.next_at()
+            found.handle_response(now, name, LeaseGrant("d", found.ballot, found.last_request_number))
+        now = found.next_tick_at()
         out = found.tick(now)
     assert now == pytest.approx(TIMES.claim)
-    assert Send("v0", Release("d", found.ballot, True)) in out
+    assert SendMessage("v0", Release("d", found.ballot, True)) in out
 
 
 def test_a_refusal_that_tells_the_time_is_waited_for() -> None:
     found = candidate()
     found.tick(0.0)
     for name in VOTERS[:2]:
-        found.heard(0.0, name, LeaseRejection("d", found.ballot, B, 2_500, 77))
-    assert found.state is State.IDLE and found.due == pytest.approx(2.5) and found.holder == B
-    found.tick(found.due)
+        found.handle_response(0.0, name, LeaseRejection("d", found.ballot, B, 2_500, 77))
+    assert found.state is State.IDLE and found.due_at == pytest.approx(2.5) and found.known_holder == B
+    found.tick(found.due_at)
     assert found.ballot.round == 78
 
 
