--- a/roadpulley/fleet/agent.py
+++ b/roadpulley/fleet/agent.py
@@ -239,14 +239,14 @@
                 old.close()
             assert self.members is not None
             self.problems.pop("address", None)
-            self.members.move("")
+            self.members.set_address("")
             self._vote()
             log.info("address is ours now", address=wanted)
             return
 
     async def _leave(self) -> None:
         assert self.members is not None
-        self.members.able(0)
+        self.members.set_duty_bits(0)
         await self.duties.leave()
         self._tell(self.members.leave(self.clock.now()))
         self.post.flush()
@@ -271,10 +271,10 @@
 
     def _look(self) -> None:
         assert self.members is not None
-        for who, state in self.members.news:
+        for who, state in self.members.state_changes:
             log.info("member", who=who.name, its_boot=who.boot, state=state.name.lower())
-        self.members.news.clear()
-        there = [m for m in self.members.there() if m.state is MemberState.ALIVE]
+        self.members.state_changes.clear()
+        there = [m for m in self.members.active_claims() if m.state is MemberState.ALIVE]
         self.duties.arrange(there, self.bits)
 
     # ---- time ----
@@ -290,7 +290,7 @@
         self.setting = False
         if self.members is None or self.post.transport is None:
             return
-        due = min(self.duties.next_at(), self.members.next_at())
+        due = min(self.duties.next_at(), self.members.next_deadline())
         if self.timer is not None:
             self.timer.cancel()
         wait = max(0.0, (due - self.clock.now()) / self.clock.rate)
@@ -300,9 +300,9 @@
         assert self.members is not None
         self.duties.tick()
         now = self.clock.now()
-        if now >= self.members.next_at():
+        if now >= self.members.next_deadline():
             self._tell(self.members.tick(now))
-        if any(state is not MemberState.SUSPECT for _, state in self.members.news):
+        if any(state is not MemberState.SUSPECT for _, state in self.members.state_changes):
             self._look()
         self._set()
 
@@ -311,8 +311,8 @@
     def _taken(self, envelope: Envelope, address: str) -> DropReason | None:
         if self.members is None:
             return DropReason.STALE  # it comes before this process knows its own address
-        who = ProcessId(envelope.name, envelope.boot)
-        for_us = envelope.to_boot == self.me.boot
+        who = ProcessId(envelope.sender, envelope.sender_boot)
+        for_us = envelope.receiver_boot == self.me.boot
         try:
             bodies = [DECODER.decode(raw) for raw in envelope.bodies]
         except (msgspec.DecodeError, msgspec.ValidationError):
@@ -320,7 +320,7 @@
         self.met[address] = who
         for body in bodies:
             if isinstance(body, MEMBERS):
-                self._tell(self.members.heard(self.clock.now(), who, address, body))
+                self._tell(self.members.handle_message(self.clock.now(), who, address, body))
             elif not for_us:
                 # Danger: what was meant for the process before this one must not be taken up by it. The
                 # sender is told who is here now.
@@ -369,7 +369,7 @@
 
     def _tell(self, tells: list[OutboundMessage]) -> None:
         for tell in tells:
-            self.post.send(tell.address, tell.who.boot, tell.body)
+            self.post.send(tell.address, tell.receiver.boot, tell.body)
 
     def _parts(self) -> list[RightsService | CounterReplicator | OrderService | VerdictService]:
         parts = (self.rights, self.counting, self.orders, self.verdicts)
@@ -395,7 +395,11 @@
         """To all other instances that are there."""
         if self.members is None:
             return []
-        return [(self.members.where(m), m.claim.who.boot) for m in self.members.table.values() if m.there()]
+        return [
+            (self.members.address_of(m), m.claim.process.boot)
+            for m in self.members.table.values()
+            if m.is_active()
+        ]
 
     def _route_to(self, voter: str) -> Route | None:
         """To whoever was heard at a voter's address last."""
@@ -498,13 +502,13 @@
             return
         if member := self.members.table.get(who):
             part = int(duty.removeprefix(RIGHTS))
-            await self.rights.handing(part, (self.members.where(member), who.boot))
+            await self.rights.handing(part, (self.members.address_of(member), who.boot))
 
     def _offer(self, who: ProcessId, duty: str, fence: int) -> None:
         assert self.members is not None
         order = [w for w in self.duties.orders.get(duty, []) if w != self.me]
         if member := self.members.table.get(who):
-            self.post.send(self.members.where(member), who.boot, Offer(duty, order.index(who), fence))
+            self.post.send(self.members.address_of(member), who.boot, Offer(duty, order.index(who), fence))
 
     # ---- people ----
 
--- a/roadpulley/fleet/agent_link.py
+++ b/roadpulley/fleet/agent_link.py
@@ -30,30 +30,30 @@
 class AgentLink(asyncio.DatagramProtocol):
     """`instance`: its socket, `NAME.beside` in the folder of the fleet's sockets. `number`: this process."""
 
-    def __init__(self, instance: Path) -> None:
-        self.instance = instance
-        self.number = secrets.randbits(WORKER_ID_BITS) or 1
-        self.path = instance.with_name(f"{instance.name}.{self.number:x}")
+    def __init__(self, agent_path: Path) -> None:
+        self.instance = agent_path
+        self.worker_id = secrets.randbits(WORKER_ID_BITS) or 1
+        self.path = agent_path.with_name(f"{agent_path.name}.{self.worker_id:x}")
         self.listeners: list[Callable[[AgentMessage], None]] = []
-        self.hello: asyncio.TimerHandle | None = None
+        self.hello_timer: asyncio.TimerHandle | None = None
         self.socket: DatagramSocket | None = None
-        self.unsent = 0
+        self.send_failures = 0
 
     async def open(self) -> None:
         """Raises OSError where the folder can't be written."""
-        self.socket = await SocketPath(self.path).datagrams(self)
-        self._hello()
+        self.socket = await SocketPath(self.path).open_datagram_socket(self)
+        self._send_hello()
 
     def close(self) -> None:
-        if self.hello is not None:
-            self.hello.cancel()
+        if self.hello_timer is not None:
+            self.hello_timer.cancel()
         if self.socket is not None:
             self.socket.close()
             self.socket = None
 
-    def _hello(self) -> None:
-        self.send(Hello(self.number))
-        self.hello = asyncio.get_running_loop().call_later(HELLO_INTERVAL_S, self._hello)
+    def _send_hello(self) -> None:
+        self.send(Hello(self.worker_id))
+        self.hello_timer = asyncio.get_running_loop().call_later(HELLO_INTERVAL_S, self._send_hello)
 
     def send(self, body: Any) -> None:
         if self.socket is None:
@@ -61,7 +61,9 @@
         try:
             self.socket.send(ENCODER.encode(body), str(self.instance))
         except OSError:
-            self.unsent += 1  # no instance there just now, or it reads too slowly: as if lost on a link
+            self.send_failures += (
+                1  # no instance there just now, or it reads too slowly: as if lost on a link
+            )
 
     def datagram_received(self, data: bytes, addr: object) -> None:
         try:
--- a/roadpulley/fleet/clock.py
+++ b/roadpulley/fleet/clock.py
@@ -23,14 +23,14 @@
 
     def __init__(self, rate: float = 1.0) -> None:
         self.rate = rate
-        self.id = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+        self.clock_id = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
     def now(self) -> MonotonicTime:
-        return time.clock_gettime(self.id) * self.rate
+        return time.clock_gettime(self.clock_id) * self.rate
 
     def unscaled_now(self) -> float:
         """What all processes of this machine agree on: for histories that are judged, for nothing else."""
-        return time.clock_gettime(self.id)
+        return time.clock_gettime(self.clock_id)
 
 
 def wall_ms() -> int:
--- a/roadpulley/fleet/control.py
+++ b/roadpulley/fleet/control.py
@@ -22,10 +22,10 @@
 
 
 class ControlServer:
-    def __init__(self, folder: Path, name: str, answer: CallHandler) -> None:
-        self.path, self.answer = folder / f"{name}.sock", answer
+    def __init__(self, folder: Path, name: str, handler: CallHandler) -> None:
+        self.path, self.answer = folder / f"{name}.sock", handler
         self.server: asyncio.Server | None = None
-        self.place = SocketPath(self.path)
+        self.socket_path = SocketPath(self.path)
 
     async def open(self) -> None:
         """Take the path, also from a process that has it still: the newer one answers. Raises OSError,
@@ -34,9 +34,9 @@
             raise ValidationError(
                 "control", f"{self.path} is too long for a socket", f"give at most {MAX_PATH_BYTES} bytes"
             )
-        self.place.clear()
+        self.socket_path.remove_existing()
         self.server = await asyncio.start_unix_server(self._serve, str(self.path), limit=MAX_LINE_BYTES)
-        self.place.taken()
+        self.socket_path.record_ownership()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
@@ -53,7 +53,7 @@
     async def close(self) -> None:
         if self.server is not None:
             self.server.close()
-            self.place.leave()
+            self.socket_path.remove_if_owned()
 
 
 def call_agent(folder: Path, name: str, call: str, **args: Any) -> dict[str, Any]:
--- a/roadpulley/fleet/counts/client.py
+++ b/roadpulley/fleet/counts/client.py
@@ -31,7 +31,7 @@
 
     def add(self, name: str, amount: float, expire_in: float, done: CounterCallback) -> None:
         self.number += 1
-        ask = AddRequest(self.line.number, self.number, name, amount, max(1, int(expire_in)))
+        ask = AddRequest(self.line.worker_id, self.number, name, amount, max(1, int(expire_in)))
         call = self.asked[self.number] = CounterCall(self, name, b"", done)
         self.calls.setdefault(name, deque()).append(call)
         self._send(call, ask, now_ms() + self.wait)
@@ -49,7 +49,7 @@
         call.end(Outcome.TIMED_OUT)
 
     def _heard(self, body: Any) -> None:
-        if isinstance(body, AddReply) and body.holder == self.line.number:
+        if isinstance(body, AddReply) and body.holder == self.line.worker_id:
             if call := self.asked.pop(body.number, None):
                 call.end(Outcome.OK, body.total)
 
--- a/roadpulley/fleet/counts/service.py
+++ b/roadpulley/fleet/counts/service.py
@@ -74,7 +74,7 @@
         if answer is None:
             self.refused += 1
         else:
-            self.beside.tell(ask.holder, answer)
+            self.beside.send_to(ask.holder, answer)
             if self.saying is None and self.machine.changed:
                 self.saying = asyncio.get_running_loop().call_later(self.settings.say, self._say)
 
--- a/roadpulley/fleet/duties/service.py
+++ b/roadpulley/fleet/duties/service.py
@@ -157,7 +157,7 @@
     def arrange(self, members: list[Member], bits: Mapping[str, int]) -> None:
         """Who tries to take what, by the members that are seen; and what should go to another instance."""
         now, names = self.clock.now(), list(bits)
-        able = {n: [m.who for m in members if m.can >> bits[n] & 1] for n in names}
+        able = {n: [m.process for m in members if m.duty_bits >> bits[n] & 1] for n in names}
         self.orders = spread(able, {n: self.settings.duties[n].prefer for n in names})
         for name, holding in self.holdings.items():
             if name == VOTERS_DUTY:
--- a/roadpulley/fleet/members/messages.py
+++ b/roadpulley/fleet/members/messages.py
@@ -34,13 +34,13 @@
 class Claim(msgspec.Struct, array_like=True, frozen=True):
     """Of one process. `address`: where to reach it, empty if the settings say it; `can`: duties, by bits."""
 
-    who: ProcessId
+    process: ProcessId
     incarnation: int
     state: MemberState
     address: str
-    can: int = 0
+    duty_bits: int = 0
 
-    def over(self, other: Claim) -> bool:
+    def supersedes(self, other: Claim) -> bool:
         return (self.incarnation, self.state) > (other.incarnation, other.state)
 
 
@@ -53,8 +53,8 @@
     """Ping that one for me: I don't hear it."""
 
     number: int
-    who: ProcessId
-    address: str
+    target: ProcessId
+    target_address: str
     claims: tuple[Claim, ...]
 
 
@@ -62,7 +62,7 @@
     """`who` answered: the sender, or the one that was asked for."""
 
     number: int
-    who: ProcessId
+    responder: ProcessId
     claims: tuple[Claim, ...]
 
 
--- a/roadpulley/fleet/orders/client.py
+++ b/roadpulley/fleet/orders/client.py
@@ -51,7 +51,7 @@
         clock: Clock | None = None,
     ) -> None:
         self.line, self.changed, self.clock = line, changed, clock or from_environment()
-        self.follower = Follower(terms, line.number)
+        self.follower = Follower(terms, line.worker_id)
         self.standing: tuple[Order, ...] = ()
         self.fresh = False
         line.listeners.append(self._heard)
@@ -69,7 +69,7 @@
 
     def _heard(self, body: Any) -> None:
         now = self.clock.now()
-        if isinstance(body, PollReply) and body.holder == self.line.number:
+        if isinstance(body, PollReply) and body.holder == self.line.worker_id:
             self.follower.standing(now, body)
         elif isinstance(body, BookPage):
             self.follower.sheet(now, body)
--- a/roadpulley/fleet/orders/service.py
+++ b/roadpulley/fleet/orders/service.py
@@ -329,10 +329,10 @@
         now, book = self.clock.now(), self.follower.goes_by(self.clock.now())
         holds = self.follower.left(now)
         said = PollReply(poll.holder, poll.number, book.id.fence, book.id, holds)
-        self.beside.tell(poll.holder, said)
+        self.beside.send_to(poll.holder, said)
         if poll.id != book.id:
             for sheet in split_into_pages(book):
-                self.beside.tell(poll.holder, sheet)
+                self.beside.send_to(poll.holder, sheet)
 
     # ---- operators ----
 
--- a/roadpulley/fleet/peers/envelope.py
+++ b/roadpulley/fleet/peers/envelope.py
@@ -33,10 +33,10 @@
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
     format: int
     installation: str
-    name: str
-    boot: int
-    number: int
-    to_boot: int
+    sender: str
+    sender_boot: int
+    sequence: int
+    receiver_boot: int
     bodies: list[msgspec.Raw]
 
 
@@ -60,13 +60,13 @@
 @dataclass(slots=True)
 class ReplayWindow:
     highest: int = -1
-    seen: int = 0  # bit k: `highest - k` was taken
+    received_bits: int = 0  # bit k: `highest - k` was taken
 
-    def take(self, number: int) -> DropReason | None:
+    def accept(self, number: int) -> DropReason | None:
         ahead = number - self.highest
         if ahead > 0:
-            self.seen = (
-                ((self.seen << ahead) | 1) & ((1 << REPLAY_WINDOW_SIZE) - 1)
+            self.received_bits = (
+                ((self.received_bits << ahead) | 1) & ((1 << REPLAY_WINDOW_SIZE) - 1)
                 if ahead < REPLAY_WINDOW_SIZE
                 else 1
             )
@@ -74,9 +74,9 @@
             return None
         if -ahead >= REPLAY_WINDOW_SIZE:
             return DropReason.STALE
-        if self.seen >> -ahead & 1:
+        if self.received_bits >> -ahead & 1:
             return DropReason.REPLAYED
-        self.seen |= 1 << -ahead
+        self.received_bits |= 1 << -ahead
         return None
 
 
@@ -87,10 +87,10 @@
         self.installation, self.name, self.boot, self.key = installation, name, boot, key
         self.encoder, self.decoder = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Envelope)
         self.windows: OrderedDict[tuple[str, int], ReplayWindow] = OrderedDict()
-        self.number = 0
-        self.room = MAX_DATAGRAM_BYTES - OVERHEAD - (MAC_BYTES if key else 0)
+        self.last_sequence = 0
+        self.max_body_bytes = MAX_DATAGRAM_BYTES - OVERHEAD - (MAC_BYTES if key else 0)
 
-    def body(self, message: Any) -> msgspec.Raw:
+    def encode_body(self, message: Any) -> msgspec.Raw:
         return msgspec.Raw(self.encoder.encode(message))
 
     def pack(self, to_boot: int, bodies: Sequence[msgspec.Raw]) -> list[bytes]:
@@ -100,21 +100,21 @@
         size = 0
         for body in bodies:
             length = len(memoryview(body))
-            if length > self.room:
-                raise ValueError(f"a body of {length} bytes; {self.room} fit into a datagram")
-            if size + length > self.room:
-                out.append(self._seal(to_boot, some))
+            if length > self.max_body_bytes:
+                raise ValueError(f"a body of {length} bytes; {self.max_body_bytes} fit into a datagram")
+            if size + length > self.max_body_bytes:
+                out.append(self._encode_datagram(to_boot, some))
                 some, size = [], 0
             some.append(body)
             size += length
         if some:
-            out.append(self._seal(to_boot, some))
+            out.append(self._encode_datagram(to_boot, some))
         return out
 
-    def _seal(self, to_boot: int, bodies: list[msgspec.Raw]) -> bytes:
-        self.number += 1
+    def _encode_datagram(self, to_boot: int, bodies: list[msgspec.Raw]) -> bytes:
+        self.last_sequence += 1
         data = self.encoder.encode(
-            Envelope(FORMAT, self.installation, self.name, self.boot, self.number, to_boot, bodies)
+            Envelope(FORMAT, self.installation, self.name, self.boot, self.last_sequence, to_boot, bodies)
         )
         return data + self._mac(data) if self.key else data
 
@@ -138,15 +138,15 @@
             return DropReason.UNKNOWN_FORMAT
         if found.installation != self.installation:
             return DropReason.OTHER_INSTALLATION
-        if found.boot <= 0 or found.number <= 0 or len(found.name) > 32:
+        if found.sender_boot <= 0 or found.sequence <= 0 or len(found.sender) > 32:
             return DropReason.MALFORMED
-        if found.boot == self.boot and found.name == self.name:
+        if found.sender_boot == self.boot and found.sender == self.name:
             return DropReason.OWN_DATAGRAM
-        if cause := self._window(found.name, found.boot).take(found.number):
+        if cause := self._find_window(found.sender, found.sender_boot).accept(found.sequence):
             return cause
         return found
 
-    def _window(self, name: str, boot: int) -> ReplayWindow:
+    def _find_window(self, name: str, boot: int) -> ReplayWindow:
         window = self.windows.setdefault((name, boot), ReplayWindow())
         self.windows.move_to_end((name, boot))
         if len(self.windows) > MAX_SENDERS:
--- a/roadpulley/fleet/peers/service.py
+++ b/roadpulley/fleet/peers/service.py
@@ -25,14 +25,14 @@
 
 
 class DatagramEndpoint(asyncio.DatagramProtocol):
-    def __init__(self, codec: Codec, taken: EnvelopeHandler) -> None:
-        self.codec, self.taken = codec, taken
+    def __init__(self, codec: Codec, handler: EnvelopeHandler) -> None:
+        self.codec, self.taken = codec, handler
         self.transport: asyncio.DatagramTransport | None = None
-        self.waiting: dict[tuple[str, int], list[msgspec.Raw]] = {}
+        self.pending: dict[tuple[str, int], list[msgspec.Raw]] = {}
         self.dropped: Counter[str] = Counter()
         self.sent = self.sent_bytes = self.received = self.received_bytes = 0
         self.errors: Counter[str] = Counter()
-        self.flushing = False
+        self.flush_scheduled = False
 
     async def open(self, address: str) -> None:
         """Listen there. Raises OSError, where another process has it too."""
@@ -60,14 +60,14 @@
         if not address:
             self.errors["no address"] += 1
             return
-        self.waiting.setdefault((address, to_boot), []).append(self.codec.body(body))
-        if not self.flushing:
-            self.flushing = True
+        self.pending.setdefault((address, to_boot), []).append(self.codec.encode_body(body))
+        if not self.flush_scheduled:
+            self.flush_scheduled = True
             asyncio.get_running_loop().call_soon(self.flush)
 
     def flush(self) -> None:
-        self.flushing = False
-        waiting, self.waiting = self.waiting, {}
+        self.flush_scheduled = False
+        waiting, self.pending = self.pending, {}
         if self.transport is None or self.transport.is_closing():
             return
         for (address, to_boot), bodies in waiting.items():
--- a/roadpulley/fleet/report.py
+++ b/roadpulley/fleet/report.py
@@ -18,12 +18,12 @@
     now, machine = agent.clock.now(), agent.members
     rows = [
         {
-            "name": m.claim.who.name,
-            "boot": m.claim.who.boot,
+            "name": m.claim.process.name,
+            "boot": m.claim.process.boot,
             "state": m.claim.state.name.lower(),
-            "for_s": round(now - m.since, 1),
-            "address": machine.where(m),
-            "votes": m.claim.who.name in agent.reconfiguration.config.voters,
+            "for_s": round(now - m.state_since, 1),
+            "address": machine.address_of(m),
+            "votes": m.claim.process.name in agent.reconfiguration.config.voters,
         }
         for m in machine.table.values()
     ]
@@ -40,8 +40,8 @@
         "instance": agent.name,
         "members": sorted([mine, *rows], key=lambda r: (r["name"], r["boot"])),
         "unseen": sorted(set(agent.settings.static) - seen),
-        "slowness": machine.health,
-        "refuted": machine.false_alarms,
+        "slowness": machine.health_score,
+        "refuted": machine.refutations,
         "datagrams": {
             "sent": agent.post.sent,
             "sent_bytes": agent.post.sent_bytes,
@@ -156,5 +156,5 @@
 
 def list_unseen_voters(agent: Agent) -> list[str]:
     assert agent.members is not None
-    alive = {m.who.name for m in agent.members.there() if m.state.name == "ALIVE"}
+    alive = {m.process.name for m in agent.members.active_claims() if m.state.name == "ALIVE"}
     return sorted(set(agent.reconfiguration.config.voters) - alive)
--- a/roadpulley/fleet/rights/client.py
+++ b/roadpulley/fleet/rights/client.py
@@ -162,13 +162,15 @@
         now = self.clock.now()
         if isinstance(body, Welcome):
             if self.machine is None or self.machine.parts != body.parts:
-                self.machine = Holder(self.line.number, body.parts, body.times)
-                self.line.send(Hello(self.line.number))  # who serves is told again, now that it can be kept
+                self.machine = Holder(self.line.worker_id, body.parts, body.times)
+                self.line.send(
+                    Hello(self.line.worker_id)
+                )  # who serves is told again, now that it can be kept
         elif self.machine is None:
             return
         elif isinstance(body, AllocatorAnnouncement):
             self.machine.serving(now, body.part, body.fence, body.left_ms / 1000)
-        elif body.holder == self.line.number:
+        elif body.holder == self.line.worker_id:
             limit, waited = body.limit, self._asks(body.limit)
             self.machine.heard(now, body)
             if waited and not self._asks(limit):
--- a/roadpulley/fleet/rights/service.py
+++ b/roadpulley/fleet/rights/service.py
@@ -178,7 +178,7 @@
                 serving = AllocatorAnnouncement(part, allocator.fence, int(ANNOUNCEMENT_LIFETIME_S * 1000))
                 for route in self.everybody():
                     self.tell(route, serving)
-                self.beside.tell_all(serving)
+                self.beside.send_to_all(serving)
 
     # ---- between instances ----
 
@@ -187,7 +187,7 @@
         if isinstance(body, AllocatorAnnouncement):
             self._served(route, body)
         elif isinstance(body, RightsReply):
-            self.beside.tell(body.holder, body)
+            self.beside.send_to(body.holder, body)
         elif isinstance(body, HandoverOffer):
             self._heir(route, body)
         elif isinstance(body, HandoverRequest):
@@ -204,7 +204,7 @@
             self.counts["words of an earlier allocator"] += 1
             return
         self.known[serving.part] = serving.fence, route, now + serving.left_ms / 1000
-        self.beside.tell_all(serving)
+        self.beside.send_to_all(serving)
 
     # ---- the processes beside ----
 
@@ -216,23 +216,23 @@
             self.counts["too long a name"] += 1
             return
         if (given := self.asked(body) if body.part in self.ours else None) is not None:
-            return self.beside.tell(body.holder, given)
+            return self.beside.send_to(body.holder, given)
         fence, route, until = self.known.get(body.part, (0, ("", 0), 0.0))
         if fence == body.fence and self.clock.now() < until:
             self.counts["passed on"] += 1
             self.tell(route, body)
 
     def _welcome(self, holder: int) -> None:
-        self.beside.tell(holder, Welcome(self.settings.parts, self.settings.times))
+        self.beside.send_to(holder, Welcome(self.settings.parts, self.settings.times))
         for part in list(self.ours):
             if allocator := self.allocator(part):
-                self.beside.tell(
+                self.beside.send_to(
                     holder, AllocatorAnnouncement(part, allocator.fence, int(ANNOUNCEMENT_LIFETIME_S * 1000))
                 )
         now = self.clock.now()
         for part, (fence, _, until) in self.known.items():
             if part not in self.ours and now < until:
-                self.beside.tell(holder, AllocatorAnnouncement(part, fence, int((until - now) * 1000)))
+                self.beside.send_to(holder, AllocatorAnnouncement(part, fence, int((until - now) * 1000)))
 
     # ---- people ----
 
@@ -266,6 +266,6 @@
         return {
             "parts": parts,
             "limits": rows,
-            "beside": len(self.beside.holders),
-            "counts": dict(self.counts + self.beside.counts),
+            "beside": len(self.beside.worker_paths),
+            "counts": dict(self.counts + self.beside.counters),
         }
--- a/roadpulley/fleet/verdicts/client.py
+++ b/roadpulley/fleet/verdicts/client.py
@@ -47,7 +47,7 @@
     def _tell(self, now: float) -> None:
         self.reported_at = now
         ready = sum(b.ready for b in self.driver.gateway.fleet.backends.values())
-        self.line.send(ObservationBatch(self.line.number, ready, tuple(self.evidence.rows(now))))
+        self.line.send(ObservationBatch(self.line.worker_id, ready, tuple(self.evidence.rows(now))))
 
     async def _run(self) -> None:
         while True:
--- a/roadpulley/fleet/verdicts/service.py
+++ b/roadpulley/fleet/verdicts/service.py
@@ -107,7 +107,7 @@
         self._log(before)
         if self.holding or before:
             self.ages.extend(verdict.age_ms for verdict in self.holding)
-            self.beside.tell_all(VerdictSnapshot(tuple(self.holding)))
+            self.beside.send_to_all(VerdictSnapshot(tuple(self.holding)))
 
     def _seen(self, now: MonotonicTime) -> tuple[int, Iterable[ObservationRow]]:
         """What the processes beside saw, together."""
--- a/roadpulley/fleet/worker_socket.py
+++ b/roadpulley/fleet/worker_socket.py
@@ -30,15 +30,15 @@
 class WorkerSocket(asyncio.DatagramProtocol):
     """`taken` gets what a process says; `tell` answers it by its number."""
 
-    def __init__(self, path: Path, taken: Callable[[WorkerMessage], None]) -> None:
-        self.path, self.taken = path, taken
-        self.holders: OrderedDict[int, str] = OrderedDict()  # by number, the path of its socket
-        self.counts: Counter[str] = Counter()
+    def __init__(self, path: Path, handler: Callable[[WorkerMessage], None]) -> None:
+        self.path, self.taken = path, handler
+        self.worker_paths: OrderedDict[int, str] = OrderedDict()  # by number, the path of its socket
+        self.counters: Counter[str] = Counter()
         self.socket: DatagramSocket | None = None
 
     async def open(self) -> None:
         """Raises OSError."""
-        self.socket = await SocketPath(self.path).datagrams(self)
+        self.socket = await SocketPath(self.path).open_datagram_socket(self)
 
     def close(self) -> None:
         if self.socket is not None:
@@ -48,34 +48,34 @@
         try:
             body = DECODER.decode(data)
         except (msgspec.DecodeError, msgspec.ValidationError):
-            self.counts["garbled"] += 1
+            self.counters["garbled"] += 1
             return
         if not isinstance(addr, str) or not addr:
-            self.counts["from nowhere"] += 1
+            self.counters["from nowhere"] += 1
             return
-        self.holders[body.holder] = addr
-        self.holders.move_to_end(body.holder)
-        if len(self.holders) > MAX_WORKERS:
-            self.holders.popitem(last=False)
+        self.worker_paths[body.holder] = addr
+        self.worker_paths.move_to_end(body.holder)
+        if len(self.worker_paths) > MAX_WORKERS:
+            self.worker_paths.popitem(last=False)
         self.taken(body)
 
-    def tell_all(self, body: Any) -> None:
-        for holder in list(self.holders):
-            self.tell(holder, body)
+    def send_to_all(self, body: Any) -> None:
+        for holder in list(self.worker_paths):
+            self.send_to(holder, body)
 
-    def tell(self, holder: int, body: Any) -> None:
-        path = self.holders.get(holder)
+    def send_to(self, holder: int, body: Any) -> None:
+        path = self.worker_paths.get(holder)
         if path is None or self.socket is None:
-            self.counts["to nobody"] += 1
+            self.counters["to nobody"] += 1
             return
         try:
             self.socket.send(ENCODER.encode(body), path)
         except BlockingIOError:
-            self.counts["lost beside"] += 1  # as on a link: it is asked for again
+            self.counters["lost beside"] += 1  # as on a link: it is asked for again
         except OSError:
-            del self.holders[holder]  # it has ended, perhaps without taking its socket away
+            del self.worker_paths[holder]  # it has ended, perhaps without taking its socket away
             if Path(path).name.startswith(f"{self.path.name}."):
                 self.path.with_name(Path(path).name).unlink(missing_ok=True)
 
     def error_received(self, exc: Exception) -> None:
-        self.counts[type(exc).__name__] += 1
+        self.counters[type(exc).__name__] += 1
--- a/roadpulley/testbed/members_world.py
+++ b/roadpulley/testbed/members_world.py
@@ -106,12 +106,12 @@
         self._send(name, machine.tick(self.now))
         self._look(name)
         if again:
-            self.at(max(self.now + 0.0005, machine.next_at()), lambda: self._tick(name))
+            self.at(max(self.now + 0.0005, machine.next_deadline()), lambda: self._tick(name))
 
     def _send(self, name: str, tells: list[OutboundMessage]) -> None:
         for tell in tells:
             self.seen.datagrams += 1
-            self.seen.bytes += sum(map(len, self.codec.pack(1, [self.codec.body(tell.body)])))
+            self.seen.bytes += sum(map(len, self.codec.pack(1, [self.codec.encode_body(tell.body)])))
             if self.rng.random() < self.loss or self.cut(self.now, name, tell.address):
                 continue
             delay = self.rng.uniform(0.0002, MOST_DELAY_S)
@@ -128,13 +128,13 @@
         self._heard(target, tell, source, who)
 
     def _heard(self, target: str, tell: OutboundMessage, source: str, who: ProcessId) -> None:
-        self._send(target, self.machines[target].heard(self.now, who, source, tell.body))
+        self._send(target, self.machines[target].handle_message(self.now, who, source, tell.body))
         self._look(target)
 
     def _look(self, name: str) -> None:
         """Which deaths it has just heard of, and which of them are none."""
         machine = self.machines[name]
-        for who, state in machine.news:
+        for who, state in machine.state_changes:
             key = (name, who.name)
             if state is MemberState.DEAD and who.name in self.dead:
                 self.seen.deaths.setdefault(key, self.now)
@@ -143,9 +143,9 @@
                 self.wrong[key] = self.now
             elif state is MemberState.ALIVE and key in self.wrong:
                 self.seen.wrong_s += self.now - self.wrong.pop(key)
-        machine.news.clear()
+        machine.state_changes.clear()
 
     def all_seen(self) -> bool:
         """Whether everybody who lives sees exactly those who live."""
         alive = {n for n in self.names if n not in self.dead}
-        return all({c.who.name for c in self.machines[n].there()} == alive for n in alive)
+        return all({c.process.name for c in self.machines[n].active_claims()} == alive for n in alive)
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -31,9 +31,9 @@
     ends = set()
     for order in itertools.permutations(claims):
         found = one()
-        found.heard(0.0, B, "b", Ping(1, (Claim(B, 0, MemberState.ALIVE, "b"),)))
+        found.handle_message(0.0, B, "b", Ping(1, (Claim(B, 0, MemberState.ALIVE, "b"),)))
         for claim in (*order, *order[:1]):
-            found.heard(0.0, ProcessId("c", 3), "c", Ping(2, (claim,)))
+            found.handle_message(0.0, ProcessId("c", 3), "c", Ping(2, (claim,)))
         last = found.table[B].claim
         ends.add((last.incarnation, last.state))
     assert len(ends) == 1
@@ -43,12 +43,12 @@
 def test_what_is_said_of_oneself_is_refuted_with_a_higher_incarnation() -> None:
     found = one()
     for state in (MemberState.SUSPECT, MemberState.DEAD):
-        before = found.mine.incarnation
-        out = found.heard(0.0, B, "b", Ping(1, (Claim(A, before, state, "a"),)))
+        before = found.own_claim.incarnation
+        out = found.handle_message(0.0, B, "b", Ping(1, (Claim(A, before, state, "a"),)))
         answer = next(t.body for t in out if isinstance(t.body, Ack))
-        assert found.mine.incarnation > before and found.mine in answer.claims
-        assert found.mine.state is MemberState.ALIVE
-    assert found.false_alarms == 2
+        assert found.own_claim.incarnation > before and found.own_claim in answer.claims
+        assert found.own_claim.state is MemberState.ALIVE
+    assert found.refutations == 2
 
 
 @pytest.mark.parametrize("count", [5, 40])
@@ -92,7 +92,10 @@
 
     world = MembersWorld(20, seed=5, cut=cut)
     world.run(39.0)
-    assert len(world.machines["m000"].there()) == 10 and len(world.machines["m019"].there()) == 10
+    assert (
+        len(world.machines["m000"].active_claims()) == 10
+        and len(world.machines["m019"].active_claims()) == 10
+    )
     world.run(60.0)
     assert world.all_seen()
 
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -143,7 +143,7 @@
     codec, gathering = Codec("x" * 32, "y" * 32, 2**53 - 1, b"k" * 32), PageAssembler()
     found = [gathering.add(sheet) for sheet in reversed(split_into_pages(made.book))]
     assert found[-1] == made.book and set(found[:-1]) == {None}
-    for data in codec.pack(2**53 - 1, [codec.body(sheet) for sheet in split_into_pages(made.book)]):
+    for data in codec.pack(2**53 - 1, [codec.encode_body(sheet) for sheet in split_into_pages(made.book)]):
         assert len(data) <= 1_200
 
 
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -32,7 +32,8 @@
 
 def packed(of: Codec, count: int = 1, to_boot: int = 9) -> list[bytes]:
     return of.pack(
-        to_boot, [of.body(Prepare(f"d{n}", Ballot(5, ProcessId("a", 1)), (0, 0))) for n in range(count)]
+        to_boot,
+        [of.encode_body(Prepare(f"d{n}", Ballot(5, ProcessId("a", 1)), (0, 0))) for n in range(count)],
     )
 
 
@@ -40,7 +41,11 @@
     [data] = packed(codec("a"))
     here = codec("b", 2)
     found = here.unpack(data)
-    assert isinstance(found, Envelope) and (found.name, found.boot, found.to_boot) == ("a", 1, 9)
+    assert isinstance(found, Envelope) and (found.sender, found.sender_boot, found.receiver_boot) == (
+        "a",
+        1,
+        9,
+    )
     assert here.unpack(data) is DropReason.REPLAYED
 
 
@@ -52,7 +57,7 @@
     assert sum(len(f.bodies) for f in found if isinstance(f, Envelope)) == 64
     with pytest.raises(ValueError, match="fit into a datagram"):
         one = codec("a")
-        one.pack(1, [one.body("x" * 1100)])
+        one.pack(1, [one.encode_body("x" * 1100)])
 
 
 @pytest.mark.parametrize(
@@ -94,7 +99,7 @@
     window, taken, highest = ReplayWindow(), set[int](), 0
     random.Random(seed).shuffle(numbers)
     for number in numbers:
-        cause = window.take(number)
+        cause = window.accept(number)
         if cause is None:
             assert number not in taken
             taken.add(number)
--- a/tests/fleet/test_processes.py
+++ b/tests/fleet/test_processes.py
@@ -235,7 +235,11 @@
             Codec("other", "x", 7, key),
             Codec("trial", "x", 7, None),
         ]
-        wrong = [c.pack(1, [c.body(body)])[0] for c in codecs] + [b"", b"x" * 1300, fleet.rng.randbytes(400)]
+        wrong = [c.pack(1, [c.encode_body(body)])[0] for c in codecs] + [
+            b"",
+            b"x" * 1300,
+            fleet.rng.randbytes(400),
+        ]
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             for _ in range(200):
                 for data in wrong:
