--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -38,14 +38,25 @@
 CLASSES = (
     api.RequestClass("view", aim=1_500, deadline=4_000, importance=2, effect=api.Effect.SAFE),
     api.RequestClass(
-        "order", aim=1_500, deadline=4_000, importance=6, effect=api.Effect.KEYED, repeat_window=4_000
+        "order",
+        aim=1_500,
+        deadline=4_000,
+        importance=6,
+        effect=api.Effect.KEYED,
+        repeat_window=4_000,
     ),
 )
 PLANS = (
-    api.Plan("small", rate=0.8, burst=3.5, beyond_costs=1.2, price=0.72),
-    api.Plan("middle", rate=2.4, burst=10.0, beyond_costs=0.5, price=1.3),
+    api.Plan("small", rate=0.8, burst=3.5, overage_cost=1.2, price_factor=0.72),
+    api.Plan("middle", rate=2.4, burst=10.0, overage_cost=0.5, price_factor=1.3),
     api.Plan(
-        "large", rate=9.5, burst=24.0, beyond_costs=0.6, ceiling_rate=19.0, ceiling_burst=48.0, price=1.6
+        "large",
+        rate=9.5,
+        burst=24.0,
+        overage_cost=0.6,
+        ceiling_rate=19.0,
+        ceiling_burst=48.0,
+        price_factor=1.6,
     ),
 )
 RULES = api.SafetyRules(1_000, 0.25, 12_000, 2.0)
@@ -144,8 +155,8 @@
 
     def gateway(self, n: int) -> Gateway:
         settings = api.Settings(
-            n, self.gateways, "ab"[n % 2], CLASSES, PLANS, RULES, 4, can_cancel=True, may_count=True,
-            max_retry_after=500.0, count_wait=80.0,
+            n, self.gateways, "ab"[n % 2], CLASSES, PLANS, RULES, 4, can_cancel=True, has_counter=True,
+            max_retry_after=500.0, counter_timeout=80.0,
         )  # fmt: skip
         self.serial += 1
         return Gateway(settings, self.seed * 1_000 + self.serial)
@@ -214,7 +225,7 @@
         f.tries += 1
         self.classes[request], self.asks[request] = kind, ask
         if ask.due:
-            self.due_at[window] += kind.importance * c.plan.price
+            self.due_at[window] += kind.importance * c.plan.price_factor
         if n in self.down:
             return
         expires = self.now + kind.deadline
@@ -286,7 +297,7 @@
             kind = self.classes[send.request]
             if self.now - ask.began <= kind.aim and ask.charged:
                 window = int((ask.began - self.begun) // WINDOW_MS)
-                self.got_at[window] += kind.importance * ask.customer.plan.price
+                self.got_at[window] += kind.importance * ask.customer.plan.price_factor
         lag = self.now - since
         finished = ask is None or outcome is api.Outcome.OK
         backend = b.entry.backend
--- a/benchmarks/quota_error.py
+++ b/benchmarks/quota_error.py
@@ -35,9 +35,9 @@
 
 KIND = api.RequestClass("view", aim=60_000, deadline=60_000, importance=1, effect=api.Effect.SAFE)
 PLANS = (
-    api.Plan("small", rate=1.7, burst=16.0, beyond_costs=0.8),
-    api.Plan("middle", rate=4.2, burst=32.0, beyond_costs=0.6, ceiling_rate=8.6, ceiling_burst=66.0),
-    api.Plan("large", rate=16.0, burst=40.0, beyond_costs=0.5),
+    api.Plan("small", rate=1.7, burst=16.0, overage_cost=0.8),
+    api.Plan("middle", rate=4.2, burst=32.0, overage_cost=0.6, ceiling_rate=8.6, ceiling_burst=66.0),
+    api.Plan("large", rate=16.0, burst=40.0, overage_cost=0.5),
 )
 PRICES = {"small": 0.8, "middle": 1.1, "large": 1.6}
 CUSTOMERS = (40, 13, 3)  # a gateway, by plan
@@ -139,8 +139,9 @@
         self.nodes = [
             Gateway(
                 api.Settings(
-                    n, self.gateways, "a", (KIND,), PLANS, rules, 3, may_count=True, max_retry_after=2_000,
-                    count_wait=WAIT_MS, most_units=MOST, offers=api.Capabilities(settles=True),
+                    n, self.gateways, "a", (KIND,), PLANS, rules, 3, has_counter=True, max_retry_after=2_000,
+                    counter_timeout=WAIT_MS, max_request_units=MOST,
+                    capabilities=api.Capabilities(settles_units=True),
                 ),
                 self.seed * 100 + n,
             )
@@ -339,7 +340,7 @@
         of = [w.figures[plan.name] for w in worlds]
         due += PRICES[plan.name] * sum(f.due for f in of)
         worth += PRICES[plan.name] * min(sum(f.inside for f in of), sum(f.due for f in of))
-        worth -= PRICES[plan.name] * plan.beyond_costs * sum(f.beyond for f in of)
+        worth -= PRICES[plan.name] * plan.overage_cost * sum(f.beyond for f in of)
     return worth / due
 
 
--- a/mintford/changes.py
+++ b/mintford/changes.py
@@ -35,7 +35,7 @@
     # Danger: a plan that another source has changed in service is not to be set back by settings as before.
     before = {plan.name: plan for plan in old.plans}
     quotas.settings = new
-    quotas.dearest = max((p.price for p in new.plans), default=1.0)
+    quotas.dearest = max((p.price_factor for p in new.plans), default=1.0)
     for plan in new.plans:
         if before.pop(plan.name, None) != plan:
             take_in(quotas, now, api.PlanChanged(plan))
@@ -46,7 +46,7 @@
 def change(quotas: Quotas, now: float, c: Customer, plan: api.Plan) -> None:
     quotas.fill(now, c)  # what time gave back until now, at the old rate
     more, old, old_ceiling = plan.burst - c.plan.burst, c.plan, c.ceiling
-    counted = quotas.settings.may_count and plan.rate > 0
+    counted = quotas.settings.has_counter and plan.rate > 0
     c.settle_terms(plan)
     c.store += more
     c.tokens += more * c.even  # all gateways together: the difference, however unevenly they hold leases
@@ -58,7 +58,7 @@
         c.tokens = min(c.tokens, plan.burst * c.even)
     # Danger: what was sent on under no ceiling was counted nowhere. As after a restart, nothing of a new one
     # is there until time has given it.
-    c.ceiling = Ceiling(plan, c.even, counted, 0.0, c.unit, quotas.settings.rights)
+    c.ceiling = Ceiling(plan, c.even, counted, 0.0, c.unit, quotas.settings.rights_ratio)
     c.ceiling.take_part(quotas.part, 1.0)
     if old.ceiling_rate:
         c.ceiling.inherit(old_ceiling)
--- a/mintford/guards.py
+++ b/mintford/guards.py
@@ -20,8 +20,8 @@
     """
     if kind.effect is api.Effect.SAFE or now >= repeat_until(kind, sent_at):
         return kind.effect is api.Effect.SAFE
-    same_zone = first.zone == to.zone and (kind.group is not api.DedupScope.CELL or first.cell == to.cell)
-    return kind.group is api.DedupScope.ALL or same_zone
+    same_zone = first.zone == to.zone and (kind.dedup is not api.DedupScope.CELL or first.cell == to.cell)
+    return kind.dedup is api.DedupScope.ALL or same_zone
 
 
 def repeat_until(kind: api.RequestClass, sent_at: float) -> float:
@@ -32,7 +32,7 @@
 
 def harmless(kind: api.RequestClass, may_have_run: bool) -> bool:
     """Whether a refusal is true: a new try of this request would do no harm."""
-    keyed_by_all = kind.effect is api.Effect.KEYED and kind.group is api.DedupScope.ALL
+    keyed_by_all = kind.effect is api.Effect.KEYED and kind.dedup is api.DedupScope.ALL
     return not may_have_run or kind.effect is api.Effect.SAFE or keyed_by_all
 
 
--- a/mintford/handover.py
+++ b/mintford/handover.py
@@ -25,10 +25,10 @@
     return api.HandoverState(quotas.since, tuple(given), tuple(seen), fleet.typical, fleet.recent)
 
 
-def inherit(quotas: Quotas, fleet: Fleet, now: float, estate: api.HandoverState) -> None:
+def apply(quotas: Quotas, fleet: Fleet, now: float, estate: api.HandoverState) -> None:
     """Go on from what the other process held; of a customer that is known here, the amounts alone."""
     # Danger: who is not named was not met since then: its ceiling has filled since then, and for no longer.
-    quotas.since = estate.since
+    quotas.since = estate.complete_since
     for held in estate.customers:
         c = quotas.customers.get(held.customer)
         if c is None:
--- a/mintford/interface.py
+++ b/mintford/interface.py
@@ -1,7 +1,8 @@
-"""Types of the decision module: its settings, the events it takes and the actions it gives.
+"""Types of the decision module: its settings, the events it takes and the actions it returns.
 
-All times are milliseconds on the caller's clock. Nothing here decides anything. Events and actions are made
-for every request and not frozen: a frozen one costs four times as much to make. Nobody changes them.
+All times and durations are milliseconds on the caller's clock, amounts are units of quota. Events and actions
+are created for every request. They are not frozen, because creating a frozen instance costs four times as
+much, but nobody modifies them.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class Effect(Enum):
-    """Whether a class of requests may run more than once."""
+    """Whether requests of a class may run more than once."""
 
     SAFE = "pure"
     KEYED = "token"
@@ -20,7 +21,7 @@
 
 
 class DedupScope(Enum):
-    """The backends that drop the repeats of a keyed request."""
+    """The backends that drop repeats of the same keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -28,13 +29,15 @@
 
 
 class BackendState(Enum):
+    """The state of a backend in the backend list. Only ready ones receive requests."""
+
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
 
 
 class ListScope(Enum):
-    """What a backend list holds: changes, everything, everything as remembered, or nothing (a failed ask)."""
+    """What a backend list contains: changes, all backends, a saved list, or nothing as the request failed."""
 
     CHANGES = "INCREMENTAL"
     FULL = "FULL"
@@ -43,7 +46,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt or a counter call ended."""
+    """How an attempt or a call to the counter ended."""
 
     OK = "Ok"
     FAILED = "Failed"
@@ -57,32 +60,36 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
+    """A class of requests: its latency target, its deadline, its importance and the effects of running it."""
+
     name: str
     aim: float
     deadline: float
     importance: float = 1.0
     effect: Effect = Effect.UNSAFE
-    group: DedupScope = DedupScope.ALL
+    dedup: DedupScope = DedupScope.ALL
     repeat_window: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A plan's quota (rate a second, burst, open attempts), prices, and hard ceiling; 0 means none."""
+    """A plan's quota (units a second, burst, open attempts), prices and hard ceiling. 0 means none."""
 
     name: str
     rate: float = 0.0
     burst: float = 0.0
     open_limit: int = 0
-    beyond_earns: float = 0.0
-    beyond_costs: float = 0.0
+    overage_earnings: float = 0.0
+    overage_cost: float = 0.0
     ceiling_rate: float = 0.0
     ceiling_burst: float = 0.0
-    price: float = 1.0  # times the importance of a class: what a unit of it is worth
+    price_factor: float = 1.0  # multiplied by the importance of a class, it is what a unit of it is worth
 
 
 @dataclass(frozen=True, slots=True)
 class SafetyRules:
+    """The deployment's rules on draining backends and on the load of backends that have just started."""
+
     drain_grace: float
     start_capacity: float
     warm_within: float
@@ -91,26 +98,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Capabilities:
-    """What a deployment tells and charges beyond its rules; what it does not offer costs nothing here.
+    """Optional features of a deployment and its prices. The defaults stand for a deployment without them.
 
-    Prices are points of the result, for one each time per first try; 0 means free.
+    A price is in points of the result, for one occurrence per first try of a request. 0 means free.
     """
 
-    reports: str = "none"  # load reports: in "answers", in "probe" results alone, or "none"
-    fields: tuple[str, ...] = ()  # of them: inflight, queue, util, latency_ms, qps, eps
-    probes: bool = False
-    settles: bool = False  # units are a guess; the true ones come with the answer
+    load_reports: str = "none"  # in "answers", in "probe" results only, or "none"
+    report_fields: tuple[str, ...] = ()  # a subset of inflight, queue, util, latency_ms, qps, eps
+    allows_probes: bool = False
+    settles_units: bool = False  # a request's units are an estimate; its answer carries the true number
     marks_retries: bool = False
     price_waste: float = 0.0
     price_late: float = 0.0
     price_crossing: float = 0.0
     price_probe: float = 0.0
     price_count: float = 0.0
-    worst_class: float = 0.0  # the part of the result that the class which fares worst decides
+    worst_class_weight: float = 0.0  # the ratio of the result that the class with the worst result decides
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """All settings of one gateway: its place in the fleet, classes, plans, rules and limits."""
+
     index: int
     gateways: int
     zone: str
@@ -120,17 +129,19 @@
     max_attempts: int
     may_duplicate: bool = False
     can_cancel: bool = False
-    may_count: bool = False
-    must_ask_for_list: bool = False
+    has_counter: bool = False
+    must_subscribe_backends: bool = False
     max_retry_after: float = 0.0
-    count_wait: float = 0.0
-    most_units: float = 1.0
-    rights: float = 0.0  # the part of each hard ceiling that is spent by rights, not split evenly; 0: none
-    offers: Capabilities = field(default_factory=lambda: Capabilities())
+    counter_timeout: float = 0.0
+    max_request_units: float = 1.0
+    rights_ratio: float = 0.0  # of each hard ceiling: spent by escrow rights, not split evenly
+    capabilities: Capabilities = field(default_factory=lambda: Capabilities())
 
 
 @dataclass(frozen=True, slots=True)
 class BackendEntry:
+    """One backend of the backend list."""
+
     backend: int
     zone: str
     cell: int
@@ -140,12 +151,16 @@
 
 @dataclass(slots=True)
 class BackendsChanged:
+    """The backend list was received or has changed."""
+
     scope: ListScope
     entries: tuple[BackendEntry, ...]
 
 
 @dataclass(slots=True)
 class RequestArrived:
+    """A client has sent a request, which expires at the given time."""
+
     request: str
     request_class: str
     plan: str
@@ -153,23 +168,27 @@
     expires: float
     units: float
     spread: int
-    first: int
-    repeat: bool = False
+    first_gateway: int
+    is_repeat: bool = False
 
 
 @dataclass(slots=True)
 class AttemptEnded:
+    """An attempt at a backend has ended, `elapsed` after it was sent."""
+
     request: str
     attempt: int
     backend: int
     outcome: Outcome
-    lag: float
+    elapsed: float
     finished: bool
-    cost: float = 0.0  # the true units, where the deployment settles them; 0: not told
+    settled_units: float = 0.0  # the true units, where the deployment settles them; 0 means unknown
 
 
 @dataclass(slots=True)
 class ResponseStarted:
+    """The first bytes of an attempt's response are being sent to the client."""
+
     request: str
     attempt: int
     backend: int
@@ -177,14 +196,18 @@
 
 @dataclass(slots=True)
 class RequestAbandoned:
+    """Nobody waits for the answer to this request any more, so it needs no final answer."""
+
     request: str
 
 
 @dataclass(slots=True)
 class CounterReplied:
+    """A call to the counter has ended, with the counter's total if it succeeded."""
+
     name: str
     outcome: Outcome
-    reading: float
+    total: float
 
 
 @dataclass(slots=True)
@@ -192,29 +215,31 @@
     """The answer to `SpendRights`: whether the rights were available and have been spent for the request."""
 
     request: str
-    paid: bool
+    granted: bool
 
 
 @dataclass(slots=True)
 class TimerFired:
+    """A timer set by `SetTimer` has expired."""
+
     token: str
 
 
 @dataclass(slots=True)
 class LoopLagMeasured:
-    """How far this gateway's own loop is behind: what has come in waits this long until it is read."""
+    """How late this gateway's event loop is. Received data waits this long until it is read."""
 
     lag: float
 
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """From now on these settings hold; requests that are open keep the class that they came with."""
+    """New settings apply from now on. Open requests keep the request class they arrived with."""
 
     settings: Settings
 
 
-# What a process knows of a customer's store; the names are those of mintford.quotas.Customer.
+# What a process knows of a customer's store. The names are those of attributes of mintford.quotas.Customer.
 LEASE_FIELDS = (
     "store", "part", "lease_end", "read_at", "heard", "mine", "others", "left", "tail", "ended", "totals",
     "unsure", "asked", "asked_at", "wants_told", "telling", "wanted", "wants",
@@ -223,21 +248,24 @@
 
 @dataclass(slots=True)
 class CustomerSnapshot:
-    """What one process of a gateway held for a customer: what it knew, and the amounts that it gives."""
+    """A customer's state in a handover: what the sending process knew, and the amounts that it gives away.
+
+    The names of the attributes are the keys of the message between the processes.
+    """
 
     customer: str
     plan: str
     spread: int
     lease: dict[str, Any]  # by the names in LEASE_FIELDS
     tokens: float  # of the lease
-    own: float  # of the gateway's own part of the ceiling
-    unused: float  # of its shared part: what this gateway may still take
-    unsaid: float = 0.0  # sent on, and for the other process to tell the counter
+    own: float  # units of the gateway's own part of the ceiling
+    unused: float  # units of the ceiling's shared part that this gateway may still take
+    unsaid: float = 0.0  # units spent but not yet added to the counter; the receiving process adds them
 
 
 @dataclass(slots=True)
 class BackendSnapshot:
-    """What one process has seen of a backend: levels of its marks, and when they were set."""
+    """A backend's health in a handover: the levels of its health marks and the times when they were set."""
 
     backend: int
     started: float
@@ -246,9 +274,9 @@
 
 @dataclass(slots=True)
 class HandoverState:
-    """What one process of a gateway gives the other."""
+    """The state that one process of a gateway hands over to another."""
 
-    since: float  # whoever is not named has not been met since then
+    complete_since: float  # a customer that is not listed has sent no request since this time
     customers: tuple[CustomerSnapshot, ...]
     backends: tuple[BackendSnapshot, ...]
     typical: float
@@ -257,57 +285,62 @@
 
 @dataclass(slots=True)
 class GatewayShareChanged:
-    """This process now serves this share of its gateway; `SendHandover` carries the state it gives up."""
+    """This process now serves this share of its gateway. `SendHandover` carries the state it gives up."""
 
-    part: float
+    share: float
 
 
 @dataclass(slots=True)
 class HandoverReceived:
-    """The other process of this gateway has given this."""
+    """The other process of this gateway has handed over this state."""
 
-    estate: HandoverState
+    state: HandoverState
 
 
 @dataclass(slots=True)
 class AdmissionChanged:
-    """Whether new requests are taken; those that are open go on either way."""
+    """Whether the gateway accepts new requests. Open requests continue either way."""
 
-    open: bool
+    accepts_requests: bool
 
 
 @dataclass(slots=True)
 class PlanChanged:
-    """From now on a plan has other terms, or one customer its own (None: again those of its plan)."""
+    """New terms of a plan, or of one customer. None returns the customer to the terms of its plan."""
 
     plan: Plan | None
-    customer: str = ""  # "": all who have that plan and no terms of their own
+    customer: str = ""  # "": all customers with that plan and without terms of their own
 
 
 @dataclass(slots=True)
 class OrdersChanged:
-    """What operators order of all gateways from now on; all of it, also what stays as it was.
+    """Everything that operators order of all gateways. It replaces all earlier orders.
 
-    `limited`: names of limits by scope (class, plan, customer, pool: a zone of backends) and subject.
+    `limits`: names of limits by scope (class, plan, customer, pool) and subject; a pool is a zone.
     """
 
-    limited: dict[tuple[str, str], tuple[str, ...]] = field(default_factory=dict)
-    pools: tuple[str, ...] = ()  # those with limits
-    blocked: frozenset[str] = frozenset()  # customers
-    shed: frozenset[str] = frozenset()  # classes
-    kept_off: frozenset[int] = frozenset()  # backends
+    limits: dict[tuple[str, str], tuple[str, ...]] = field(default_factory=dict)
+    limited_pools: tuple[str, ...] = ()
+    blocked_customers: frozenset[str] = frozenset()
+    shed_classes: frozenset[str] = frozenset()
+    excluded_backends: frozenset[int] = frozenset()
 
 
 @dataclass(slots=True)
 class PeerVerdictsChanged:
-    """What other gateways of the fleet found failing, all of it: by backend, its start, how likely it fails
-    (0 to 1) and when that was seen, by this gateway's clock. Backends that are not named fare well there."""
+    """All backends that other gateways of the fleet find failing. It replaces all earlier verdicts.
+
+    Each backend has the time when it started, the probability that it fails a request (0 to 1) and the time
+    of that finding by this gateway's clock. Backends that are not listed serve other gateways well.
+    """
 
     backends: dict[int, tuple[float, float, float]] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class PeerMessageReceived:
+    """Another gateway has sent a message. No decision depends on it."""
+
     sender: int
     payload: bytes
 
@@ -335,24 +368,26 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; the attempts of a request are numbered 0, 1, 2, ... in the order of their sends."""
+    """Start an attempt. The attempts of a request are numbered 0, 1, 2, ... in the order they are sent."""
 
     request: str
     backend: int
     timeout: float = 0.0
-    attempt: int = 0  # its number, by which it is told to have ended also where its request is gone
-    latest: float = float("inf")  # its first byte goes out before this, or it has not run: a repeat's window
+    attempt: int = 0  # its number, which `AttemptEnded` carries even if the request has already ended
+    latest_start: float = float("inf")  # if its first byte is not sent before this time, it has not run
 
 
 @dataclass(slots=True)
 class Cancel:
+    """Cancel an open attempt. `AttemptEnded` still follows."""
+
     request: str
     attempt: int
 
 
 @dataclass(slots=True)
 class Refuse:
-    """A final answer that promises a new try does no harm."""
+    """A final answer that guarantees that a new try does no harm."""
 
     request: str
     retry_after: float = 0.0
@@ -360,20 +395,22 @@
 
 @dataclass(slots=True)
 class Fail:
-    """A final answer that promises nothing."""
+    """A final answer without any guarantee. The request may have run."""
 
     request: str
 
 
 @dataclass(slots=True)
 class SetTimer:
+    """Send `TimerFired` with this token after a delay."""
+
     delay: float
     token: str
 
 
 @dataclass(slots=True)
 class AddToCounter:
-    """Add to a named number on the counter service (0 reads it); the reply carries the total."""
+    """Add to a named number at the counter, where 0 only reads it. `CounterReplied` carries the total."""
 
     name: str
     amount: float
@@ -396,14 +433,16 @@
 
 @dataclass(slots=True)
 class SubscribeBackends:
+    """Subscribe to the backend list."""
+
     enable: bool = True
 
 
 @dataclass(slots=True)
 class SendHandover:
-    """What this process holds no more, for the other one of its gateway."""
+    """Send the state that this process gives up to the other process of its gateway."""
 
-    estate: HandoverState
+    state: HandoverState
 
 
 Action = (
--- a/mintford/load.py
+++ b/mintford/load.py
@@ -38,7 +38,7 @@
     def __init__(self, settings: api.Settings, chance: random.Random) -> None:
         self.settings, self.random = settings, chance
         self.backends: dict[int, Backend] = {}
-        self.kept_off: frozenset[int] = frozenset()  # by order of an operator
+        self.excluded_backends: frozenset[int] = frozenset()  # by order of an operator
         self.subset: list[Backend] = []  # the backends that this gateway uses
         self.warm: list[Backend] = []  # of these, those that are surely warm
         self.ring: list[Backend] = []  # these twice, so that a draw may go round the end
@@ -46,10 +46,11 @@
         self.typical, self.recent, self.recent_at = 0.0, 0.0, 0.0  # mean latency of the answers, and lately
         self.samples, self.rate, self.answered_at = 0.0, 0.0, 0.0  # answers; a second
         self.floor = 0.0  # always allowed out
-        self.crossing = 1 + CROSSING * settings.offers.price_crossing  # what another zone adds to a cost
+        # The factor by which another zone raises the cost of a backend.
+        self.crossing = 1 + CROSSING * settings.capabilities.price_crossing
 
     def retune(self, now: float, settings: api.Settings) -> None:
-        self.settings, self.crossing = settings, 1 + CROSSING * settings.offers.price_crossing
+        self.settings, self.crossing = settings, 1 + CROSSING * settings.capabilities.price_crossing
         for b in self.backends.values():
             b.rules, b.here, b.away = settings.rules, settings.zone, b.entry.zone != settings.zone
         self.listed(now, api.BackendsChanged(api.ListScope.CHANGES, ()))
@@ -74,7 +75,7 @@
     def usable(self) -> list[Backend]:
         """Those that are ready and not kept off; where that leaves none, all that are ready."""
         ready = [b for b in self.backends.values() if b.ready]
-        return [b for b in ready if b.id not in self.kept_off] or ready
+        return [b for b in ready if b.id not in self.excluded_backends] or ready
 
     def sort_warm(self, now: float) -> None:
         self.warm = [b for b in self.subset if b.warmth(now) >= 1]
--- a/mintford/orders.py
+++ b/mintford/orders.py
@@ -14,11 +14,11 @@
         self.now = api.OrdersChanged()
 
     def refuses(self, event: api.RequestArrived) -> bool:
-        return event.customer in self.now.blocked or event.request_class in self.now.shed
+        return event.customer in self.now.blocked_customers or event.request_class in self.now.shed_classes
 
     def owed(self, request: Request, backend: Backend) -> tuple[str, ...]:
         """Limits that are to pay next before it may go there."""
-        if not (limited := self.now.limited):
+        if not (limited := self.now.limits):
             return ()
         c, kind, pool = request.customer, request.kind.name, backend.entry.zone
         of_it = ("class", kind), ("plan", c.plan.name), ("customer", c.key)
--- a/mintford/quotas.py
+++ b/mintford/quotas.py
@@ -47,13 +47,13 @@
     def __init__(
         self, key: str, plan: api.Plan, spread: int, now: float, since: float, settings: api.Settings
     ) -> None:
-        unit, counted = settings.most_units, settings.may_count and plan.rate > 0
+        unit, counted = settings.max_request_units, settings.has_counter and plan.rate > 0
         super().__init__(key, plan.name, spread, unit, now)
         self.settle_terms(plan)
         self.store = plan.burst  # of all gateways, as far as this one knows
         self.tokens = max(unit, plan.burst * self.even)  # of the lease
         seconds = (now - since) / 1000
-        self.ceiling = Ceiling(plan, self.even, counted, seconds, unit, settings.rights)
+        self.ceiling = Ceiling(plan, self.even, counted, seconds, unit, settings.rights_ratio)
         self.lease_end = now + LEASE_MS
 
     def settle_terms(self, plan: api.Plan) -> None:
@@ -93,7 +93,7 @@
         self.lost_at = -math.inf  # when the counter was last seen to have lost its numbers, as it may have
         self.unheard, self.heard_at = 0, 0.0  # calls without an answer since the last total; when that came
         self.need = 0.5  # usually, of the calls that are wished for
-        self.dearest = max((p.price for p in settings.plans), default=1.0)
+        self.dearest = max((p.price_factor for p in settings.plans), default=1.0)
 
     def begin(self, now: float) -> None:
         self.since = self.tidied_at = self.heard_at = now
@@ -133,7 +133,7 @@
             full_in = (c.plan.burst - c.store) / max(c.plan.rate, 1e-9) * 1000  # it knows more till then
             if c.out or now - c.filled_at <= max(c.keep_ms, min(full_in, KEEP_MS)):
                 kept[key] = c
-            elif abs(c.unsaid) > UNITS and self.settings.may_count:
+            elif abs(c.unsaid) > UNITS and self.settings.has_counter:
                 said = round(c.unsaid, 3)
                 self.count(c, Call(key, Kind.SPENT, c.epoch(now)[0], said, "", now, now), out)
         self.customers = kept
@@ -171,7 +171,7 @@
         What the answer says is held to what one request can count. The ceiling goes by the guess.
         """
         if charged > 0 and cost > 0:
-            self.charge(c, min(cost, max(self.settings.most_units, charged)) - charged)
+            self.charge(c, min(cost, max(self.settings.max_request_units, charged)) - charged)
             if abs(c.unsaid) >= c.much:  # told at once, as no further request may come
                 self.tell(now, c, out)
 
@@ -186,7 +186,7 @@
         takes if it is let in, as it likely is, is added by the same call: no other gateway can spend it too.
         `worth`: of its class, as a part of the class worth most.
         """
-        if not self.settings.may_count or not c.plan.rate or c.calling or now < c.quiet_until:
+        if not self.settings.has_counter or not c.plan.rate or c.calling or now < c.quiet_until:
             return False
         if c.ceiling.lacks(units) and c.tokens >= units:
             return self.call(now, c, request, out, units, worth)
@@ -208,7 +208,7 @@
         # Danger: units added ahead for a request that was refused would be missed by the others meanwhile.
         due = now >= c.fresh_until or abs(c.unsaid) >= c.much or c.unsaid < -UNITS
         due = due or (abs(c.unsaid) > UNITS and (c.sparse or c.scarce(now)))
-        if self.settings.may_count and c.plan.rate and due and not c.calling and now >= c.quiet_until:
+        if self.settings.has_counter and c.plan.rate and due and not c.calling and now >= c.quiet_until:
             if not self.call(now, c, "", out, need=NEED_TOLD * min(1.0, abs(c.unsaid) / c.much)):
                 self.untold[c.key] = None
 
@@ -225,7 +225,7 @@
             # Danger: a part that grows too slowly leaves most quotas unread while the counter stands idle.
             self.counter_room = min(1.0, self.starting * 2 ** ((now - self.since) / SLOW_START_DOUBLING_MS))
             self.starting = 1.0 if self.counter_room >= 1 else self.starting
-        need = max(NEED_LEAST, need * c.plan.price / self.dearest)
+        need = max(NEED_LEAST, need * c.plan.price_factor / self.dearest)
         self.need += (need - self.need) / NEED_OVER
         if self.random.random() > self.counter_room ** (self.need / need):
             return False  # what is not said now is said by a later call
@@ -269,7 +269,7 @@
         if not waiting:
             del self.calls[event.name]
         ok = event.outcome is api.Outcome.OK
-        self.crowded(now, event.outcome, (now - call.at) / max(1.0, self.settings.count_wait))
+        self.crowded(now, event.outcome, (now - call.at) / max(1.0, self.settings.counter_timeout))
         c = self.customers.get(call.customer)
         if c is None:
             return call.request, False
@@ -279,16 +279,16 @@
                 c.quiet_until = now + REFRESH_MS
         if call.kind is Kind.WANTS:
             if ok and not call.amount and call.period == c.wants_told - 1:
-                c.wants = max(event.reading, c.wanted)
+                c.wants = max(event.total, c.wanted)
         elif ok:
             self.fill(now, c)
-            self.read(now, c, call, event.reading)
+            self.read(now, c, call, event.total)
         elif event.outcome in NEVER_RAN:
             c.unsaid += call.amount
         else:
             c.unsure[call.period] = c.unsure.get(call.period, 0.0) + call.amount
         c.unsaid -= call.ahead  # now the request is judged: let in, it is charged; else this gives it back
-        return call.request, ok and call.ahead > 0 and not self.settings.rights
+        return call.request, ok and call.ahead > 0 and not self.settings.rights_ratio
 
     def crowded(self, now: float, outcome: api.Outcome, waited: float) -> None:
         """Take in how a call fared, after this part of the time that is waited for one.
--- a/mintford/reading.py
+++ b/mintford/reading.py
@@ -38,13 +38,13 @@
         max_attempts=int(caps.get("maxAttempts") or 1),
         may_duplicate=bool(caps.get("mayDuplicate")),
         can_cancel=bool(caps.get("cancelling")),
-        may_count=bool(info.get("mayCount")),
-        must_ask_for_list=raw.get("discovery") == "ask",
+        has_counter=bool(info.get("mayCount")),
+        must_subscribe_backends=raw.get("discovery") == "ask",
         max_retry_after=float(caps.get("maxRetryAfter") or 0),
-        count_wait=float(info.get("countWait") or 0),
-        most_units=float(info.get("unitsTop") or 1),
-        rights=float(raw.get("rights") or 0),
-        offers=read_offers(raw),
+        counter_timeout=float(info.get("countWait") or 0),
+        max_request_units=float(info.get("unitsTop") or 1),
+        rights_ratio=float(raw.get("rights") or 0),
+        capabilities=read_offers(raw),
     )
 
 
@@ -55,7 +55,7 @@
         deadline=float(raw["deadline"]),
         importance=float(raw.get("importance") or 0),
         effect=api.Effect(raw["effect"]),
-        group=api.DedupScope(raw.get("group") or "all"),
+        dedup=api.DedupScope(raw.get("group") or "all"),
         repeat_window=float(raw.get("repeatWindow") or 0),
     )
 
@@ -66,11 +66,11 @@
         rate=float(raw.get("rate") or 0),
         burst=float(raw.get("mostAtOnce") or 0),
         open_limit=int(raw.get("open") or 0),
-        beyond_earns=float(raw.get("beyondEarns") or 0),
-        beyond_costs=float(raw.get("overrunCost") or 0),
+        overage_earnings=float(raw.get("beyondEarns") or 0),
+        overage_cost=float(raw.get("overrunCost") or 0),
         ceiling_rate=float(raw.get("neverOverRate") or 0),
         ceiling_burst=float(raw.get("hardBurst") or 0),
-        price=float(raw.get("worthFactor") or 1),
+        price_factor=float(raw.get("worthFactor") or 1),
     )
 
 
@@ -80,17 +80,17 @@
     how = str(telemetry.get("how") or "none")
     names = () if how == "none" else tuple(telemetry.get("names") or ())
     return api.Capabilities(
-        reports=how if names else "none",
-        fields=tuple(FIELDS[name] for name in names if name in FIELDS),
-        probes=bool(caps.get("probes")),
-        settles=bool(info.get("costAfter")),
+        load_reports=how if names else "none",
+        report_fields=tuple(FIELDS[name] for name in names if name in FIELDS),
+        allows_probes=bool(caps.get("probes")),
+        settles_units=bool(info.get("costAfter")),
         marks_retries=bool(habits.get("marksRetry")),
         price_waste=float(prices.get("waste") or 0),
         price_late=float(prices.get("lateFail") or 0),
         price_crossing=float(prices.get("crossZone") or 0),
         price_probe=float(prices.get("probe") or 0),
         price_count=float(info.get("countFee") or 0),
-        worst_class=read_worst_class(raw.get("goal") or {}),
+        worst_class_weight=read_worst_class(raw.get("goal") or {}),
     )
 
 
@@ -102,17 +102,19 @@
 
 def in_words(settings: api.Settings) -> list[str]:
     """What a deployment offers and what it asks, one line each: for people who run a gateway there."""
-    offers, plans = settings.offers, settings.plans
+    offers, plans = settings.capabilities, settings.plans
     rules = [p.name for p in plans if p.ceiling_rate], [p.name for p in plans if p.open_limit]
-    keyed = [f"{c.name} (by {c.group.value}, {c.repeat_window:g} ms)" for c in settings.classes
+    keyed = [f"{c.name} (by {c.dedup.value}, {c.repeat_window:g} ms)" for c in settings.classes
              if c.effect is api.Effect.KEYED]  # fmt: skip
     return [
         f"gateway {settings.index} of {settings.gateways}, zone {settings.zone or 'not told'}",
-        f"load reports: {offers.reports}" + (f" ({', '.join(offers.fields)})" if offers.fields else ""),
-        f"probes: {f'allowed, {offers.price_probe:g} each' if offers.probes else 'not allowed'}",
-        f"units: {'a guess, settled by the answer' if offers.settles else 'as the request says'},"
-        f" {settings.most_units:g} at most",
-        f"counter: {f'yes, {offers.price_count:g} for one call a request' if settings.may_count else 'none'}",
+        f"load reports: {offers.load_reports}"
+        + (f" ({', '.join(offers.report_fields)})" if offers.report_fields else ""),
+        f"probes: {f'allowed, {offers.price_probe:g} each' if offers.allows_probes else 'not allowed'}",
+        f"units: {'a guess, settled by the answer' if offers.settles_units else 'as the request says'},"
+        f" {settings.max_request_units:g} at most",
+        "counter: "
+        f"{f'yes, {offers.price_count:g} for one call a request' if settings.has_counter else 'none'}",
         f"retries of clients: {'marked' if offers.marks_retries else 'not marked'}; told to come back after"
         f" {settings.max_retry_after:g} ms at most",
         f"attempts: {settings.max_attempts} at most, {'two' if settings.may_duplicate else 'one'} at a time,"
@@ -122,5 +124,5 @@
         f" limits on open attempts: {', '.join(rules[1]) or 'no plan'}",
         f"prices: waste {offers.price_waste:g}, late failures {offers.price_late:g},"
         f" crossing zones {offers.price_crossing:g}",
-        f"the class that fares worst decides {offers.worst_class:.0%} of the result",
+        f"the class that fares worst decides {offers.worst_class_weight:.0%} of the result",
     ]
--- a/mintford/rules.py
+++ b/mintford/rules.py
@@ -48,11 +48,11 @@
             api.BackendsChanged: self.on_list,
             api.ResponseStarted: self.on_began,
             api.LoopLagMeasured: lambda _, event, __: self.own.lagged(event.lag),
-            api.AdmissionChanged: lambda _, event, __: setattr(self, "door_open", event.open),
+            api.AdmissionChanged: lambda _, event, __: setattr(self, "door_open", event.accepts_requests),
             api.SettingsChanged: self.on_settings,
             api.GatewayShareChanged: self.on_part,
-            api.HandoverReceived: lambda now, event, _: handover.inherit(
-                self.quotas, self.fleet, now, event.estate
+            api.HandoverReceived: lambda now, event, _: handover.apply(
+                self.quotas, self.fleet, now, event.state
             ),
             api.PlanChanged: lambda now, event, _: changes.take_in(self.quotas, now, event),
             api.RequestAbandoned: lambda _, event, __: self.attempts.requests.pop(event.request, None),
@@ -68,7 +68,7 @@
         if self.created < 0:
             self.created = self.fleet.answered_at = now
             self.quotas.begin(now)
-            if self.settings.must_ask_for_list:
+            if self.settings.must_subscribe_backends:
                 out.append(api.SubscribeBackends())
         if handler := self.handlers.get(type(event)):
             handler(now, event, out)
@@ -85,7 +85,7 @@
         left, c = event.expires - now, self.quotas.customer(now, event, out)
         kind = self.classes.get(event.request_class) or api.RequestClass(event.request_class, left, left)
         request = self.attempts.requests[event.request] = Request(
-            event, kind, c, now, self.attempts.gone(kind, left, event.repeat)
+            event, kind, c, now, self.attempts.gone(kind, left, event.is_repeat)
         )
         request.most = self.settings.max_attempts
         # Where the door is shut clients are to ask another gateway, which a refusal lets them do at once.
@@ -93,7 +93,7 @@
             return self.attempts.finish(request, out)
         worth = kind.importance / max(self.own.top_importance, 1e-9)
         if self.quotas.refresh(now, c, request.units, request.id, out, worth):
-            self.attempts.watch(now, request, now + 2 * self.settings.count_wait, out)
+            self.attempts.watch(now, request, now + 2 * self.settings.counter_timeout, out)
         else:
             self.admit(now, request, out)
 
@@ -107,15 +107,15 @@
         self.fleet.retune(now, event.settings)
 
     def on_part(self, now: float, event: api.GatewayShareChanged, out: api.Actions) -> None:
-        out.append(api.SendHandover(handover.take_part(self.quotas, self.fleet, now, event.part)))
+        out.append(api.SendHandover(handover.take_part(self.quotas, self.fleet, now, event.share)))
 
     def on_orders(self, now: float, event: api.OrdersChanged, out: api.Actions) -> None:
-        self.orders.now, self.fleet.kept_off = event, event.kept_off
+        self.orders.now, self.fleet.excluded_backends = event, event.excluded_backends
         self.fleet.listed(now, api.BackendsChanged(api.ListScope.CHANGES, ()))
 
     def on_granted(self, now: float, event: api.RightsDecided, out: api.Actions) -> None:
         if request := self.attempts.requests.get(event.request):
-            self.orders.answered(request, event.paid)
+            self.orders.answered(request, event.granted)
         self.go_on(now, out, event.request, False)
 
     def go_on(self, now: float, out: api.Actions, waiting: str, counted: bool) -> None:
@@ -152,7 +152,7 @@
         if not attempt.begun or event.outcome is api.Outcome.RESET:
             self.fleet.judge(now, attempt.backend, request.marks, event.outcome, lag, patience)
         if event.outcome is api.Outcome.OK:
-            self.quotas.settle(now, request.customer, request.charged, event.cost, out)
+            self.quotas.settle(now, request.customer, request.charged, event.settled_units, out)
             request.charged = 0.0  # once only
         if never_ran:
             request.ran.remove(attempt)
@@ -179,7 +179,7 @@
         strain = (expected := self.shedding.time_to_answer(now)) / max(kind.aim, 1.0)
         earned = RETRY_CALM if strain < CALM else RETRY_SHARE
         self.attempts.retries = min(RETRY_STORE, self.attempts.retries + earned)
-        earns = plan.beyond_earns - plan.beyond_costs if short > 0 or crowded else 1.0
+        earns = plan.overage_earnings - plan.overage_cost if short > 0 or crowded else 1.0
         over_ceiling = bool(plan.ceiling_rate) and not c.ceiling.holds(units, counted)
         # Danger: allocators go by the ceilings of the settings. Other terms are kept by the even part alone.
         ask = over_ceiling and c.ceiling.rights and not request.asked and plan in self.settings.plans
@@ -200,7 +200,7 @@
             return self.attempts.finish(request, out, wait)
         if (owed := self.orders.owed(request, backend)) or ask:
             request.asked, request.owing = request.asked or ask, owed
-            self.attempts.watch(now, request, now + 2 * self.settings.count_wait, out)
+            self.attempts.watch(now, request, now + 2 * self.settings.counter_timeout, out)
             return out.append(api.SpendRights(request.id, plan.name if ask else "", c.key, units, owed))
         request.charged = self.quotas.take(c, units, short <= 0, counted)
         self.quotas.tell(now, c, out)
@@ -235,7 +235,7 @@
         in_time = now + self.fleet.typical < request.aim_at and request.attempts < most
         backend = None
         if in_time and self.attempts.retries >= price:
-            request.shut = self.orders.now.pools
+            request.shut = self.orders.now.limited_pools
             backend = self.fleet.pick(now, request.marks, request.may_go)
         if backend:
             self.attempts.retries -= price
--- a/mintford/shedding.py
+++ b/mintford/shedding.py
@@ -65,7 +65,7 @@
 
     def retune(self) -> None:
         own = self.own
-        even = own.settings.offers.worst_class / KEPT_UNTIL if own.top_importance else 1.0
+        even = own.settings.capabilities.worst_class_weight / KEPT_UNTIL if own.top_importance else 1.0
         self.most_kept = KEPT * max(0.0, 1 - even)
         self.waits = {kind.name: self.most_wait(kind) for kind in own.settings.classes}
 
--- a/roadpulley/__main__.py
+++ b/roadpulley/__main__.py
@@ -107,7 +107,7 @@
         if config.discovery != self.discovery.address:
             self.discovery.move(config.discovery)
         if self.counter is not None and config.counter is not None:
-            self.counter.wait = settings.count_wait
+            self.counter.wait = settings.counter_timeout
             self.counter.move(config.counter)
 
 
@@ -194,7 +194,7 @@
         tallies,
     )
     counter = (
-        CounterClient(loop, timers, config.counter, config.settings.count_wait) if config.counter else None
+        CounterClient(loop, timers, config.counter, config.settings.counter_timeout) if config.counter else None
     )
     driver = Driver(config.settings, config.seed, timers, backends, counter, config.max_open)
 
--- a/roadpulley/cli/quota_error.py
+++ b/roadpulley/cli/quota_error.py
@@ -64,7 +64,7 @@
 
 
 def case_of(plan: api.Plan, settings: api.Settings, args: argparse.Namespace) -> Scenario:
-    return Scenario(plan, args.gateways or settings.gateways, settings.most_units, args.seconds, args.parted)
+    return Scenario(plan, args.gateways or settings.gateways, settings.max_request_units, args.seconds, args.parted)
 
 
 def rows_of(plan: api.Plan, settings: api.Settings, args: argparse.Namespace) -> list[dict[str, Any]]:
@@ -84,7 +84,7 @@
 
 
 def ceiling(plan: api.Plan, settings: api.Settings, args: argparse.Namespace) -> dict[str, Any]:
-    alone = compute_lone_ceiling_ratio(case_of(plan, settings, args), settings.rights)
+    alone = compute_lone_ceiling_ratio(case_of(plan, settings, args), settings.rights_ratio)
     return {"plan": plan.name, "over": 0.0, "alone": round(alone, 4)}
 
 
--- a/roadpulley/core/driver.py
+++ b/roadpulley/core/driver.py
@@ -143,7 +143,7 @@
             api.AddToCounter: self.count,
             api.SpendRights: self.spend,
             api.SubscribeBackends: lambda _: None,  # the list is always followed
-            api.SendHandover: lambda action: self.hand_over(action.estate),
+            api.SendHandover: lambda action: self.hand_over(action.state),
         }
 
     # ---- events ----
@@ -301,10 +301,10 @@
         lag = now_ms() - sent_at
         if self.attempt_observer is not None:
             self.attempt_observer.record(attempt.backend, outcome)
-        cost = parse_cost(attempt.use) if attempt.use and self.settings.offers.settles else 0.0
+        cost = parse_cost(attempt.use) if attempt.use and self.settings.capabilities.settles_units else 0.0
         if cost > 0 and outcome is api.Outcome.OK and owner.counted is not None and self.meter is not None:
             # As the module charges it: what one request can count, and once.
-            true = min(cost, max(self.settings.most_units, owner.command.units))
+            true = min(cost, max(self.settings.max_request_units, owner.command.units))
             self.meter.settled(owner.counted, owner.command, true)
             owner.counted = None
         self.give(api.AttemptEnded(request, number, attempt.backend, outcome, lag, finished, cost))
@@ -342,7 +342,7 @@
 
         if self.rights is None or owner is None:
             return granted(False, None)
-        within, lasting = self.settings.count_wait / 1000, (owner.expires - now_ms()) / 1000
+        within, lasting = self.settings.counter_timeout / 1000, (owner.expires - now_ms()) / 1000
         self.rights.spend(action, lasting, within, granted)
 
     def send(self, action: api.Send) -> None:
@@ -366,7 +366,7 @@
             ended,
             key,
             self.on_begun,
-            action.latest,
+            action.latest_start,
             self.wanted,
             command.long,
         )
--- a/roadpulley/edges/request_parser.py
+++ b/roadpulley/edges/request_parser.py
@@ -38,7 +38,7 @@
         self.workers = workers
         self.classes = {c.name.encode(): c for c in settings.classes}
         self.plans = {p.name.encode(): p.name for p in settings.plans}
-        self.most_units, self.gateways = settings.most_units, settings.gateways // workers
+        self.max_request_units, self.gateways = settings.max_request_units, settings.gateways // workers
         self.right: dict[tuple[bytes, ...], tuple[api.RequestClass, str, float, int, int]] = {}
 
     def parse(self, args: list[bytes], body: bytearray | None = None) -> Command:
@@ -74,7 +74,7 @@
             raise ValueError("key missing")
         wait, units = parse_decimal(given, b"d"), parse_decimal(given, b"units")
         spread, first = parse_integer(given, b"spread"), parse_integer(given, b"first")
-        if not 0 < units <= self.most_units:
+        if not 0 < units <= self.max_request_units:
             raise ValueError("units out of range")
         if not (1 <= spread <= self.gateways and first < self.gateways):
             raise ValueError("set out of range")
--- a/roadpulley/operations/handover.py
+++ b/roadpulley/operations/handover.py
@@ -40,7 +40,7 @@
             held["lease"]["left"] = None if math.isnan(left) else left
         whole = len(told) <= MOST_CUSTOMERS
         message["estate"] = {
-            "since": estate.since if whole else None,
+            "since": estate.complete_since if whole else None,
             "customers": customers,
             "backends": [asdict(seen) for seen in estate.backends[:MOST_BACKENDS]],
             "typical": estate.typical,
--- a/roadpulley/testbed/arrivals.py
+++ b/roadpulley/testbed/arrivals.py
@@ -99,10 +99,10 @@
 
 def draw_units(rng: random.Random, deployment: terms.Deployment) -> float:
     """What a request says that it takes: whole units, few of them many."""
-    if deployment.most_units == 1:
+    if deployment.max_request_units == 1:
         return 1.0
     over = rng.expovariate(1 / (deployment.mean_units - 1))
-    return float(min(deployment.most_units, 1 + round(over)))
+    return float(min(deployment.max_request_units, 1 + round(over)))
 
 
 def pick_kind(scenario: Scenario, draw: float) -> str:
--- a/roadpulley/testbed/auditor.py
+++ b/roadpulley/testbed/auditor.py
@@ -222,7 +222,7 @@
 
 
 def harmless(kind: api.RequestClass) -> bool:
-    by_all = kind.effect is api.Effect.KEYED and kind.group is api.DedupScope.ALL
+    by_all = kind.effect is api.Effect.KEYED and kind.dedup is api.DedupScope.ALL
     return kind.effect is api.Effect.SAFE or by_all
 
 
@@ -241,8 +241,8 @@
         return f"sent again {sent(attempt) - sent(first):.0f} ms after the first, past the window"
     places = {s.node: (s.zone, s.cell) for s in case.ledger.started}
     one, other = places.get(first.node, ("", 0)), places.get(attempt.node, ("", 0))
-    apart = one[0] != other[0] or (kind.group is api.DedupScope.CELL and one[1] != other[1])
-    if kind.group is not api.DedupScope.ALL and apart:
+    apart = one[0] != other[0] or (kind.dedup is api.DedupScope.CELL and one[1] != other[1])
+    if kind.dedup is not api.DedupScope.ALL and apart:
         return f"sent again to {attempt.node}, outside the group of {first.node} that drops repeats"
     return ""
 
--- a/roadpulley/testbed/node.py
+++ b/roadpulley/testbed/node.py
@@ -90,7 +90,7 @@
 def true_units(rng: random.Random, guess: float, deployment: Deployment) -> float:
     """What a request turns out to take."""
     true = round(guess * rng.lognormvariate(0, deployment.guess_cv))
-    return float(min(deployment.most_units, max(1, true)))
+    return float(min(deployment.max_request_units, max(1, true)))
 
 
 class Connection(asyncio.Protocol):
--- a/roadpulley/testbed/quota_plays.py
+++ b/roadpulley/testbed/quota_plays.py
@@ -50,8 +50,8 @@
     def begin(self, n: int) -> Gateway:
         case = self.case
         settings = api.Settings(
-            n, case.gateways, "a", (VIEW,), (case.plan,), RULES, 3, may_count=True,
-            max_retry_after=500.0, count_wait=WAIT_MS, most_units=case.unit,
+            n, case.gateways, "a", (VIEW,), (case.plan,), RULES, 3, has_counter=True,
+            max_retry_after=500.0, counter_timeout=WAIT_MS, max_request_units=case.unit,
         )  # fmt: skip
         made = Gateway(settings, seed=n + 1)
         entries = tuple(api.BackendEntry(b, "a", 0, 0.0, api.BackendState.READY) for b in range(BACKENDS))
--- a/roadpulley/testbed/terms.py
+++ b/roadpulley/testbed/terms.py
@@ -81,7 +81,7 @@
     plans: list[dict[str, Any]]
     shares: dict[str, float]  # of the load, by plan
     mix: dict[str, float] = field(default_factory=dict)  # of the requests, by class; empty: as the load says
-    most_units: int = 1
+    max_request_units: int = 1
     mean_units: float = 1.0
     guess_cv: float = 0.0  # how far a guess of the units is off; 0: the request tells them truly
     reports: tuple[str, ...] = ()  # fields of the load reports in answers
@@ -108,7 +108,7 @@
             "caps": CAPS,
             "classes": self.classes,
             "packages": self.plans,
-            "familyInfo": {"mayCount": True, "countWait": 80.0, "unitsTop": self.most_units},
+            "familyInfo": {"mayCount": True, "countWait": 80.0, "unitsTop": self.max_request_units},
             "rules": self.rules,
         }
         if self.guess_cv:
@@ -137,7 +137,7 @@
     ],
     {"counter": 0.45, "branch": 0.35, "network": 0.2},
     mix={"quote": 0.59, "book": 0.21, "payout": 0.2},
-    most_units=8,
+    max_request_units=8,
     mean_units=2.2,
     guess_cv=0.5,
     reports=("util", "inflight", "queue"),
--- a/roadpulley/workers/worker.py
+++ b/roadpulley/workers/worker.py
@@ -148,7 +148,7 @@
     if os.environ.get(COUNTS):
         from roadpulley.fleet.counts.client import ReplicatedCounter
 
-        driver.counter = ReplicatedCounter(line, driver.timers, driver.settings.count_wait)
+        driver.counter = ReplicatedCounter(line, driver.timers, driver.settings.counter_timeout)
 
 
 def follow_orders(line: AgentLink, driver: Driver, terms: dict[str, Any]) -> None:
--- a/tests/core/test_driver.py
+++ b/tests/core/test_driver.py
@@ -138,7 +138,7 @@
         await until(lambda: slot.answered)
         (ended,) = scene.module.of(api.AttemptEnded)
         assert isinstance(ended, api.AttemptEnded)
-        assert (ended.outcome, ended.finished) == (api.Outcome.TIMED_OUT, False) and ended.lag >= 20
+        assert (ended.outcome, ended.finished) == (api.Outcome.TIMED_OUT, False) and ended.elapsed >= 20
         assert slot.reply == b"-BUSY\r\n"
         server.close()
 
--- a/tests/decisions/test_ceiling_rights.py
+++ b/tests/decisions/test_ceiling_rights.py
@@ -15,14 +15,16 @@
 from roadpulley.fleet.rights.messages import Limit, Times
 
 RATE, BURST, RIGHTS = 10.0, 40.0, 0.7
-PLAN = api.Plan("firm", rate=4, burst=20_000, beyond_costs=1, ceiling_rate=RATE, ceiling_burst=BURST)
+PLAN = api.Plan("firm", rate=4, burst=20_000, overage_cost=1, ceiling_rate=RATE, ceiling_burst=BURST)
 KEY = "firm/c"
 MANY = [entry(n) for n in range(60)]
 TIMES = Times(drift=0.0)
 
 
 def gateway(size: int = 4, rights: float = RIGHTS, n: int = 0) -> World:
-    return World(MANY, seed=n, plans=(PLAN,), most_units=4.0, gateways=size, index=n, rights=rights)
+    return World(
+        MANY, seed=n, plans=(PLAN,), max_request_units=4.0, gateways=size, index=n, rights_ratio=rights
+    )
 
 
 def spends(actions: list[api.Action]) -> list[api.SpendRights]:
@@ -65,7 +67,7 @@
     if answer == "there is none":
         actions = world.give(api.RightsDecided(asked.request, False))
     else:
-        actions = world.pass_time(2 * world.gateway.settings.count_wait + 10)
+        actions = world.pass_time(2 * world.gateway.settings.counter_timeout + 10)
     assert [a.request for a in actions if isinstance(a, api.Refuse)].count(asked.request) == 1
     assert not [a for a in spends(actions) if a.request == asked.request]
     assert world.give(api.RightsDecided(asked.request, True)) == []  # it came late
@@ -80,7 +82,7 @@
 def test_terms_other_than_those_of_the_settings_are_kept_by_the_even_part_alone() -> None:
     """An allocator knows the ceilings of the settings: a lower one of a customer's own would be overdrawn."""
     world = gateway()
-    own = api.Plan("firm", rate=4, burst=20_000, beyond_costs=1, ceiling_rate=1.0, ceiling_burst=8.0)
+    own = api.Plan("firm", rate=4, burst=20_000, overage_cost=1, ceiling_rate=1.0, ceiling_burst=8.0)
     world.ask(plan="firm", spread=4)
     world.give(api.PlanChanged(own, "c"))
     assert spends(flood(world)) == []
@@ -91,7 +93,13 @@
 def test_a_total_of_the_counter_does_not_pay_where_rights_do() -> None:
     """Where rights are spent, nothing of a ceiling goes through the counter."""
     world = World(
-        MANY, plans=(PLAN,), most_units=4.0, gateways=4, rights=RIGHTS, may_count=True, count_wait=50.0
+        MANY,
+        plans=(PLAN,),
+        max_request_units=4.0,
+        gateways=4,
+        rights_ratio=RIGHTS,
+        has_counter=True,
+        counter_timeout=50.0,
     )
     actions = flood(world, 200)
     counted = [a for a in actions if isinstance(a, api.AddToCounter)]
--- a/tests/decisions/test_ceilings.py
+++ b/tests/decisions/test_ceilings.py
@@ -14,7 +14,7 @@
 
 RATE, BURST, MOST = 10.0, 40.0, 4.0
 # The quota's store is so large that the ceiling alone refuses.
-PLAN = api.Plan("firm", rate=4, burst=20_000, beyond_costs=1, ceiling_rate=RATE, ceiling_burst=BURST)
+PLAN = api.Plan("firm", rate=4, burst=20_000, overage_cost=1, ceiling_rate=RATE, ceiling_burst=BURST)
 MANY = [entry(n) for n in range(60)]
 
 
@@ -37,7 +37,7 @@
         self.at = self.worlds[0].now
 
     def gateway(self, n: int) -> World:
-        terms = dict(plans=(PLAN,), most_units=MOST, gateways=self.size, index=n)
+        terms = dict(plans=(PLAN,), max_request_units=MOST, gateways=self.size, index=n)
         return World(MANY, seed=self.seed * 10 + n, **terms)  # type: ignore[arg-type]
 
     def play(self, n: int, actions: list[api.Action]) -> None:
--- a/tests/decisions/test_cold_fleet.py
+++ b/tests/decisions/test_cold_fleet.py
@@ -42,7 +42,7 @@
         self.shares = [5.0 if n % 10 == 0 else self.chance.uniform(0.2, 1.5) for n in range(gateways)]
 
     def start(self, index: int) -> Gateway:
-        terms = settings(index=index, gateways=self.size, classes=(SAFE,), plans=(PLAN,), may_count=False)
+        terms = settings(index=index, gateways=self.size, classes=(SAFE,), plans=(PLAN,), has_counter=False)
         gateway = Gateway(terms, self.chance.getrandbits(32))
         entries = tuple(
             api.BackendEntry(b, "a", 0, born, api.BackendState.READY) for b, born in self.born.items()
--- a/tests/decisions/test_counted_ahead.py
+++ b/tests/decisions/test_counted_ahead.py
@@ -10,7 +10,7 @@
 
 # Many backends, so that quotas alone refuse. The even share of a store of eight requests is four.
 MANY = [entry(n) for n in range(40)]
-TERMS = dict(gateways=2, offers=api.Capabilities(settles=True))
+TERMS = dict(gateways=2, capabilities=api.Capabilities(settles_units=True))
 
 
 def spent(actions: list[api.Action]) -> list[api.AddToCounter]:
@@ -46,7 +46,7 @@
 
 
 def test_a_refused_request_gives_back_at_once_what_was_added_for_it() -> None:
-    world, counter = World(MANY, most_units=4, **TERMS), Counter()
+    world, counter = World(MANY, max_request_units=4, **TERMS), Counter()
     late_in_epoch(world)
     world.give(api.BackendsChanged(api.ListScope.FULL, ()))  # nowhere to send it
     actions = counter.play(world, world.ask())
@@ -150,7 +150,7 @@
 
 
 def test_a_plan_that_never_runs_short_is_told_now_and_then_and_not_with_every_request() -> None:
-    plan = api.Plan("basic", rate=1000, burst=2000, beyond_costs=1)
+    plan = api.Plan("basic", rate=1000, burst=2000, overage_cost=1)
     world, counter = World(MANY, plans=(plan,), **TERMS), Counter()
     for _ in range(100):
         for send in sends(counter.play(world, world.ask())):
--- a/tests/decisions/test_decisions.py
+++ b/tests/decisions/test_decisions.py
@@ -7,7 +7,7 @@
 from mintford import interface as api
 
 WIDE = api.Plan("basic")  # no quota, so that only the back end decides
-OPEN = dict(plans=(WIDE,), may_count=False)
+OPEN = dict(plans=(WIDE,), has_counter=False)
 
 
 def world(*entries: api.BackendEntry, **changes: object) -> World:
@@ -58,7 +58,7 @@
 
 
 def test_a_failed_list_keeps_the_old_one_and_asks_again_later() -> None:
-    w = world(must_ask_for_list=True)
+    w = world(must_subscribe_backends=True)
     w.give(api.BackendsChanged(api.ListScope.FAILED, ()))
     assert one(w.ask())
     timers = [a for _, a in w.log if isinstance(a, api.SetTimer) and a.token == "follow"]
@@ -343,7 +343,7 @@
     def away(price: float, load: int = 0) -> float:
         entries = [entry(n) for n in (1, 2)]
         entries += [api.BackendEntry(n, "b", 1, 0, api.BackendState.READY) for n in (3, 4)]
-        w = world(*entries, offers=api.Capabilities(price_crossing=price), seed=3)
+        w = world(*entries, capabilities=api.Capabilities(price_crossing=price), seed=3)
         for b in w.gateway.fleet.backends.values():
             b.out = load if b.id < 3 else 0
         there = 0
@@ -360,9 +360,9 @@
 
 def test_beyond_quota_is_shed_by_what_it_earns_net() -> None:
     """Danger: tries that earn little fill the queue of those that earn all of their worth."""
-    rich = api.Plan("rich", rate=0.001, burst=1, beyond_earns=0.6, beyond_costs=0.2)
-    poor = api.Plan("poor", rate=0.001, burst=1, beyond_earns=0.2, beyond_costs=0.3)
-    w = world(plans=(rich, poor), may_count=False)
+    rich = api.Plan("rich", rate=0.001, burst=1, overage_earnings=0.6, overage_cost=0.2)
+    poor = api.Plan("poor", rate=0.001, burst=1, overage_earnings=0.2, overage_cost=0.3)
+    w = world(plans=(rich, poor), has_counter=False)
     warm_up(w)
     assert sends(w.ask("order", "poor", "p")) and not sends(w.ask("order", "poor", "p")), "it costs more"
     sent = [0, 0]
--- a/tests/decisions/test_hearsay.py
+++ b/tests/decisions/test_hearsay.py
@@ -10,7 +10,7 @@
 
 
 def world() -> World:
-    return World([entry(1, started=5.0), entry(2, started=5.0)], may_count=False)
+    return World([entry(1, started=5.0), entry(2, started=5.0)], has_counter=False)
 
 
 def met(made: World, level: float, seen_at: float, started: float = 5.0, times: int = 100) -> int:
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -32,7 +32,7 @@
 
 
 def test_the_bucket_fills_at_the_even_share() -> None:
-    world = World(may_count=False)
+    world = World(has_counter=False)
     drain(world, 10)
     assert drain(world, 100, gap=100) in (9, 10, 11)  # one a second for ten seconds
 
@@ -52,13 +52,13 @@
 
 
 def test_no_plan_and_no_rate_means_no_quota() -> None:
-    world = World(plans=(), may_count=False)
+    world = World(plans=(), has_counter=False)
     assert drain(world, 50, gap=10) == 50
 
 
 def test_a_ceiling_is_split_evenly_and_starts_empty() -> None:
     """Danger: a restarted gateway that starts with a full store spends the ceiling twice."""
-    world = World(may_count=False)
+    world = World(has_counter=False)
     assert not sends(world.ask(plan="firm"))
     world.pass_time(1000)  # half of twenty a second
     assert drain(world, 100, plan="firm") == 10
@@ -78,9 +78,9 @@
 
 
 def test_beyond_quota_only_where_it_earns_and_capacity_is_spare() -> None:
-    world = World(may_count=False)
+    world = World(has_counter=False)
     assert drain(world, 30, gap=1, plan="bonus") == 30
-    slow = World(may_count=False)
+    slow = World(has_counter=False)
     for _ in range(60):
         slow.ask(plan="basic", customer=f"x{slow.serial}")
     slow.gateway.fleet.rate = 20.0  # sixty out at twenty answers a second: far from spare
@@ -100,7 +100,7 @@
 
 
 def test_what_the_bucket_cannot_pay_is_refused_at_once_with_a_retry_after() -> None:
-    world = World(may_count=False)
+    world = World(has_counter=False)
     drain(world, 4)
     (refusal,) = refusals(world.ask())
     assert 0 < refusal.retry_after <= 500
--- a/tests/decisions/test_membership.py
+++ b/tests/decisions/test_membership.py
@@ -19,8 +19,8 @@
 
 RATE, BURST, ASKED = 20.0, 40.0, 60.0  # of the plan, a second; asked by the one customer
 VIEW = api.RequestClass("view", aim=1000, deadline=3000, effect=api.Effect.SAFE)
-PLAN = api.Plan("firm", rate=RATE, burst=BURST, beyond_costs=1.0)
-HARD = api.Plan("firm", RATE, BURST, beyond_costs=1.0, ceiling_rate=2 * RATE, ceiling_burst=2 * BURST)
+PLAN = api.Plan("firm", rate=RATE, burst=BURST, overage_cost=1.0)
+HARD = api.Plan("firm", RATE, BURST, overage_cost=1.0, ceiling_rate=2 * RATE, ceiling_burst=2 * BURST)
 RULES = api.SafetyRules(1000, 0.2, 10_000, 2)
 
 
@@ -43,8 +43,8 @@
 
     def join(self, place: int) -> None:
         terms = api.Settings(
-            place, self.size, "a", (VIEW,), (self.plan,), RULES, 3, can_cancel=True, may_count=True,
-            max_retry_after=500.0, count_wait=50.0,
+            place, self.size, "a", (VIEW,), (self.plan,), RULES, 3, can_cancel=True, has_counter=True,
+            max_retry_after=500.0, counter_timeout=50.0,
         )  # fmt: skip
         self.there[place] = Gateway(terms, self.seed + self.serial)
         entries = tuple(api.BackendEntry(n, "a", 0, 0, api.BackendState.READY) for n in range(12))
--- a/tests/decisions/test_ordered.py
+++ b/tests/decisions/test_ordered.py
@@ -27,7 +27,7 @@
 
 
 def test_a_request_waits_for_rights_to_all_its_limits_and_is_sent_on_once() -> None:
-    world = World(may_count=False)
+    world = World(has_counter=False)
     ordered(world, LIMITS)
     (asked,) = spends(world.ask())
     assert (asked.plan, set(asked.limits)) == ("", {"views", "basics", "basics open"})
@@ -38,20 +38,20 @@
 
 @pytest.mark.parametrize("answer", ["none", "silence"])
 def test_without_rights_it_is_refused_once(answer: str) -> None:
-    world = World(may_count=False)
+    world = World(has_counter=False)
     ordered(world, LIMITS)
     (asked,) = spends(world.ask())
     if answer == "none":
         actions = world.give(api.RightsDecided(asked.request, False))
     else:
-        actions = world.pass_time(2 * world.gateway.settings.count_wait + 10)
+        actions = world.pass_time(2 * world.gateway.settings.counter_timeout + 10)
     assert [a.request for a in refusals(actions)] == [asked.request]
     assert not sends(actions) and world.give(api.RightsDecided(asked.request, True)) == []
 
 
 def test_a_ceiling_s_right_and_limits_are_asked_for_together_and_spent_once() -> None:
-    plan = api.Plan("firm", rate=4, burst=20_000, beyond_costs=1, ceiling_rate=0.001, ceiling_burst=40)
-    world = World(plans=(plan,), rights=1.0, may_count=False)
+    plan = api.Plan("firm", rate=4, burst=20_000, overage_cost=1, ceiling_rate=0.001, ceiling_burst=40)
+    world = World(plans=(plan,), rights_ratio=1.0, has_counter=False)
     ordered(world, {("class", "view"): ("views",)})
     (asked,) = spends(world.ask(plan="firm"))
     assert (asked.plan, asked.customer, asked.limits) == ("firm", "c", ("views",))
@@ -61,7 +61,7 @@
 
 
 def test_where_a_pool_has_no_room_another_one_is_taken() -> None:
-    world = World([zoned(1, "a"), zoned(2, "a"), zoned(3, "b")], may_count=False)
+    world = World([zoned(1, "a"), zoned(2, "a"), zoned(3, "b")], has_counter=False)
     ordered(world, POOL)
     asked = next(a for _ in range(40) for a in spends(world.ask()))
     assert asked.limits == ("in a",)
@@ -75,7 +75,7 @@
 
 
 def test_limits_of_the_class_are_paid_before_that_of_a_pool_and_neither_twice() -> None:
-    world = World([zoned(1, "a")], may_count=False)
+    world = World([zoned(1, "a")], has_counter=False)
     ordered(world, {**LIMITS, **POOL})
     (first,) = spends(world.ask())
     (second,) = spends(world.give(api.RightsDecided(first.request, True)))
@@ -85,7 +85,7 @@
 
 def test_a_further_attempt_goes_to_no_pool_with_a_limit() -> None:
     """It would be one more than the limit was asked for."""
-    world = World([zoned(1, "a"), zoned(2, "a"), zoned(3, "b")], may_count=False)
+    world = World([zoned(1, "a"), zoned(2, "a"), zoned(3, "b")], has_counter=False)
     sent = next(s for _ in range(40) for s in sends(world.ask()) if s.backend != 3)
     ordered(world, POOL)
     assert [s.backend for s in sends(world.end(sent, api.Outcome.CONNECT))] == [3]
@@ -96,8 +96,8 @@
 
 
 def test_a_blocked_customer_and_a_shed_class_are_refused_at_once_until_that_is_lifted() -> None:
-    world = World(may_count=False)
-    ordered(world, {}, blocked=frozenset({"c"}), shed=frozenset({"order"}))
+    world = World(has_counter=False)
+    ordered(world, {}, blocked_customers=frozenset({"c"}), shed_classes=frozenset({"order"}))
     assert len(refusals(world.ask())) == len(refusals(world.ask("order", customer="d"))) == 1
     assert sends(world.ask(customer="d"))
     ordered(world, {})
@@ -105,10 +105,10 @@
 
 
 def test_a_backend_is_kept_off_while_others_are_there_and_its_attempts_go_on() -> None:
-    world = World([entry(1), entry(2)], may_count=False)
+    world = World([entry(1), entry(2)], has_counter=False)
     out = next(s for _ in range(40) for s in sends(world.ask()) if s.backend == 1)
-    ordered(world, {}, kept_off=frozenset({1}))
+    ordered(world, {}, excluded_backends=frozenset({1}))
     assert {s.backend for _ in range(40) for s in sends(world.ask())} == {2}
     assert world.end(out) == []
-    ordered(world, {}, kept_off=frozenset({1, 2}))
+    ordered(world, {}, excluded_backends=frozenset({1, 2}))
     assert {s.backend for _ in range(40) for s in sends(world.ask(customer="d"))} == {1, 2}  # all is as none
--- a/tests/decisions/test_plan_changes.py
+++ b/tests/decisions/test_plan_changes.py
@@ -12,8 +12,8 @@
 from mintford.ceilings import Ceiling
 from mintford.rules import Gateway
 
-SMALL = api.Plan("basic", rate=2, burst=8, beyond_costs=1)
-LARGE = api.Plan("basic", rate=10, burst=40, beyond_costs=1)
+SMALL = api.Plan("basic", rate=2, burst=8, overage_cost=1)
+LARGE = api.Plan("basic", rate=10, burst=40, overage_cost=1)
 NONE = api.Plan("basic")
 PLANS = {"small": SMALL, "large": LARGE, "none": NONE}
 MANY = [entry(n) for n in range(60)]
@@ -63,7 +63,7 @@
     served(world, counter, 1, spread=1)
     served(world, counter, 1, spread=1, customer="other")
     world.give(api.PlanChanged(LARGE, "c"))
-    world.give(api.PlanChanged(api.Plan("basic", rate=2, burst=4, beyond_costs=1)))
+    world.give(api.PlanChanged(api.Plan("basic", rate=2, burst=4, overage_cost=1)))
     assert served(world, counter, 60, spread=1) == 39
     assert served(world, counter, 60, spread=1, customer="other") == 3
     world.give(api.PlanChanged(None, "c"))
@@ -73,10 +73,10 @@
 
 
 def test_what_was_charged_before_a_change_is_settled_after_it() -> None:
-    world, counter = World(MANY, plans=(SMALL,), gateways=1, most_units=4.0), Counter()
+    world, counter = World(MANY, plans=(SMALL,), gateways=1, max_request_units=4.0), Counter()
     (send,) = (a for a in counter.play(world, world.ask(spread=1)) if isinstance(a, api.Send))
     world.give(api.PlanChanged(LARGE))
-    world.give(api.AttemptEnded(send.request, 0, send.backend, api.Outcome.OK, 1.0, True, cost=4.0))
+    world.give(api.AttemptEnded(send.request, 0, send.backend, api.Outcome.OK, 1.0, True, settled_units=4.0))
     assert store(world.gateway) == pytest.approx(40 - 4)
 
 
@@ -113,8 +113,8 @@
 
 
 CAPPED = {
-    "narrow": api.Plan("firm", rate=4, burst=20_000, beyond_costs=1, ceiling_rate=10, ceiling_burst=40),
-    "wide": api.Plan("firm", rate=4, burst=20_000, beyond_costs=1, ceiling_rate=25, ceiling_burst=120),
+    "narrow": api.Plan("firm", rate=4, burst=20_000, overage_cost=1, ceiling_rate=10, ceiling_burst=40),
+    "wide": api.Plan("firm", rate=4, burst=20_000, overage_cost=1, ceiling_rate=25, ceiling_burst=120),
 }
 TIMES = st.lists(
     st.tuples(st.sampled_from(sorted(CAPPED)), st.integers(0, 1_500), st.integers(0, 1_000)), max_size=8
@@ -157,7 +157,7 @@
 
 
 def test_a_ceiling_that_comes_to_a_plan_without_one_begins_with_nothing() -> None:
-    free = api.Plan("firm", rate=4, burst=20_000, beyond_costs=1)
+    free = api.Plan("firm", rate=4, burst=20_000, overage_cost=1)
     world = World(MANY, plans=(free,), gateways=1, classes=(SAFE,))
     assert served(world, Counter(), 30, plan="firm", spread=1) == 30
     world.give(api.PlanChanged(CAPPED["narrow"]))
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -36,7 +36,7 @@
 
 
 def test_a_try_that_is_late_already_does_not_take_the_last_units_of_a_store() -> None:
-    world = World(MANY, may_count=False)
+    world = World(MANY, has_counter=False)
     world.pass_time(10_000)
     assert sends(ask(world, 2000, False))
     c = world.gateway.quotas.customers["c"]
@@ -66,7 +66,10 @@
 
     Where the class that fares worst counts by itself, less is kept from it.
     """
-    world, counter = World(MANY, offers=api.Capabilities(worst_class=read_worst_class(goal))), Counter()
+    world, counter = (
+        World(MANY, capabilities=api.Capabilities(worst_class_weight=read_worst_class(goal))),
+        Counter(),
+    )
     world.pass_time(10_000)
     kept = part * KEPT * (1 - SAFE.importance / KEYED.importance) * BASIC.burst
 
--- a/tests/decisions/test_settlement.py
+++ b/tests/decisions/test_settlement.py
@@ -13,7 +13,7 @@
 from mintford.quotas import Customer
 
 MOST = 8.0
-PLAN = api.Plan("firm", rate=20, burst=60, beyond_costs=1, ceiling_rate=60, ceiling_burst=400)
+PLAN = api.Plan("firm", rate=20, burst=60, overage_cost=1, ceiling_rate=60, ceiling_burst=400)
 
 
 @dataclass
@@ -30,7 +30,10 @@
     def __post_init__(self) -> None:
         self.random = random.Random(self.seed)
         terms = dict(
-            plans=(PLAN,), offers=api.Capabilities(settles=True), most_units=MOST, gateways=self.size
+            plans=(PLAN,),
+            capabilities=api.Capabilities(settles_units=True),
+            max_request_units=MOST,
+            gateways=self.size,
         )
         many = [entry(n) for n in range(80)]  # so that quotas alone refuse
         self.worlds = [World(many, seed=self.seed + n, index=n, **terms) for n in range(self.size)]
@@ -180,8 +183,11 @@
 
 
 def test_a_try_beyond_the_quota_is_not_charged_and_not_settled() -> None:
-    free = api.Plan("bonus", rate=1, burst=2, beyond_earns=0.5)
-    world, counter = World(plans=(free,), offers=api.Capabilities(settles=True), most_units=MOST), Counter()
+    free = api.Plan("bonus", rate=1, burst=2, overage_earnings=0.5)
+    world, counter = (
+        World(plans=(free,), capabilities=api.Capabilities(settles_units=True), max_request_units=MOST),
+        Counter(),
+    )
     for _ in range(6):
         for send in sends(counter.play(world, world.ask(plan="bonus"))):
             world.give(api.AttemptEnded(send.request, 0, send.backend, api.Outcome.OK, 20.0, True, 5.0))
--- a/tests/decisions/test_windows.py
+++ b/tests/decisions/test_windows.py
@@ -14,9 +14,9 @@
 
 
 def again(kind: api.RequestClass, outcome: api.Outcome) -> api.Send | None:
-    world = World((entry(1), entry(2), entry(3)), classes=(kind,), rules=RULES, may_count=False)
+    world = World((entry(1), entry(2), entry(3)), classes=(kind,), rules=RULES, has_counter=False)
     (first,) = sends(world.ask(kind.name))
-    assert (first.attempt, first.latest) == (0, math.inf)
+    assert (first.attempt, first.latest_start) == (0, math.inf)
     began = world.now
     world.pass_time(100)
     found = sends(world.end(first, outcome, finished=False))
@@ -27,7 +27,7 @@
 def test_a_repeat_of_keyed_work_tells_the_end_of_its_window() -> None:
     second = again(KEYED, api.Outcome.RESET)
     assert second is not None and second.attempt == 1
-    assert second.latest == 10_000 + KEYED.repeat_window - END_MS
+    assert second.latest_start == 10_000 + KEYED.repeat_window - END_MS
 
 
 @pytest.mark.parametrize("outcome", [api.Outcome.CONNECT, api.Outcome.FULL, api.Outcome.IGNORED])
@@ -36,7 +36,7 @@
     kind: api.RequestClass, outcome: api.Outcome
 ) -> None:
     second = again(kind, outcome)
-    assert second is not None and second.latest == math.inf
+    assert second is not None and second.latest_start == math.inf
 
 
 @pytest.mark.parametrize("outcome", [api.Outcome.RESET, api.Outcome.FAILED, api.Outcome.TIMED_OUT])
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,13 +16,13 @@
     deadline=3000,
     importance=4,
     effect=api.Effect.KEYED,
-    group=api.DedupScope.CELL,
+    dedup=api.DedupScope.CELL,
     repeat_window=2000,
 )
 UNSAFE = api.RequestClass("wipe", aim=1000, deadline=3000, importance=2, effect=api.Effect.UNSAFE)
-BASIC = api.Plan("basic", rate=2, burst=8, beyond_costs=1)
-FIRM = api.Plan("firm", rate=10, burst=20, open_limit=8, beyond_costs=1, ceiling_rate=20, ceiling_burst=40)
-BONUS = api.Plan("bonus", rate=1, burst=2, beyond_earns=0.2)
+BASIC = api.Plan("basic", rate=2, burst=8, overage_cost=1)
+FIRM = api.Plan("firm", rate=10, burst=20, open_limit=8, overage_cost=1, ceiling_rate=20, ceiling_burst=40)
+BONUS = api.Plan("bonus", rate=1, burst=2, overage_earnings=0.2)
 RULES = api.SafetyRules(1000, 0.2, 10_000, 2)
 
 
@@ -36,9 +36,9 @@
         rules=RULES,
         max_attempts=3,
         can_cancel=True,
-        may_count=True,
+        has_counter=True,
         max_retry_after=500.0,
-        count_wait=50.0,
+        counter_timeout=50.0,
     )
     values.update(changes)
     return api.Settings(**values)  # type: ignore[arg-type]
--- a/tests/operations/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -24,11 +24,13 @@
     write,
 )
 
-HARD = api.Plan("firm", rate=10, burst=20, beyond_costs=1, beyond_earns=2, ceiling_rate=20, ceiling_burst=40)
+HARD = api.Plan(
+    "firm", rate=10, burst=20, overage_cost=1, overage_earnings=2, ceiling_rate=20, ceiling_burst=40
+)
 
 
 def estate_of(actions: list[api.Action]) -> api.HandoverState:
-    (told,) = [action.estate for action in actions if isinstance(action, api.SendHandover)]
+    (told,) = [action.state for action in actions if isinstance(action, api.SendHandover)]
     return told
 
 
@@ -42,7 +44,7 @@
     """One gateway as two processes in virtual time; whatever breaks is a message that does not come."""
 
     def __init__(self, counted: bool) -> None:
-        self.settings: dict[str, Any] = dict(gateways=1, plans=(HARD,), may_count=counted)
+        self.settings: dict[str, Any] = dict(gateways=1, plans=(HARD,), has_counter=counted)
         self.counter = Counter() if counted else None
         self.old, self.new = World(seed=1, **self.settings), World(seed=2, **self.settings)
         self.sent: list[float] = []
@@ -165,7 +167,7 @@
 
 
 def test_beside_one_that_does_not_answer_nothing_of_a_ceiling_is_let_out_until_it_must_be_gone() -> None:
-    world = World(gateways=1, plans=(HARD,), may_count=False)
+    world = World(gateways=1, plans=(HARD,), has_counter=False)
     world.give(api.HandoverReceived(api.HandoverState(world.now + 9_700, (), (), 0.0, 0.0)))
     pair = Pair(counted=False)
     pair.new = world
@@ -177,7 +179,7 @@
 
 
 def test_what_was_seen_of_backends_goes_over_but_not_of_ones_that_started_anew() -> None:
-    old, new = World(may_count=False), World(may_count=False)
+    old, new = World(has_counter=False), World(has_counter=False)
     for world in (old, new):
         world.now = 20_000.0
     old.gateway.fleet.backends[1].marks = {"all": (0.9, 19_000.0)}
@@ -193,7 +195,7 @@
 
 
 def full_estate() -> api.HandoverState:
-    world = World(plans=(FIRM,), may_count=False)
+    world = World(plans=(FIRM,), has_counter=False)
     world.ask(plan="firm")
     world.gateway.fleet.backends[1].marks = {"all": (0.5, 9_000.0)}
     return estate_of(world.give(api.GatewayShareChanged(0.5)))
@@ -205,7 +207,10 @@
     (held,), (had,) = got.customers, told.customers
     left, was = held.lease.pop("left"), had.lease.pop("left")
     assert math.isnan(left) == math.isnan(was) and held == had
-    assert got.backends == told.backends and (got.since, got.typical) == (told.since, told.typical)
+    assert got.backends == told.backends and (got.complete_since, got.typical) == (
+        told.complete_since,
+        told.typical,
+    )
 
 
 def test_a_message_cut_at_any_byte_is_garbled() -> None:
@@ -271,7 +276,7 @@
         for n in range(MOST_CUSTOMERS + 5)
     )
     got = over_the_link(api.HandoverState(5.0, many, (), 0.0, 0.0), GIVES, 777.0)
-    assert len(got.customers) == MOST_CUSTOMERS and got.since == 777.0
+    assert len(got.customers) == MOST_CUSTOMERS and got.complete_since == 777.0
     assert {held.customer for held in got.customers}.isdisjoint({f"c{n}" for n in range(5)})
 
 
--- a/tests/operations/test_link.py
+++ b/tests/operations/test_link.py
@@ -38,7 +38,7 @@
             self.hand_over(api.HandoverState(1.0, (), (), 0.0, 0.0))
 
     def parts(self) -> list[float]:
-        return [event.part for event in self.events if isinstance(event, api.GatewayShareChanged)]
+        return [event.share for event in self.events if isinstance(event, api.GatewayShareChanged)]
 
     def inherited(self) -> int:
         return sum(isinstance(event, api.HandoverReceived) for event in self.events)
@@ -147,7 +147,7 @@
         await link.inherit()
         (event,) = driver.events
         assert isinstance(event, api.HandoverReceived)
-        assert event.estate.since > module.now_ms() + module.MOST_BESIDE_MS / 2
+        assert event.state.complete_since > module.now_ms() + module.MOST_BESIDE_MS / 2
         server.close()
 
     in_loop(scenario)
--- a/tests/operations/test_retuning.py
+++ b/tests/operations/test_retuning.py
@@ -223,11 +223,11 @@
 
 def test_what_came_before_keeps_its_attempts_and_never_gets_more() -> None:
     for then, now, most in ((3, 1, 1), (1, 3, 1)):
-        world = World(max_attempts=then, classes=(SAFE, KEYED, UNSAFE), plans=(BASIC,), may_count=False)
+        world = World(max_attempts=then, classes=(SAFE, KEYED, UNSAFE), plans=(BASIC,), has_counter=False)
         world.ask()
         request_id = "r1"
         request = world.gateway.attempts.requests[request_id]
-        world.give(api.SettingsChanged(settings(max_attempts=now, may_count=False)))
+        world.give(api.SettingsChanged(settings(max_attempts=now, has_counter=False)))
         assert min(request.most, world.gateway.settings.max_attempts) == most
         number = 0
         while (request_id, number) in world.gateway.attempts.out:
--- a/tests/plans/test_book.py
+++ b/tests/plans/test_book.py
@@ -17,7 +17,7 @@
 from roadpulley.plans.terms import Terms
 
 PLANS, CUSTOMERS = ("basic", "firm"), ("00000000000000aa", "00000000000000bb")
-BASE = {"basic": api.Plan("basic", rate=1, burst=4, beyond_costs=1)}
+BASE = {"basic": api.Plan("basic", rate=1, burst=4, overage_cost=1)}
 
 
 class Model:
--- a/tests/testbed/test_quota_bounds.py
+++ b/tests/testbed/test_quota_bounds.py
@@ -23,9 +23,9 @@
 
 # Without their ceilings, so that quotas alone refuse.
 PLANS = {
-    "basic": api.Plan("basic", 1.0, 5.0, beyond_costs=1.2),
-    "business": api.Plan("business", 2.5, 12.0, beyond_costs=0.5),
-    "enterprise": api.Plan("enterprise", 8.0, 24.0, beyond_costs=0.6),
+    "basic": api.Plan("basic", 1.0, 5.0, overage_cost=1.2),
+    "business": api.Plan("business", 2.5, 12.0, overage_cost=0.5),
+    "enterprise": api.Plan("enterprise", 8.0, 24.0, overage_cost=0.6),
 }
 LEAST_TIGHT = 0.5
 # Of the smallest burst one request more or less is much; nothing over is promised where numbers are higher.
