--- a/mintford/interface.py
+++ b/mintford/interface.py
@@ -294,7 +294,7 @@
 class HandoverReceived:
     """The other process of this gateway has handed over this state."""
 
-    state: HandoverState
+    handover_state: HandoverState
 
 
 @dataclass(slots=True)
@@ -316,10 +316,10 @@
 class OrdersChanged:
     """Everything that operators order of all gateways. It replaces all earlier orders.
 
-    `limits`: names of limits by scope (class, plan, customer, pool) and subject; a pool is a zone.
+    `limit_names`: names of limits by scope (class, plan, customer, pool) and subject; a pool is a zone.
     """
 
-    limits: dict[tuple[str, str], tuple[str, ...]] = field(default_factory=dict)
+    limit_names: dict[tuple[str, str], tuple[str, ...]] = field(default_factory=dict)
     limited_pools: tuple[str, ...] = ()
     blocked_customers: frozenset[str] = frozenset()
     shed_classes: frozenset[str] = frozenset()
@@ -442,7 +442,7 @@
 class SendHandover:
     """Send the state that this process gives up to the other process of its gateway."""
 
-    state: HandoverState
+    handover_state: HandoverState
 
 
 Action = (
--- a/mintford/orders.py
+++ b/mintford/orders.py
@@ -18,7 +18,7 @@
 
     def owed(self, request: Request, backend: Backend) -> tuple[str, ...]:
         """Limits that are to pay next before it may go there."""
-        if not (limited := self.now.limits):
+        if not (limited := self.now.limit_names):
             return ()
         c, kind, pool = request.customer, request.kind.name, backend.entry.zone
         of_it = ("class", kind), ("plan", c.plan.name), ("customer", c.key)
--- a/mintford/rules.py
+++ b/mintford/rules.py
@@ -52,7 +52,7 @@
             api.SettingsChanged: self.on_settings,
             api.GatewayShareChanged: self.on_part,
             api.HandoverReceived: lambda now, event, _: handover.apply(
-                self.quotas, self.fleet, now, event.state
+                self.quotas, self.fleet, now, event.handover_state
             ),
             api.PlanChanged: lambda now, event, _: changes.take_in(self.quotas, now, event),
             api.RequestAbandoned: lambda _, event, __: self.attempts.requests.pop(event.request, None),
--- a/roadpulley/__main__.py
+++ b/roadpulley/__main__.py
@@ -194,7 +194,9 @@
         tallies,
     )
     counter = (
-        CounterClient(loop, timers, config.counter, config.settings.counter_timeout) if config.counter else None
+        CounterClient(loop, timers, config.counter, config.settings.counter_timeout)
+        if config.counter
+        else None
     )
     driver = Driver(config.settings, config.seed, timers, backends, counter, config.max_open)
 
--- a/roadpulley/cli/quota_error.py
+++ b/roadpulley/cli/quota_error.py
@@ -64,7 +64,9 @@
 
 
 def case_of(plan: api.Plan, settings: api.Settings, args: argparse.Namespace) -> Scenario:
-    return Scenario(plan, args.gateways or settings.gateways, settings.max_request_units, args.seconds, args.parted)
+    return Scenario(
+        plan, args.gateways or settings.gateways, settings.max_request_units, args.seconds, args.parted
+    )
 
 
 def rows_of(plan: api.Plan, settings: api.Settings, args: argparse.Namespace) -> list[dict[str, Any]]:
--- a/roadpulley/core/driver.py
+++ b/roadpulley/core/driver.py
@@ -143,7 +143,7 @@
             api.AddToCounter: self.count,
             api.SpendRights: self.spend,
             api.SubscribeBackends: lambda _: None,  # the list is always followed
-            api.SendHandover: lambda action: self.hand_over(action.state),
+            api.SendHandover: lambda action: self.hand_over(action.handover_state),
         }
 
     # ---- events ----
--- a/tests/operations/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -30,7 +30,7 @@
 
 
 def estate_of(actions: list[api.Action]) -> api.HandoverState:
-    (told,) = [action.state for action in actions if isinstance(action, api.SendHandover)]
+    (told,) = [action.handover_state for action in actions if isinstance(action, api.SendHandover)]
     return told
 
 
--- a/tests/operations/test_link.py
+++ b/tests/operations/test_link.py
@@ -147,7 +147,7 @@
         await link.inherit()
         (event,) = driver.events
         assert isinstance(event, api.HandoverReceived)
-        assert event.state.complete_since > module.now_ms() + module.MOST_BESIDE_MS / 2
+        assert event.handover_state.complete_since > module.now_ms() + module.MOST_BESIDE_MS / 2
         server.close()
 
     in_loop(scenario)
