--- a/roadpulley/cli/fleet.py
+++ b/roadpulley/cli/fleet.py
@@ -81,7 +81,7 @@
     try:
         from roadpulley.fleet.agent import Agent
         from roadpulley.fleet.settings import named, read_settings
-        from roadpulley.fleet.works import works
+        from roadpulley.fleet.works import create_works
     except ImportError as error:
         raise ValidationError("--fleet", f"needs {error.name}", "install roadpulley[fleet]") from error
     found = read_settings(settings)
@@ -89,7 +89,7 @@
         raise ValidationError(
             "--name", "is missing", f"name one of {', '.join(found.static)}, or another of its own"
         )
-    return Agent(found, named(name, "--name"), works(found, name))
+    return Agent(found, named(name, "--name"), create_works(found, name))
 
 
 def workers_use(agent: Agent, settings: dict[str, Any]) -> None:
--- a/roadpulley/cli/fleet_commands.py
+++ b/roadpulley/cli/fleet_commands.py
@@ -53,11 +53,11 @@
 @click.pass_obj
 def check(settings: Path) -> int:
     """Judge the settings: every complaint names the file, the key and what would be right."""
-    from roadpulley.fleet.works import works
+    from roadpulley.fleet.works import create_works
 
     found = read_settings(settings)
     for name in found.static:
-        works(found, name)
+        create_works(found, name)
     times = found.times
     click.echo(
         f"{settings}: {len(found.voters)} voters, {len(found.others)} others, {len(found.duties)} duties; "
--- a/roadpulley/fleet/agent.py
+++ b/roadpulley/fleet/agent.py
@@ -23,7 +23,7 @@
 from .counts.messages import AddRequest, Digest, PartBatch
 from .counts.messages import ReplicaMessage as ForCounts
 from .counts.service import CounterReplicator
-from .duties.memory import Memory
+from .duties.fence_store import FenceStore
 from .duties.reconfiguration import ChangeRequest, Reconfiguration, ReconfigurationWork, VoterConfigFile
 from .duties.service import Duties
 from .duties.terms import (
@@ -466,8 +466,8 @@
 
     def _vote(self) -> None:
         """From now on, in silence first: the process before this one may have granted something."""
-        if self.duties.memory is None:
-            self.duties.memory = Memory(self.settings.state, self.name, wall_ms())
+        if self.duties.fence_store is None:
+            self.duties.fence_store = FenceStore(self.settings.state, self.name, wall_ms())
         self.duties.vote(self.clock.now())
 
     def _adopt_voter_config(self, config: VoterConfig) -> None:
--- a/roadpulley/fleet/duties/spread.py
+++ b/roadpulley/fleet/duties/assignment.py
@@ -12,25 +12,27 @@
 
 from .terms import ProcessId
 
-STANDBY = 3  # that try to take a duty nobody seems to hold; the others wait until these are dead
-STEP_S = 0.15  # between their tries: the first has taken it by then
+MAX_ACTIVE_CANDIDATES = (
+    3  # that try to take a duty nobody seems to hold; the others wait until these are dead
+)
+RANK_DELAY_S = 0.15  # between their tries: the first has taken it by then
 
 
-def weight(duty: str, name: str) -> int:
+def rendezvous_weight(duty: str, name: str) -> int:
     return int.from_bytes(hashlib.blake2b(f"{duty}\0{name}".encode(), digest_size=8).digest())
 
 
-def order(duty: str, able: Sequence[ProcessId], preferred: Sequence[str]) -> list[ProcessId]:
+def rank_candidates(duty: str, able: Sequence[ProcessId], preferred: Sequence[str]) -> list[ProcessId]:
     """All that may hold it, first choice first. Of processes of one name, the higher boot."""
 
     def key(who: ProcessId) -> tuple[int, int, int]:
         rank = preferred.index(who.name) if who.name in preferred else len(preferred)
-        return rank, -weight(duty, who.name), -who.boot
+        return rank, -rendezvous_weight(duty, who.name), -who.boot
 
     return sorted(able, key=key)
 
 
-def spread(
+def assign_candidates(
     able: Mapping[str, Sequence[ProcessId]], preferred: Mapping[str, Sequence[str]]
 ) -> dict[str, list[ProcessId]]:
     """By duty: in which order its candidates should try, the one that has room for it first.
@@ -43,7 +45,7 @@
     found: dict[str, list[ProcessId]] = {}
     # Preferences first: they should not lose their place to duties that would go anywhere.
     for duty in sorted(able, key=lambda d: (not preferred.get(d), d)):
-        wanted = order(duty, able[duty], preferred.get(duty, ()))
+        wanted = rank_candidates(duty, able[duty], preferred.get(duty, ()))
         if not wanted:
             found[duty] = []
             continue
--- a/roadpulley/fleet/duties/memory.py
+++ b/roadpulley/fleet/duties/fence_store.py
@@ -14,10 +14,10 @@
 
 from roadpulley.checks import ValidationError
 
-BLOCK = 1_000
+RESERVED_BLOCK = 1_000
 
 
-class Memory:
+class FenceStore:
     def __init__(self, folder: Path | None, name: str, wall_ms: int) -> None:
         """Raises ValidationError for a file that is none of ours: to vote with less than was used would be a
         lie.
@@ -28,7 +28,7 @@
             self.path.parent.mkdir(parents=True, exist_ok=True)
             if self.path.exists():
                 self.floor = self._read(self.path)
-        self.reserved = self.floor
+        self.reserved_until = self.floor
         self.reserve(self.floor)
 
     @staticmethod
@@ -49,15 +49,15 @@
 
         Danger: a number that was promised and not set aside could be promised again after a restart.
         """
-        if number < self.reserved:
+        if number < self.reserved_until:
             return
-        upto = number + BLOCK
+        upto = number + RESERVED_BLOCK
         if self.path is not None:
-            replace(self.path, json.dumps({"used": upto}).encode())
-        self.reserved = upto
+            write_atomically(self.path, json.dumps({"used": upto}).encode())
+        self.reserved_until = upto
 
 
-def replace(path: Path, data: bytes) -> None:
+def write_atomically(path: Path, data: bytes) -> None:
     """Whole and on disk, or as it was. Raises OSError."""
     part = path.with_name(path.name + ".part")
     with part.open("wb") as file:
--- a/roadpulley/fleet/duties/probe.py
+++ b/roadpulley/fleet/duties/probe.py
@@ -9,11 +9,11 @@
 import socket
 import time
 
-from .work import Duty, StaleFenceError, WorkFailed
+from .work import HeldDuty, StaleFenceError, WorkError
 
-ANSWER_S = 2.0
-MOST_LINE = 256
-PAUSE = "ROADPULLEY_PROBE_PAUSE_S"  # of the testbed: between check and act, where a stop does most harm
+REGISTER_TIMEOUT_S = 2.0
+MAX_LINE_BYTES = 256
+PAUSE_ENV = "ROADPULLEY_PROBE_PAUSE_S"  # of the testbed: between check and act, where a stop does most harm
 
 
 class Probe:
@@ -21,13 +21,13 @@
         host, _, port = address.rpartition(":")
         self.name, self.at, self.who, self.every_s = name, (host, int(port)), who, every_s
         self.acts = 0
-        self.pause_s = float(os.environ.get(PAUSE, "0"))
+        self.pause_s = float(os.environ.get(PAUSE_ENV, "0"))
 
     def claim(self, fence: int, owner: str) -> int | None:
         return self._ask(f"claim {self.name} {fence} {owner}")
 
-    def act(self, duty: Duty) -> float | None:
-        if not duty.still_mine():
+    def act(self, duty: HeldDuty) -> float | None:
+        if not duty.is_still_held():
             return None
         self.acts += 1
         time.sleep(self.pause_s)
@@ -38,13 +38,13 @@
 
     def _ask(self, line: str) -> int | None:
         try:
-            with socket.create_connection(self.at, ANSWER_S) as sock:
+            with socket.create_connection(self.at, REGISTER_TIMEOUT_S) as sock:
                 sock.sendall(line.encode() + b"\n")
-                words = sock.makefile("rb").readline(MOST_LINE).split()
+                words = sock.makefile("rb").readline(MAX_LINE_BYTES).split()
         except OSError as error:
-            raise WorkFailed(f"the register at {self.at[0]}:{self.at[1]}: {error}") from error
+            raise WorkError(f"the register at {self.at[0]}:{self.at[1]}: {error}") from error
         if words == [b"ok"]:
             return None
         if len(words) == 2 and words[0] == b"low" and words[1].isdigit():
             return int(words[1])
-        raise WorkFailed(f"the register answered {b' '.join(words)!r}")
+        raise WorkError(f"the register answered {b' '.join(words)!r}")
--- a/roadpulley/fleet/duties/reconfiguration.py
+++ b/roadpulley/fleet/duties/reconfiguration.py
@@ -15,7 +15,7 @@
 from roadpulley.checks import ValidationError
 from roadpulley.fleet.clock import Clock
 
-from .memory import replace
+from .fence_store import write_atomically
 from .terms import LeaseTimes
 from .voter_config import (
     VOTERS_DUTY,
@@ -28,7 +28,7 @@
     VoterConfigState,
     initial_config,
 )
-from .work import Duty, WorkDone
+from .work import HeldDuty, WorkCompleted
 
 log = structlog.get_logger("roadpulley.fleet.voters")
 
@@ -76,7 +76,7 @@
         promised = state.promised_fence
         data = {"id": list(config.id), "voters": config.voters, "before": config.before, "promised": promised}
         path.parent.mkdir(parents=True, exist_ok=True)
-        replace(path, json.dumps(data).encode())
+        write_atomically(path, json.dumps(data).encode())
 
 
 @dataclass
@@ -185,7 +185,7 @@
     def claim(self, fence: int, owner: str) -> int | None:
         return None
 
-    def act(self, duty: Duty) -> float | None:
+    def act(self, duty: HeldDuty) -> float | None:
         over = threading.Event()
 
         begun = False
@@ -201,9 +201,9 @@
             if self.reconfiguration.request is None:
                 over.set()
 
-        while duty.still_mine() and not over.is_set():
+        while duty.is_still_held() and not over.is_set():
             self.soon(look)
             over.wait(LOOK_S)
         if over.is_set():
-            raise WorkDone("the voters are changed, or stay as they are")
+            raise WorkCompleted("the voters are changed, or stay as they are")
         return LOOK_S
--- a/roadpulley/fleet/duties/registers.py
+++ b/roadpulley/fleet/duties/registers.py
@@ -11,7 +11,7 @@
 
 from roadpulley.fences import StaleFenceError
 
-from .work import WorkFailed
+from .work import WorkError
 
 
 class FileRegister:
@@ -21,7 +21,7 @@
         self.path = path
 
     def claim(self, fence: int, owner: str) -> int | None:
-        """Take it up. None: it is; else the highest that was before. Raises WorkFailed, OSError."""
+        """Take it up. None: it is; else the highest that was before. Raises WorkError, OSError."""
         with self._locked() as fd:
             highest, before = self._read(fd)
             if (fence, owner) == (highest, before):
@@ -34,8 +34,8 @@
         return None
 
     @contextmanager
-    def under(self, fence: int) -> Iterator[None]:
-        """For one act: while it lasts nobody takes up another. Raises StaleFenceError, WorkFailed, OSError.
+    def guard(self, fence: int) -> Iterator[None]:
+        """For one act: while it lasts nobody takes up another. Raises StaleFenceError, WorkError, OSError.
 
         Danger: without the lock the act could come after another's claim, which nothing would refuse then.
         """
@@ -53,7 +53,7 @@
             try:
                 fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except BlockingIOError as error:
-                raise WorkFailed(f"{self.path}: another process acts there") from error
+                raise WorkError(f"{self.path}: another process acts there") from error
             yield fd
         finally:
             os.close(fd)
@@ -66,4 +66,4 @@
             raw = json.loads(data)
             return int(raw["fence"]), str(raw["owner"])
         except (ValueError, KeyError, TypeError) as error:
-            raise WorkFailed(f"{self.path} holds no fence: remove it if nothing acts there") from error
+            raise WorkError(f"{self.path} holds no fence: remove it if nothing acts there") from error
--- a/roadpulley/fleet/duties/service.py
+++ b/roadpulley/fleet/duties/service.py
@@ -16,6 +16,7 @@
 from roadpulley.fleet.members.messages import Claim as Member
 from roadpulley.fleet.settings import DutySettings, FleetSettings
 
+from .assignment import MAX_ACTIVE_CANDIDATES, RANK_DELAY_S, assign_candidates
 from .candidate import (
     NO_DEADLINE,
     Action,
@@ -27,12 +28,11 @@
     SendMessage,
     State,
 )
-from .memory import Memory
-from .spread import STANDBY, STEP_S, spread
+from .fence_store import FenceStore
 from .terms import Accept, MonotonicTime, Prepare, ProcessId, VoterRequest, VoterResponse
 from .voter import Voter
 from .voter_config import VOTERS_DUTY, VoterConfig
-from .work import Duty, StaleFenceError, Work, WorkDone, WorkFailed
+from .work import HeldDuty, StaleFenceError, Work, WorkCompleted, WorkError
 
 CLAIM_AGAIN_S = 0.2
 LOOK_S = 0.05  # between two looks whether a holding has ended
@@ -48,7 +48,7 @@
     settings: DutySettings
     candidate: Candidate
     work: Work
-    duty: Duty | None = None
+    duty: HeldDuty | None = None
     task: asyncio.Task[None] | None = None
     began: MonotonicTime = 0.0
     acts: int = 0
@@ -76,7 +76,7 @@
     voter_config: VoterConfig
     wished: Callable[[], bool]  # whether the voters are to be changed from here
     handing: Callable[[str, ProcessId], Awaitable[None]] | None = None  # what the next holder is told before
-    memory: Memory | None = None  # of one that may vote; None: nobody would find it
+    fence_store: FenceStore | None = None  # of one that may vote; None: nobody would find it
     voter: Voter | None = None  # also of who is no voter yet: once it is one, it need not keep silent first
     holdings: dict[str, Holding] = field(default_factory=dict)
     orders: dict[str, list[ProcessId]] = field(default_factory=dict)
@@ -110,11 +110,11 @@
 
     def vote(self, now: MonotonicTime) -> None:
         """Begin to vote, with nothing in memory but which fences may have been used."""
-        assert self.memory is not None
-        self.voter = Voter(self.settings.times, now, self.memory.floor, self.voter_config.id)
+        assert self.fence_store is not None
+        self.voter = Voter(self.settings.times, now, self.fence_store.floor, self.voter_config.id)
 
     def asked(self, question: VoterRequest) -> VoterResponse | None:
-        if self.voter is None or self.memory is None:
+        if self.voter is None or self.fence_store is None:
             return None
         if isinstance(question, Prepare | Accept):
             try:
@@ -125,9 +125,9 @@
         return self.voter.handle_request(self.clock.now(), question)
 
     def _reserve(self, number: int) -> None:
-        assert self.memory is not None and self.voter is not None
-        if self.memory.reserved <= number <= self.voter.max_allowed_round():
-            self.memory.reserve(number)
+        assert self.fence_store is not None and self.voter is not None
+        if self.fence_store.reserved_until <= number <= self.voter.max_allowed_round():
+            self.fence_store.reserve(number)
 
     # ---- candidates ----
 
@@ -142,7 +142,7 @@
             # it takes it again.
             holding.candidate.observe_round(fence)
             holding.candidate.stop_trying()  # what it waited for is over
-            holding.candidate.schedule_try(self.clock.now(), rank * STEP_S)
+            holding.candidate.schedule_try(self.clock.now(), rank * RANK_DELAY_S)
             self.changed()
 
     def tick(self) -> None:
@@ -158,7 +158,7 @@
         """Who tries to take what, by the members that are seen; and what should go to another instance."""
         now, names = self.clock.now(), list(bits)
         able = {n: [m.process for m in members if m.duty_bits >> bits[n] & 1] for n in names}
-        self.orders = spread(able, {n: self.settings.duties[n].prefer for n in names})
+        self.orders = assign_candidates(able, {n: self.settings.duties[n].prefer for n in names})
         for name, holding in self.holdings.items():
             if name == VOTERS_DUTY:
                 if self.wished() and holding.candidate.due_at == NO_DEADLINE and not self.leaving:
@@ -166,14 +166,16 @@
                 continue  # taken only by who has something to change
             order, candidate = self.orders.get(name, []), holding.candidate
             rank = order.index(self.me) if self.me in order else len(order)
-            if self.leaving or rank >= STANDBY:
+            if self.leaving or rank >= MAX_ACTIVE_CANDIDATES:
                 candidate.stop_trying()
             elif candidate.due_at == NO_DEADLINE:
                 # Danger: who has just handed it over may be the first choice still, and would take it back.
-                others_first = STANDBY if now - holding.let_go < self.settings.times.lease else 0
-                candidate.schedule_try(now, (rank + others_first) * STEP_S)
+                others_first = (
+                    MAX_ACTIVE_CANDIDATES if now - holding.let_go < self.settings.times.lease else 0
+                )
+                candidate.schedule_try(now, (rank + others_first) * RANK_DELAY_S)
             else:
-                candidate.priority_delay_s = rank * STEP_S
+                candidate.priority_delay_s = rank * RANK_DELAY_S
         self._even_out(now)
         self.changed()
 
@@ -223,7 +225,7 @@
         candidate = holding.candidate
         self._say("takes", holding, fence)
         holding.leaving = False
-        duty = Duty(
+        duty = HeldDuty(
             candidate.duty,
             fence,
             lambda: candidate.held_until if candidate.state is State.HOLDING else -math.inf,
@@ -244,7 +246,7 @@
 
     # ---- the work ----
 
-    async def _serve(self, holding: Holding, duty: Duty, before: asyncio.Task[None] | None) -> None:
+    async def _serve(self, holding: Holding, duty: HeldDuty, before: asyncio.Task[None] | None) -> None:
         """One holding: claim it at its registers, then its rounds, until it ends."""
         if before is not None:
             await asyncio.wait({before})  # one round at a time: the last may still be under way
@@ -260,23 +262,23 @@
         except StaleFenceError as low:
             if not duty.ended.is_set():
                 self.do(holding, candidate.handle_low_fence(self.clock.now(), fence, low.highest))
-        except WorkDone as done:
+        except WorkCompleted as done:
             if not duty.ended.is_set():
                 self.do(holding, candidate.release(self.clock.now(), str(done)))
         except Exception as error:  # whatever it is: the duty is not done here, and the next one should try
-            if not isinstance(error, WorkFailed):
+            if not isinstance(error, WorkError):
                 log.exception("work broke", duty=duty.name, fence=fence)
             if not duty.ended.is_set():
                 self.do(
                     holding, candidate.release(self.clock.now(), f"its work failed: {error}", failed=True)
                 )
 
-    async def _claim(self, holding: Holding, duty: Duty) -> bool:
+    async def _claim(self, holding: Holding, duty: HeldDuty) -> bool:
         owner = f"{self.me.name}.{self.me.boot}"
         while not duty.ended.is_set():
             try:
                 highest = await self._threaded(holding.work.claim, duty.fence, owner)
-            except WorkFailed as error:
+            except WorkError as error:
                 log.warning("a register is out of reach", duty=duty.name, fence=duty.fence, why=str(error))
                 await self._pause(holding, duty, CLAIM_AGAIN_S)
                 continue
@@ -288,7 +290,7 @@
     async def _threaded(self, call: Callable[..., Any], *args: Any) -> Any:
         return await asyncio.get_running_loop().run_in_executor(self.executor, call, *args)
 
-    async def _pause(self, holding: Holding, duty: Duty, seconds: float) -> None:
+    async def _pause(self, holding: Holding, duty: HeldDuty, seconds: float) -> None:
         """Until the next round, or the end of the holding, or somebody asks for a round."""
         end = self.clock.now() + seconds
         while not duty.ended.is_set() and not holding.hurry and (left := end - self.clock.now()) > 0:
@@ -314,9 +316,9 @@
         asyncio.get_running_loop().create_task(self._hand_over(holding, holding.duty, why))
         return True
 
-    async def _hand_over(self, holding: Holding, duty: Duty, why: str) -> None:
+    async def _hand_over(self, holding: Holding, duty: HeldDuty, why: str) -> None:
         name, task = holding.settings.name, holding.task
-        others = [who for who in self.orders.get(name, []) if who != self.me][:STANDBY]
+        others = [who for who in self.orders.get(name, []) if who != self.me][:MAX_ACTIVE_CANDIDATES]
         if others and self.handing is not None:
             await self.handing(name, others[0])
         duty.ended.set()  # no further round begins
--- a/roadpulley/fleet/duties/work.py
+++ b/roadpulley/fleet/duties/work.py
@@ -10,18 +10,18 @@
 
 from .terms import MonotonicTime
 
-__all__ = ["Duty", "StaleFenceError", "Work", "WorkDone", "WorkFailed"]
+__all__ = ["HeldDuty", "StaleFenceError", "Work", "WorkCompleted", "WorkError"]
 
 
-class WorkFailed(Exception):
+class WorkError(Exception):
     """It can't be done here, or now: one line for people."""
 
 
-class WorkDone(Exception):
+class WorkCompleted(Exception):
     """There is nothing left to do: the duty is let go of, and nobody has to take it."""
 
 
-class Duty:
+class HeldDuty:
     """One holding, as its work sees it, from any thread."""
 
     def __init__(
@@ -30,7 +30,7 @@
         self.name, self.fence, self._until, self._clock = name, fence, until, clock
         self.ended = threading.Event()
 
-    def still_mine(self) -> bool:
+    def is_still_held(self) -> bool:
         """Ask it right before each act. Danger: the process may be stopped between this and the act, for as
         long as it takes another to act; what refuses the act then is the fence that goes with it."""
         return not self.ended.is_set() and self._clock() < self._until()
@@ -43,11 +43,11 @@
         """Have all registers take the fence up. None: they did; else the highest that one had taken up.
 
         `owner` tells a holding's own claim, asked again, from another that came by the same number.
-        Raises WorkFailed where one can't be reached.
+        Raises WorkError where one can't be reached.
         """
 
-    def act(self, duty: Duty) -> float | None:
+    def act(self, duty: HeldDuty) -> float | None:
         """One round; gives the seconds until the next, None for as set.
 
-        Raises StaleFenceError, WorkFailed.
+        Raises StaleFenceError, WorkError.
         """
--- a/roadpulley/fleet/orders/service.py
+++ b/roadpulley/fleet/orders/service.py
@@ -13,7 +13,7 @@
 from roadpulley.fleet.clock import Clock, wall_ms
 from roadpulley.fleet.duties.terms import MonotonicTime
 from roadpulley.fleet.duties.voter_config import VoterConfig
-from roadpulley.fleet.duties.work import Duty
+from roadpulley.fleet.duties.work import HeldDuty
 from roadpulley.fleet.peers.service import Route
 from roadpulley.fleet.worker_socket import WorkerSocket
 
@@ -81,7 +81,7 @@
         self.clock, self.answer, self.tell, self.to = clock, answer, tell, to
         self.everybody, self.roll, self.soon, self.changed = everybody, roll, soon, changed
         self.follower = Follower(settings.terms)
-        self.duty: Duty | None = None
+        self.duty: HeldDuty | None = None
         self.publisher: Publisher | None = None
         # The publisher that was heard last. Danger: it may take this instance for dead and tell it nothing.
         # It is asked all the same, until a later one is heard of.
@@ -145,11 +145,11 @@
 
     # ---- to publish ----
 
-    def _begins(self, duty: Duty) -> None:
+    def _begins(self, duty: HeldDuty) -> None:
         """From the thread of the work."""
         self.soon(lambda: self._begin(duty))
 
-    def _begin(self, duty: Duty) -> None:
+    def _begin(self, duty: HeldDuty) -> None:
         ours = max(self.follower.book, self.keeper.kept.book, key=lambda b: b.id)
         self.duty, self.publisher = duty, Publisher(duty.fence, self.roll(), ours, self.answer)
         self.shown, self.said, self.askers = {}, {}, {}
@@ -161,7 +161,7 @@
         Danger: this may be out of date the moment after. What is sent then goes under our fence: voters that
         have promised a higher one refuse it, and followers that have heard of one.
         """
-        if self.duty is None or not self.duty.still_mine() or self.publisher is None:
+        if self.duty is None or not self.duty.is_still_held() or self.publisher is None:
             self.publisher = None
             return None
         return self.publisher
--- a/roadpulley/fleet/orders/voter.py
+++ b/roadpulley/fleet/orders/voter.py
@@ -8,7 +8,7 @@
 import structlog
 
 from roadpulley.checks import ValidationError
-from roadpulley.fleet.duties.memory import replace
+from roadpulley.fleet.duties.fence_store import write_atomically
 
 from .messages import OrderBook, VoterReply
 
@@ -58,7 +58,7 @@
         if kept is not self.kept and self.path is not None:
             try:
                 self.path.parent.mkdir(parents=True, exist_ok=True)
-                replace(self.path, msgspec.json.encode(kept))
+                write_atomically(self.path, msgspec.json.encode(kept))
             except OSError as error:
                 log.error("orders cannot be kept", path=str(self.path), why=str(error))
                 return False
--- a/roadpulley/fleet/orders/work.py
+++ b/roadpulley/fleet/orders/work.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from roadpulley.fleet.duties.work import Duty, StaleFenceError
+from roadpulley.fleet.duties.work import HeldDuty, StaleFenceError
 
 DUTY = "fleet.orders"
 FENCE_CHECK_INTERVAL_S = 0.5  # between two looks whether voters refuse the fence
@@ -14,9 +14,9 @@
     """`begins` and `highest` are the instance's own: the loop of the instance does all else."""
 
     def __init__(self) -> None:
-        self.begins: Callable[[Duty], None] | None = None
+        self.begins: Callable[[HeldDuty], None] | None = None
         self.highest: Callable[[], int] = lambda: 0
-        self.duty: Duty | None = None
+        self.duty: HeldDuty | None = None
         self.low = 0  # a higher fence that voters have promised
 
     def claim(self, fence: int, owner: str) -> int | None:
@@ -24,7 +24,7 @@
         highest = self.highest()
         return highest if highest >= fence else None
 
-    def act(self, duty: Duty) -> float | None:
+    def act(self, duty: HeldDuty) -> float | None:
         if duty is not self.duty and self.begins is not None:
             self.duty = duty
             self.begins(duty)
--- a/roadpulley/fleet/rights/service.py
+++ b/roadpulley/fleet/rights/service.py
@@ -16,7 +16,7 @@
 
 from roadpulley.fleet.clock import Clock
 from roadpulley.fleet.duties.terms import MonotonicTime
-from roadpulley.fleet.duties.work import Duty
+from roadpulley.fleet.duties.work import HeldDuty
 from roadpulley.fleet.peers.service import Route
 from roadpulley.fleet.worker_socket import WorkerSocket
 
@@ -65,7 +65,7 @@
     ) -> None:
         self.settings, self.beside, self.clock, self.rng = settings, beside, clock, rng
         self.tell, self.everybody, self.soon = tell, everybody, soon
-        self.ours: dict[int, tuple[Duty, Allocator]] = {}
+        self.ours: dict[int, tuple[HeldDuty, Allocator]] = {}
         self.known: dict[int, tuple[int, Route, MonotonicTime]] = {}  # by part: fence, where, until when
         self.counts: Counter[str] = Counter()
         self.saying: asyncio.TimerHandle | None = None
@@ -87,11 +87,11 @@
 
     # ---- to give out ----
 
-    def _begins(self, part: int, duty: Duty) -> None:
+    def _begins(self, part: int, duty: HeldDuty) -> None:
         """From the thread of the work."""
         self.soon(lambda: self._begin(part, duty))
 
-    def _begin(self, part: int, duty: Duty) -> None:
+    def _begin(self, part: int, duty: HeldDuty) -> None:
         # Danger: it counts what its forerunners gave out from its own beginning, which is not before theirs
         # ended: only who holds the duty comes here.
         settings = self.settings
@@ -154,7 +154,7 @@
         duty, allocator = self.ours.get(part, (None, None))
         if duty is None:
             return None
-        if not duty.still_mine():
+        if not duty.is_still_held():
             del self.ours[part]
             return None
         return allocator
--- a/roadpulley/fleet/rights/work.py
+++ b/roadpulley/fleet/rights/work.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable
 
-from roadpulley.fleet.duties.work import Duty
+from roadpulley.fleet.duties.work import HeldDuty
 
 DUTY = "fleet.rights."  # and the number of the part
 
-Begins = Callable[[int, Duty], None]
+Begins = Callable[[int, HeldDuty], None]
 
 
 class AllocatorWork:
@@ -17,12 +17,12 @@
     def __init__(self, part: int) -> None:
         self.part = part
         self.begins: Begins | None = None  # of the instance, called from a thread
-        self.duty: Duty | None = None
+        self.duty: HeldDuty | None = None
 
     def claim(self, fence: int, owner: str) -> int | None:
         return None
 
-    def act(self, duty: Duty) -> float | None:
+    def act(self, duty: HeldDuty) -> float | None:
         """The first round of a holding makes an allocator; the loop of the instance does all else."""
         if duty is not self.duty and self.begins is not None:
             self.duty = duty
--- a/roadpulley/fleet/works/__init__.py
+++ b/roadpulley/fleet/works/__init__.py
@@ -7,21 +7,21 @@
 from roadpulley.fleet.settings import DutySettings, FleetSettings
 
 
-def works(settings: FleetSettings, name: str) -> dict[str, Work]:
+def create_works(settings: FleetSettings, name: str) -> dict[str, Work]:
     """Of the duties that this instance may hold.
 
     Raises ValidationError for settings of a work that can't be taken.
     """
     return {
-        duty.name: make(duty, name)
+        duty.name: create_work(duty, name)
         for duty in settings.duties.values()
         if not duty.among or name in duty.among
     }
 
 
-def make(duty: DutySettings, name: str) -> Work:
+def create_work(duty: DutySettings, name: str) -> Work:
     try:
-        return made(duty, name)
+        return create_work_of_kind(duty, name)
     except ImportError as error:
         right = "install roadpulley[fleet]"
         raise ValidationError(
@@ -29,7 +29,7 @@
         ) from error
 
 
-def made(duty: DutySettings, name: str) -> Work:
+def create_work_of_kind(duty: DutySettings, name: str) -> Work:
     if duty.work == "probe":
         from roadpulley.fleet.duties.probe import Probe
 
@@ -48,14 +48,14 @@
 
         from . import usage
 
-        kind = usage.Push if duty.work == "usage-push" else usage.Close
+        kind = usage.BillingPusher if duty.work == "usage-push" else usage.PeriodCloser
         return kind(duty.name, read_settings(duty.settings))
     if duty.work == "plans-publish":
         from roadpulley.plans.settings import read_settings as read_plans
 
-        from .plans import Publish
+        from .plans import PlanPublisher
 
-        return Publish(duty.name, read_plans(duty.settings))
-    from .care import Care, read_care
+        return PlanPublisher(duty.name, read_plans(duty.settings))
+    from .store_maintenance import StoreMaintenance, read_maintenance_settings
 
-    return Care(duty.name, read_care(duty.settings))
+    return StoreMaintenance(duty.name, read_maintenance_settings(duty.settings))
--- a/roadpulley/fleet/works/care.py
+++ b/roadpulley/fleet/works/store_maintenance.py
@@ -15,7 +15,7 @@
 
 from roadpulley.checks import Table, ValidationError, read_toml
 from roadpulley.fleet.duties.registers import FileRegister
-from roadpulley.fleet.duties.work import Duty, WorkFailed
+from roadpulley.fleet.duties.work import HeldDuty, WorkError
 from roadpulley.store import Locked, Store, StoreError
 from roadpulley.store.backup import backup
 from roadpulley.store.files import DiskFiles
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class CareSettings:
+class MaintenanceSettings:
     """`keep`: copies, the newest; `copy_s`: seconds from one to the next at the least."""
 
     store: Path
@@ -36,23 +36,23 @@
     copy_s: float
 
 
-def read_care(path: Path) -> CareSettings:
+def read_maintenance_settings(path: Path) -> MaintenanceSettings:
     """Paths are relative to the file. Raises ValidationError with the file and the key."""
 
-    def read(raw: dict[str, Any]) -> CareSettings:
+    def read(raw: dict[str, Any]) -> MaintenanceSettings:
         table = Table(raw)
         store, copies = table.read_text("store"), table.read_text("copies")
         keep, every = table.read_int("keep", 7, 1, 10_000), table.read_number("copy_s", 86_400.0, 0.1)
         table.reject_unknown_keys()
-        return CareSettings(path.parent / store, path.parent / copies, keep, every)
+        return MaintenanceSettings(path.parent / store, path.parent / copies, keep, every)
 
     return read_toml(path, read)
 
 
-class Care:
+class StoreMaintenance:
     """Its register: a fence in the folder of the copies. A copy's name holds the fence it was made under."""
 
-    def __init__(self, name: str, settings: CareSettings) -> None:
+    def __init__(self, name: str, settings: MaintenanceSettings) -> None:
         self.name, self.settings = name, settings
         self.register = FileRegister(settings.copies / "FENCE")
 
@@ -60,11 +60,11 @@
         with failing("the copies"):
             return self.register.claim(fence, owner)
 
-    def act(self, duty: Duty) -> float | None:
+    def act(self, duty: HeldDuty) -> float | None:
         with failing("the store or its copies"):
-            if time.time() - self.newest() >= self.settings.copy_s and duty.still_mine():
+            if time.time() - self.newest() >= self.settings.copy_s and duty.is_still_held():
                 self.copy(duty)
-            if duty.still_mine():
+            if duty.is_still_held():
                 self.compact()
         return None
 
@@ -80,14 +80,14 @@
         at = datetime.strptime(copies[-1].name.partition("-")[0], STAMP)
         return at.replace(tzinfo=UTC).timestamp()
 
-    def copy(self, duty: Duty) -> None:
+    def copy(self, duty: HeldDuty) -> None:
         """Into a part of its own, which takes its name under the fence; what a stopped holder left is
         removed."""
         name = f"{datetime.now(UTC).strftime(STAMP)}-{duty.fence}"
         part = self.settings.copies / f"part-{duty.fence}"
         shutil.rmtree(part, ignore_errors=True)
         version = backup(DiskFiles(self.settings.store), DiskFiles(part))
-        with self.register.under(duty.fence):
+        with self.register.guard(duty.fence):
             part.rename(self.settings.copies / name)
             for old in self.copies()[: -self.settings.keep]:
                 shutil.rmtree(old)
@@ -109,4 +109,4 @@
     try:
         yield
     except (StoreError, ValidationError, OSError) as error:
-        raise WorkFailed(f"{what}: {error}") from error
+        raise WorkError(f"{what}: {error}") from error
--- a/roadpulley/fleet/works/usage.py
+++ b/roadpulley/fleet/works/usage.py
@@ -9,7 +9,7 @@
 
 from roadpulley.checks import ValidationError
 from roadpulley.fleet.clock import wall_ms
-from roadpulley.fleet.duties.work import Duty, WorkFailed
+from roadpulley.fleet.duties.work import HeldDuty, WorkError
 from roadpulley.store import Locked, Store, StoreError, fences
 from roadpulley.usage.books import Books
 from roadpulley.usage.closing import HOUR_S, due
@@ -24,18 +24,18 @@
 
 @contextmanager
 def opened(settings: UsageSettings) -> Iterator[Store]:
-    """The books' store, for one round: between rounds commands may have it. Raises WorkFailed."""
+    """The books' store, for one round: between rounds commands may have it. Raises WorkError."""
     try:
         settings.store.parent.mkdir(parents=True, exist_ok=True)
         with Store.open(settings.store) as store:
             yield store
     except Locked as error:
-        raise WorkFailed(str(error)) from error
+        raise WorkError(str(error)) from error
     except (StoreError, ValidationError, OSError) as error:
-        raise WorkFailed(f"the books: {error}") from error
+        raise WorkError(f"the books: {error}") from error
 
 
-class Push:
+class BillingPusher:
     """Its registers: the books, by a record of the duty, and the sink, which keeps the highest fence
     it saw."""
 
@@ -50,7 +50,7 @@
         with opened(self.settings) as store:
             return fences.claim(store, self.name, fence, owner)
 
-    def act(self, duty: Duty) -> float | None:
+    def act(self, duty: HeldDuty) -> float | None:
         import httpx
 
         from roadpulley.usage.pushing import Pushing
@@ -63,7 +63,7 @@
         def pause(ms: int) -> bool:
             """Danger: a push after the time of the holding is out would rest on the fence alone."""
             duty.ended.wait(min(ms / 1000, max(0.0, end - time.monotonic())))
-            return duty.still_mine() and time.monotonic() < end
+            return duty.is_still_held() and time.monotonic() < end
 
         with opened(self.settings) as store:
             fenced = fences.Fenced(store, self.name, duty.fence)
@@ -72,7 +72,7 @@
             with httpx.Client(
                 base_url=self.settings.sink, headers=headers, timeout=self.settings.timeout_s
             ) as client:
-                pushing = Pushing(books, client, self.name, wall_ms, pause, duty.fence, duty.still_mine)
+                pushing = Pushing(books, client, self.name, wall_ms, pause, duty.fence, duty.is_still_held)
                 done = pushing.run()
         if done.pushed or done.parked:
             log.info(
@@ -81,7 +81,7 @@
         return None
 
 
-class Close:
+class PeriodCloser:
     """Takes batches in, and closes each period once it is over. Its register: the books."""
 
     def __init__(self, name: str, settings: UsageSettings) -> None:
@@ -94,14 +94,14 @@
         with opened(self.settings) as store:
             return fences.claim(store, self.name, fence, owner)
 
-    def act(self, duty: Duty) -> float | None:
+    def act(self, duty: HeldDuty) -> float | None:
         with opened(self.settings) as store:
             books = Books(fences.Fenced(store, self.name, duty.fence))
             collect(self.settings.spool, books)
             periods = Periods(books)
             closed = max((p.end for p in periods.all()), default=0)
             for each in due(self.calendar, closed, wall_ms() // 1000 // HOUR_S):
-                if not duty.still_mine():
+                if not duty.is_still_held():
                     break
                 made = periods.close(each.name, each.start, each.end, wall_ms() // 1000 // HOUR_S, wall_ms())
                 log.info("%s: closed %s with %d lines", self.name, made.name, made.lines)
--- a/roadpulley/testbed/fleet.py
+++ b/roadpulley/testbed/fleet.py
@@ -14,7 +14,7 @@
 from types import TracebackType
 
 from roadpulley.fleet.clock import CLOCK_RATE_VARIABLE, WALL_OFFSET_VARIABLE
-from roadpulley.fleet.duties.probe import PAUSE
+from roadpulley.fleet.duties.probe import PAUSE_ENV
 from roadpulley.fleet.rights.messages import Limit
 
 from .holders import Belief, Judgement, beliefs, judge, read_lines
@@ -218,7 +218,7 @@
         parent = os.getpid()
         env = {**os.environ, "ROADPULLEY_LOG": "debug", CLOCK_RATE_VARIABLE: str(member.rate)}
         env |= {WALL_OFFSET_VARIABLE: str(member.offset_ms), SECONDS: str(self.plan.lease * STALL_LEASES)}
-        env[PAUSE] = str(self.plan.pause)
+        env[PAUSE_ENV] = str(self.plan.pause)
         command = ["-m", "roadpulley.testbed.stalling", "fleet", "--settings", str(member.settings), "agent"]
         with member.log.open("ab") as log:
             return await asyncio.create_subprocess_exec(
--- a/tests/fleet/test_machines.py
+++ b/tests/fleet/test_machines.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from roadpulley.fleet.duties.assignment import assign_candidates
 from roadpulley.fleet.duties.candidate import (
     Candidate,
     ClaimRegisters,
@@ -12,8 +13,7 @@
     SendMessage,
     State,
 )
-from roadpulley.fleet.duties.memory import BLOCK, Memory
-from roadpulley.fleet.duties.spread import spread
+from roadpulley.fleet.duties.fence_store import RESERVED_BLOCK, FenceStore
 from roadpulley.fleet.duties.terms import (
     Accept,
     Ballot,
@@ -27,7 +27,7 @@
 )
 from roadpulley.fleet.duties.voter import MIN_COOLDOWN_S, Voter
 from roadpulley.fleet.duties.voter_config import INITIAL_CONFIG_ID
-from roadpulley.fleet.duties.work import Duty
+from roadpulley.fleet.duties.work import HeldDuty
 
 TIMES = LeaseTimes(lease=4.0, drift=0.05, margin=0.1, answer=0.2)
 A, B = ProcessId("a", 1), ProcessId("b", 2)
@@ -253,35 +253,35 @@
 
 def test_what_a_voter_used_is_remembered_on_disk(tmp_path_factory: pytest.TempPathFactory) -> None:
     folder = tmp_path_factory.mktemp("state")
-    first = Memory(folder, "v", wall_ms=100)
+    first = FenceStore(folder, "v", wall_ms=100)
     assert first.floor == 100
-    first.reserve(first.reserved + 5)
-    again = Memory(folder, "v", wall_ms=0)  # the clock stepped back; the disk did not
-    assert again.floor == 100 + BLOCK + 5 + BLOCK
-    assert Memory(None, "v", wall_ms=7).floor == 7
+    first.reserve(first.reserved_until + 5)
+    again = FenceStore(folder, "v", wall_ms=0)  # the clock stepped back; the disk did not
+    assert again.floor == 100 + RESERVED_BLOCK + 5 + RESERVED_BLOCK
+    assert FenceStore(None, "v", wall_ms=7).floor == 7
 
 
 def test_duties_are_spread_evenly_and_preferences_are_kept() -> None:
     who = [ProcessId(f"i{n}", n + 1) for n in range(5)]
     duties = {f"d{n:02}": who for n in range(64)}
-    found = spread(duties, {"d00": ["i3"], "d01": ["i3", "i1"]})
+    found = assign_candidates(duties, {"d00": ["i3"], "d01": ["i3", "i1"]})
     load = [sum(order[0] == w for order in found.values()) for w in who]
     assert max(load) <= 13 and sum(load) == 64
     assert found["d00"][0] == who[3] and found["d01"][0] == who[3]
     # One goes: what the others had stays with them, but for what its duties push over the bound.
-    fewer = spread({d: who[:4] for d in duties}, {})
-    stay = sum(1 for d in duties if fewer[d][0] == spread(duties, {})[d][0])
+    fewer = assign_candidates({d: who[:4] for d in duties}, {})
+    stay = sum(1 for d in duties if fewer[d][0] == assign_candidates(duties, {})[d][0])
     assert stay >= 40
-    assert spread({"d": []}, {}) == {"d": []}
+    assert assign_candidates({"d": []}, {}) == {"d": []}
 
 
 def test_a_duty_is_still_mine_until_its_time_is_out_or_it_ends() -> None:
     now, until = 1.0, 2.0
-    duty = Duty("d", 7, lambda: until, lambda: now)
-    assert duty.still_mine()
+    duty = HeldDuty("d", 7, lambda: until, lambda: now)
+    assert duty.is_still_held()
     now = 2.0
-    assert not duty.still_mine()
+    assert not duty.is_still_held()
     until = 3.0
-    assert duty.still_mine()
+    assert duty.is_still_held()
     duty.ended.set()
-    assert not duty.still_mine()
+    assert not duty.is_still_held()
--- a/tests/fleet/test_voter_config.py
+++ b/tests/fleet/test_voter_config.py
@@ -216,7 +216,7 @@
     file = VoterConfigFile(tmp_path, "a", {"a": "", "b": "", "c": ""})
     here = Reconfiguration(file, TIMES, Clock(), lambda name, address, body: None, taken.append)
     newer = next_config(here.config, 7, {"d": ""}, "")
-    monkeypatch.setattr(reconfiguration, "replace", full)
+    monkeypatch.setattr(reconfiguration, "write_atomically", full)
     for _ in range(2):
         assert here.handle_config(newer).id == (0, 0)
         assert here.handle_query(VoterConfigQuery(9)) is None
--- a/tests/fleet/test_works.py
+++ b/tests/fleet/test_works.py
@@ -13,10 +13,10 @@
 from roadpulley.cli import main
 from roadpulley.fences import StaleFenceError
 from roadpulley.fleet.duties.registers import FileRegister
-from roadpulley.fleet.duties.work import Duty, WorkFailed
-from roadpulley.fleet.works.care import Care, CareSettings
-from roadpulley.fleet.works.plans import Publish
-from roadpulley.fleet.works.usage import Close, Push
+from roadpulley.fleet.duties.work import HeldDuty, WorkError
+from roadpulley.fleet.works.plans import PlanPublisher
+from roadpulley.fleet.works.store_maintenance import MaintenanceSettings, StoreMaintenance
+from roadpulley.fleet.works.usage import BillingPusher, PeriodCloser
 from roadpulley.plans import feed
 from roadpulley.plans.follow import Follower
 from roadpulley.plans.settings import PlanSettings
@@ -31,9 +31,9 @@
 from roadpulley.usage.tally import Batch, Row, Sum
 
 
-def holding(fence: int, mine: bool = True) -> Duty:
+def holding(fence: int, mine: bool = True) -> HeldDuty:
     """`mine` stays true however late it is: as for a process that was stopped after it asked."""
-    return Duty("duty", fence, lambda: math.inf if mine else -math.inf, time.monotonic)
+    return HeldDuty("duty", fence, lambda: math.inf if mine else -math.inf, time.monotonic)
 
 
 def usage(folder: Path, sink: str = "", calendar: Calendar | None = None) -> UsageSettings:
@@ -89,7 +89,7 @@
     with Sink() as sink:
         settings = usage(tmp_path, sink.url)
         closed(settings, "p0")
-        first, second = Push("push", settings), Push("push", settings)
+        first, second = BillingPusher("push", settings), BillingPusher("push", settings)
         assert first.claim(7, "a") is None
         first.act(holding(7))
         assert sink.fences == [7]
@@ -110,9 +110,9 @@
         here, there = usage(tmp_path / "a", sink.url), usage(tmp_path / "b", sink.url)
         closed(here, "p0")
         closed(there, "p0", "p1")
-        assert Push("push", here).claim(500, "a") is None
-        Push("push", here).act(holding(500))
-        other = Push("push", there)
+        assert BillingPusher("push", here).claim(500, "a") is None
+        BillingPusher("push", here).act(holding(500))
+        other = BillingPusher("push", there)
         assert other.claim(3, "b") is None  # its books have seen none
         with pytest.raises(StaleFenceError) as low:
             other.act(holding(3))
@@ -126,7 +126,7 @@
     with Sink() as sink:
         settings = usage(tmp_path, sink.url)
         closed(settings, "p0")
-        work = Push("push", settings)
+        work = BillingPusher("push", settings)
         work.claim(7, "a")
         work.act(holding(7, mine=False))
         assert sink.pushes == 0
@@ -136,7 +136,7 @@
     now = int(time.time()) // 3600
     _, day_end = period_of("day", now - 48)
     settings = usage(tmp_path, calendar=Calendar("day", now - 48, 0))
-    work = Close("close", settings)
+    work = PeriodCloser("close", settings)
     assert work.claim(3, "a") is None
     work.act(holding(3))
     with Store.open(settings.store) as store:
@@ -144,7 +144,7 @@
     assert [p.start for p in found][0] == now - 48
     assert found[0].end == day_end
     assert found[-1].end <= now < found[-1].end + 24
-    assert Close("close", settings).claim(4, "b") is None
+    assert PeriodCloser("close", settings).claim(4, "b") is None
     with Store.open(settings.store) as store, pytest.raises(StaleFenceError):
         late = Periods(Books(fences.Fenced(store, "close", 3)))
         late.close("late", found[-1].end, now + 1, now + 1, 1)
@@ -175,7 +175,7 @@
 
 def test_the_feed_of_a_holder_that_stood_still_is_turned_down(tmp_path: Path) -> None:
     settings = PlanSettings(tmp_path / "plans", tmp_path / "plans.json", 200, 0.0)
-    first, second = Publish("plans", settings), Publish("plans", settings)
+    first, second = PlanPublisher("plans", settings), PlanPublisher("plans", settings)
     assert first.claim(5, "a") is None
     first.act(holding(5))
     old = settings.feed.read_bytes()
@@ -200,7 +200,7 @@
 
 def test_a_command_keeps_the_fence_that_the_feed_has(tmp_path: Path) -> None:
     settings = PlanSettings(tmp_path / "plans", tmp_path / "plans.json", 200, 0.0)
-    work = Publish("plans", settings)
+    work = PlanPublisher("plans", settings)
     work.claim(5, "a")
     work.act(holding(5))
     with Store.open(settings.store) as store:
@@ -210,8 +210,8 @@
 def test_copies_are_made_under_the_fence_and_the_oldest_go(tmp_path: Path) -> None:
     with Store.open(tmp_path / "store") as store:
         store.put(b"k", b"v")
-    settings = CareSettings(tmp_path / "store", tmp_path / "copies", 2, 0.0)
-    work = Care("care", settings)
+    settings = MaintenanceSettings(tmp_path / "store", tmp_path / "copies", 2, 0.0)
+    work = StoreMaintenance("care", settings)
     assert work.claim(5, "a") is None
     for n in range(3):
         work.copy(holding(5))
@@ -220,24 +220,24 @@
     assert len(work.copies()) == 2
     with Store.open(work.copies()[0]) as copy:
         assert copy.get(b"k") == b"v"
-    assert Care("care", settings).claim(6, "b") is None
+    assert StoreMaintenance("care", settings).claim(6, "b") is None
     before = work.copies()
     with pytest.raises(StaleFenceError):
         work.copy(holding(5))
     assert work.copies() == before
-    Care("care", settings).copy(holding(6))
+    StoreMaintenance("care", settings).copy(holding(6))
     assert not list(settings.copies.glob("part-*"))  # also what the first left
 
 
 def test_a_file_register_is_held_for_one_act_at_a_time(tmp_path: Path) -> None:
     register = FileRegister(tmp_path / "fence")
     assert register.claim(5, "a") is None
-    with register.under(5), pytest.raises(WorkFailed):
+    with register.guard(5), pytest.raises(WorkError):
         FileRegister(tmp_path / "fence").claim(6, "b")
     assert register.claim(6, "b") is None
     assert register.claim(5, "a") == 6
     (tmp_path / "fence").write_text("who knows")
-    with pytest.raises(WorkFailed):
+    with pytest.raises(WorkError):
         register.claim(7, "c")
 
 
@@ -252,9 +252,9 @@
         with pytest.raises(ValidationError, match=key.replace(".", r"\.")):
             read_settings(path)
     with pytest.raises(ValidationError, match="close"):
-        Close("c", usage(tmp_path))
+        PeriodCloser("c", usage(tmp_path))
     with pytest.raises(ValidationError, match="sink.url"):
-        Push("p", usage(tmp_path))
+        BillingPusher("p", usage(tmp_path))
 
 
 def test_commands_leave_to_the_holder_what_is_a_duty(
@@ -278,7 +278,7 @@
         closed(usage(tmp_path, sink.url), "p0")
         assert main(["usage", "--settings", str(tmp_path / "usage.toml"), "push"]) == 1
         assert sink.pushes == 0
-    work = Publish("feed", PlanSettings(tmp_path / "plans", tmp_path / "plans.json", 200, 0.0))
+    work = PlanPublisher("feed", PlanSettings(tmp_path / "plans", tmp_path / "plans.json", 200, 0.0))
     work.claim(5, "a")
     work.act(holding(5))
     assert "basic" in feed.load((tmp_path / "plans.json").read_bytes()).plans
