--- a/roadpulley/cli/quota_error.py
+++ b/roadpulley/cli/quota_error.py
@@ -76,9 +76,9 @@
         {
             "plan": plan.name,
             "event": event,
-            "over": round(bound(case).over, 1),
-            "over_of_due": round(bound(case).over / due, 3),
-            "less": round(min(due, bound(case).less), 1),
+            "over": round(bound(case).excess_units, 1),
+            "over_of_due": round(bound(case).excess_units / due, 3),
+            "less": round(min(due, bound(case).shortfall_units), 1),
             "changes": compute_sensitivity(bound, case),
         }
         for event, bound in EVENTS.items()
--- a/roadpulley/fleet/agent.py
+++ b/roadpulley/fleet/agent.py
@@ -336,7 +336,7 @@
                 self.rights.heard((address, who.boot), body)
         elif isinstance(body, PartBatch | Digest):
             if self.counting is not None:
-                self.counting.heard((address, who.boot), body)
+                self.counting.handle_message((address, who.boot), body)
         elif isinstance(body, ForOrders):
             if self.orders is not None:
                 self.orders.heard((address, who.boot), who.name, body)
@@ -378,7 +378,7 @@
     def _beside_said(self, body: WorkerMessage) -> None:
         if isinstance(body, AddRequest):
             if self.counting is not None:
-                self.counting.asked(body)
+                self.counting.handle_add(body)
         elif isinstance(body, ObservationBatch):
             if self.verdicts is not None:
                 self.verdicts.beside_said(body)
--- a/roadpulley/fleet/agent_link.py
+++ b/roadpulley/fleet/agent_link.py
@@ -30,10 +30,10 @@
 class AgentLink(asyncio.DatagramProtocol):
     """`instance`: its socket, `NAME.beside` in the folder of the fleet's sockets. `number`: this process."""
 
-    def __init__(self, agent_path: Path) -> None:
-        self.instance = agent_path
+    def __init__(self, socket_path: Path) -> None:
+        self.agent_path = socket_path
         self.worker_id = secrets.randbits(WORKER_ID_BITS) or 1
-        self.path = agent_path.with_name(f"{agent_path.name}.{self.worker_id:x}")
+        self.path = socket_path.with_name(f"{socket_path.name}.{self.worker_id:x}")
         self.listeners: list[Callable[[AgentMessage], None]] = []
         self.hello_timer: asyncio.TimerHandle | None = None
         self.socket: DatagramSocket | None = None
@@ -59,7 +59,7 @@
         if self.socket is None:
             return
         try:
-            self.socket.send(ENCODER.encode(body), str(self.instance))
+            self.socket.send(ENCODER.encode(body), str(self.agent_path))
         except OSError:
             self.send_failures += (
                 1  # no instance there just now, or it reads too slowly: as if lost on a link
--- a/roadpulley/fleet/control.py
+++ b/roadpulley/fleet/control.py
@@ -23,7 +23,7 @@
 
 class ControlServer:
     def __init__(self, folder: Path, name: str, handler: CallHandler) -> None:
-        self.path, self.answer = folder / f"{name}.sock", handler
+        self.path, self.call_handler = folder / f"{name}.sock", handler
         self.server: asyncio.Server | None = None
         self.socket_path = SocketPath(self.path)
 
@@ -43,7 +43,7 @@
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 asked = json.loads(await reader.readline())
                 call, args = asked["call"], asked.get("args", {})
-                writer.write(json.dumps(self.answer(call, args)).encode() + b"\n")
+                writer.write(json.dumps(self.call_handler(call, args)).encode() + b"\n")
                 await writer.drain()
         except (ValueError, KeyError, TypeError, OSError, TimeoutError):
             pass  # who asks like this gets no answer
--- a/roadpulley/fleet/counts/client.py
+++ b/roadpulley/fleet/counts/client.py
@@ -24,33 +24,33 @@
 
     def __init__(self, line: AgentLink, timers: Timers, wait: float) -> None:
         super().__init__(asyncio.get_running_loop(), timers, NO_ADDRESS, wait)
-        self.line = line
-        self.asked: dict[int, CounterCall] = {}  # by their numbers
-        self.number = 0
-        line.listeners.append(self._heard)
+        self.agent_link = line
+        self.pending: dict[int, CounterCall] = {}  # by their numbers
+        self.last_sequence = 0
+        line.listeners.append(self._handle_message)
 
     def add(self, name: str, amount: float, expire_in: float, done: CounterCallback) -> None:
-        self.number += 1
-        ask = AddRequest(self.line.worker_id, self.number, name, amount, max(1, int(expire_in)))
-        call = self.asked[self.number] = CounterCall(self, name, b"", done)
+        self.last_sequence += 1
+        ask = AddRequest(self.agent_link.worker_id, self.last_sequence, name, amount, max(1, int(expire_in)))
+        call = self.pending[self.last_sequence] = CounterCall(self, name, b"", done)
         self.calls.setdefault(name, deque()).append(call)
         self._send(call, ask, now_ms() + self.wait)
 
     def _send(self, call: CounterCall, ask: AddRequest, due: float) -> None:
-        self.line.send(ask)
+        self.agent_link.send(ask)
         call.timer = self.timers.at(
-            min(now_ms() + RETRY_INTERVAL_MS, due), partial(self._again, call, ask, due)
+            min(now_ms() + RETRY_INTERVAL_MS, due), partial(self._retry, call, ask, due)
         )
 
-    def _again(self, call: CounterCall, ask: AddRequest, due: float) -> None:
+    def _retry(self, call: CounterCall, ask: AddRequest, due: float) -> None:
         if now_ms() < due:
             return self._send(call, ask, due)  # an instance takes each number once
-        del self.asked[ask.number]
+        del self.pending[ask.sequence]
         call.end(Outcome.TIMED_OUT)
 
-    def _heard(self, body: Any) -> None:
-        if isinstance(body, AddReply) and body.holder == self.line.worker_id:
-            if call := self.asked.pop(body.number, None):
+    def _handle_message(self, body: Any) -> None:
+        if isinstance(body, AddReply) and body.holder == self.agent_link.worker_id:
+            if call := self.pending.pop(body.sequence, None):
                 call.end(Outcome.OK, body.total)
 
     def move(self, address: Address) -> None:
--- a/roadpulley/fleet/counts/messages.py
+++ b/roadpulley/fleet/counts/messages.py
@@ -23,12 +23,12 @@
 
 
 class CounterPart(msgspec.Struct, array_like=True, frozen=True):
-    """What one owner has added to one number. `left_ms`: until everybody forgets the number."""
+    """What one owner has added to one number. `remaining_ms`: until everybody forgets the number."""
 
     name: str
     version: int
     total: float
-    left_ms: int
+    remaining_ms: int
 
 
 class PartBatch(msgspec.Struct, tag="c-parts", array_like=True, frozen=True):
@@ -55,15 +55,15 @@
     """Add to a number, once: asked again it has the same `number`, counted by the process that asks."""
 
     holder: int
-    number: int
+    sequence: int
     name: str
     amount: float
-    keep_ms: int
+    ttl_ms: int
 
 
 class AddReply(msgspec.Struct, tag="c-added", array_like=True, frozen=True):
     """The number as this instance sees it, with what was added."""
 
     holder: int
-    number: int
+    sequence: int
     total: float
--- a/roadpulley/fleet/counts/service.py
+++ b/roadpulley/fleet/counts/service.py
@@ -28,8 +28,8 @@
 class ReplicationSettings:
     """Seconds. `say`: between two words of what was added; `compare`: between two digests."""
 
-    say: float
-    compare: float
+    send_interval_s: float
+    compare_interval_s: float
 
 
 def read_replication_settings(table: Table) -> ReplicationSettings:
@@ -50,67 +50,69 @@
         tell: Callable[[Route, ReplicaMessage], None],
         everybody: Callable[[], list[Route]],
     ) -> None:
-        self.settings, self.beside, self.clock, self.rng = settings, beside, clock, rng
-        self.tell, self.everybody = tell, everybody
+        self.settings, self.worker_socket, self.clock, self.rng = settings, beside, clock, rng
+        self.send, self.list_routes = tell, everybody
         self.machine = ReplicatedCounters(me)
-        self.adds = self.refused = 0
-        self.saying: asyncio.TimerHandle | None = None  # while there is something to say
-        self.comparing: asyncio.TimerHandle | None = None
-        self.sweep_at: MonotonicTime = 0.0
+        self.adds = self.rejected_adds = 0
+        self.send_timer: asyncio.TimerHandle | None = None  # while there is something to say
+        self.compare_timer: asyncio.TimerHandle | None = None
+        self.next_sweep: MonotonicTime = 0.0
 
     def open(self) -> None:
-        self._look()
+        self._run_periodic_work()
 
     def close(self) -> None:
         """What was added last is told before the end."""
-        for timer in (self.saying, self.comparing):
+        for timer in (self.send_timer, self.compare_timer):
             if timer is not None:
                 timer.cancel()
-        self._say()
+        self._send_changes()
 
-    def asked(self, ask: AddRequest) -> None:
+    def handle_add(self, ask: AddRequest) -> None:
         self.adds += 1
         answer = self.machine.add(self.clock.now(), ask) if len(ask.name.encode()) <= MAX_NAME_BYTES else None
         if answer is None:
-            self.refused += 1
+            self.rejected_adds += 1
         else:
-            self.beside.send_to(ask.holder, answer)
-            if self.saying is None and self.machine.changed:
-                self.saying = asyncio.get_running_loop().call_later(self.settings.say, self._say)
+            self.worker_socket.send_to(ask.holder, answer)
+            if self.send_timer is None and self.machine.unsent_changes:
+                self.send_timer = asyncio.get_running_loop().call_later(
+                    self.settings.send_interval_s, self._send_changes
+                )
 
-    def heard(self, route: Route, body: ReplicaMessage) -> None:
-        for answer in self.machine.heard(self.clock.now(), body):
-            self.tell(route, answer)
+    def handle_message(self, route: Route, body: ReplicaMessage) -> None:
+        for answer in self.machine.handle_message(self.clock.now(), body):
+            self.send(route, answer)
 
-    def _look(self) -> None:
+    def _run_periodic_work(self) -> None:
         now = self.clock.now()
-        self._compare()
-        if now >= self.sweep_at:
-            self.sweep_at = now + SWEEP_INTERVAL_S
-            self.machine.sweep(now)
-        wait = self.settings.compare * self.rng.uniform(0.5, 1.5)  # not all at once
-        self.comparing = asyncio.get_running_loop().call_later(wait, self._look)
-
-    def _say(self) -> None:
-        self.saying = None
-        news = self.machine.news(self.clock.now())
-        for route in self.everybody() if news else ():
+        self._send_digests()
+        if now >= self.next_sweep:
+            self.next_sweep = now + SWEEP_INTERVAL_S
+            self.machine.remove_expired(now)
+        wait = self.settings.compare_interval_s * self.rng.uniform(0.5, 1.5)  # not all at once
+        self.compare_timer = asyncio.get_running_loop().call_later(wait, self._run_periodic_work)
+
+    def _send_changes(self) -> None:
+        self.send_timer = None
+        news = self.machine.take_changes(self.clock.now())
+        for route in self.list_routes() if news else ():
             for parts in news:
-                self.tell(route, parts)
+                self.send(route, parts)
 
-    def _compare(self) -> None:
-        if routes := self.everybody():
+    def _send_digests(self) -> None:
+        if routes := self.list_routes():
             route = self.rng.choice(routes)
             for digest in self.machine.digests():
-                self.tell(route, digest)
+                self.send(route, digest)
 
     def report(self) -> dict[str, Any]:
         machine = self.machine
         return {
-            "numbers": len(machine.numbers),
-            "parts": machine.parts,
+            "numbers": len(machine.counters),
+            "parts": machine.part_count,
             "owners": len(machine.owners),
             "adds": self.adds,
-            "refused": self.refused,
-            "not_taken_up": machine.full,
+            "refused": self.rejected_adds,
+            "not_taken_up": machine.rejected_parts,
         }
--- a/roadpulley/fleet/members/state_machine.py
+++ b/roadpulley/fleet/members/state_machine.py
@@ -76,19 +76,22 @@
 
     def __init__(
         self,
-        self_id: ProcessId,
+        own_id: ProcessId,
         address: str,
         can: int,
-        configured_addresses: Mapping[str, str],
+        addresses: Mapping[str, str],
         seeds: Iterable[str],
-        parameters: SwimParameters,
+        swim_parameters: SwimParameters,
         rng: random.Random,
     ) -> None:
-        self.me, self.times, self.rng, self.static = self_id, parameters, rng, dict(configured_addresses)
-        self.seeds = tuple(
-            dict.fromkeys([*(a for n, a in configured_addresses.items() if n != self_id.name), *seeds])
+        self.self_id, self.parameters, self.rng, self.configured_addresses = (
+            own_id,
+            swim_parameters,
+            rng,
+            dict(addresses),
         )
-        self.own_claim = Claim(self_id, 1, MemberState.ALIVE, address, can)
+        self.seeds = tuple(dict.fromkeys([*(a for n, a in addresses.items() if n != own_id.name), *seeds]))
+        self.own_claim = Claim(own_id, 1, MemberState.ALIVE, address, can)
         self.table: dict[ProcessId, Member] = {}
         self.suspects: dict[ProcessId, Member] = {}  # of the table, for each look at the clock is over these
         self.gossip_queue: dict[ProcessId, Member] = {}  # of the table: their claims are still passed on
@@ -118,7 +121,9 @@
 
     def address_of(self, member: Member) -> str:
         return (
-            member.claim.address or self.static.get(member.claim.process.name, "") or member.observed_address
+            member.claim.address
+            or self.configured_addresses.get(member.claim.process.name, "")
+            or member.observed_address
         )
 
     def next_deadline(self) -> MonotonicTime:
@@ -132,7 +137,7 @@
 
     def suspicion_timeout(self, member: Member) -> float:
         """How long a suspect has to refute it (Lifeguard, section 4.2)."""
-        t = self.times
+        t = self.parameters
         least = t.suspicion * max(1.0, math.log10(max(1, len(self.table) + 1))) * t.period
         if not t.careful:
             return least
@@ -141,14 +146,14 @@
 
     @property
     def timeout_multiplier(self) -> float:
-        return 1.0 + self.health_score if self.times.careful else 1.0
+        return 1.0 + self.health_score if self.parameters.careful else 1.0
 
     # ---- events ----
 
     def tick(self, now: MonotonicTime) -> list[OutboundMessage]:
         out: list[OutboundMessage] = []
         if self.next_probe is None:
-            self.next_probe, self.started_at = now + self.rng.random() * self.times.period, now
+            self.next_probe, self.started_at = now + self.rng.random() * self.parameters.period, now
             return self._ping_seeds(now, out)
         self._handle_late_tick(now)
         if self.probe is not None and now >= self.probe.deadline:
@@ -159,7 +164,7 @@
                 dead = Claim(
                     claim.process, claim.incarnation, MemberState.DEAD, claim.address, claim.duty_bits
                 )
-                self._apply_claim(now, dead, self.me)
+                self._apply_claim(now, dead, self.self_id)
         for number, (who, address, theirs, until) in list(self.relayed_probes.items()):
             if now >= until:
                 del self.relayed_probes[number]
@@ -167,11 +172,11 @@
         if now >= self.next_gossip:
             # Danger: not as slowly as this process probes while it takes itself for slow: a suspect's time
             # runs.
-            self.next_gossip = now + self.times.period
+            self.next_gossip = now + self.parameters.period
             self._ping_suspects(out)
             self._gossip(out)
         if now >= self.next_probe:
-            self.next_probe = now + self.times.period * self.timeout_multiplier
+            self.next_probe = now + self.parameters.period * self.timeout_multiplier
             self._remove_expired(now)
             self._ping_seeds(now, out)
             self._start_probe(now, out)
@@ -193,14 +198,14 @@
         fresh = [self._apply_claim(now, claim, who) for claim in claims]
         match body:
             case Ping(number, _):
-                out.append(OutboundMessage(address, who, Ack(number, self.me, self._select_claims(who))))
+                out.append(OutboundMessage(address, who, Ack(number, self.self_id, self._select_claims(who))))
             case PingRequest(number, target, at, _):
                 self.last_sequence += 1
                 self.relayed_probes[self.last_sequence] = (
                     who,
                     address,
                     number,
-                    now + self.times.answer * 0.8,
+                    now + self.parameters.answer * 0.8,
                 )
                 out.append(OutboundMessage(at, target, Ping(self.last_sequence, self._select_claims(target))))
             case Ack(number, answered, _):
@@ -219,7 +224,7 @@
     def leave(self, now: MonotonicTime) -> list[OutboundMessage]:
         """This process ends: say so to a few, who tell the others."""
         self.own_claim = self._next_own_claim(MemberState.LEFT)
-        some = self._sample_members(self.times.helpers, lambda m: m.is_active())
+        some = self._sample_members(self.parameters.helpers, lambda m: m.is_active())
         return [
             OutboundMessage(self.address_of(m), m.claim.process, Ping(0, (self.own_claim,))) for m in some
         ]
@@ -240,29 +245,29 @@
         self.own_claim_resends = self._transmit_limit()
         mine = self.own_claim
         return Claim(
-            self.me, mine.incarnation + 1, state, mine.address, mine.duty_bits if can is None else can
+            self.self_id, mine.incarnation + 1, state, mine.address, mine.duty_bits if can is None else can
         )
 
     def _transmit_limit(self) -> int:
-        return math.ceil(self.times.resend * math.log10(len(self.table) + 10))
+        return math.ceil(self.parameters.resend * math.log10(len(self.table) + 10))
 
     def _handle_late_tick(self, now: MonotonicTime) -> None:
         """Danger: a process that was stopped finds all its waits over, and answers that lie unread."""
         assert self.next_probe is not None
         late = now - min(self.next_probe, self.probe.deadline if self.probe else math.inf)
-        if not self.times.careful or late <= MAX_TICK_DELAY_PERIODS * self.times.period:
+        if not self.parameters.careful or late <= MAX_TICK_DELAY_PERIODS * self.parameters.period:
             return
-        self.health_score = min(self.times.health, self.health_score + 1)
+        self.health_score = min(self.parameters.health, self.health_score + 1)
         for member in self.suspects.values():
             member.state_since += late
         if self.probe is not None:
-            self.probe.deadline = max(self.probe.deadline, now + self.times.answer)
+            self.probe.deadline = max(self.probe.deadline, now + self.parameters.answer)
 
     def _remove_expired(self, now: MonotonicTime) -> None:
         gone = [
             who
             for who, m in self.table.items()
-            if m.claim.state >= MemberState.DEAD and now - m.state_since > self.times.forget
+            if m.claim.state >= MemberState.DEAD and now - m.state_since > self.parameters.forget
         ]
         for who in gone:
             del self.table[who]
@@ -273,7 +278,7 @@
         known = {self.address_of(m) for m in self.table.values() if m.is_active()}
         for address in self.seeds:
             if address not in known and now >= self.seed_retry_at.get(address, 0.0):
-                self.seed_retry_at[address] = now + self.times.period * (1 + self.rng.random())
+                self.seed_retry_at[address] = now + self.parameters.period * (1 + self.rng.random())
                 self.last_sequence += 1
                 out.append(OutboundMessage(address, NO_PROCESS, Ping(self.last_sequence, (self.own_claim,))))
         return out
@@ -294,7 +299,7 @@
         else:
             return
         self.last_sequence += 1
-        wait = self.times.answer * self.timeout_multiplier
+        wait = self.parameters.answer * self.timeout_multiplier
         self.probe = Probe(who, self.last_sequence, now + wait)
         out.append(
             OutboundMessage(self.address_of(member), who, Ping(self.last_sequence, self._select_claims(who)))
@@ -307,8 +312,8 @@
         """
         suspects = sorted(self.suspects.values(), key=lambda m: m.state_since)
         dead = [m for m in self.table.values() if m.claim.state is MemberState.DEAD]
-        told = [*suspects[: self.times.helpers], *self.rng.sample(dead, min(1, len(dead)))]
-        for member in told if self.times.careful else ():
+        told = [*suspects[: self.parameters.helpers], *self.rng.sample(dead, min(1, len(dead)))]
+        for member in told if self.parameters.careful else ():
             self.last_sequence += 1
             out.append(
                 OutboundMessage(
@@ -323,11 +328,13 @@
 
         Danger: piggybacked on probes alone, a refutation waits for processes that take themselves for slow.
         """
-        if not self.times.careful or not (
+        if not self.parameters.careful or not (
             self.own_claim_resends or any(m.claim.incarnation for m in self.gossip_queue.values())
         ):
             return
-        for member in self._sample_members(self.times.spread, lambda m: m.claim.state is MemberState.ALIVE):
+        for member in self._sample_members(
+            self.parameters.spread, lambda m: m.claim.state is MemberState.ALIVE
+        ):
             self.last_sequence += 1
             out.append(
                 OutboundMessage(
@@ -343,9 +350,9 @@
             self.probe = None
         elif not probe.is_indirect:
             probe.is_indirect = True
-            probe.deadline = now + self.times.answer * 1.2 * self.timeout_multiplier
+            probe.deadline = now + self.parameters.answer * 1.2 * self.timeout_multiplier
             helpers = self._sample_members(
-                self.times.helpers,
+                self.parameters.helpers,
                 lambda m: m.claim.state is MemberState.ALIVE and m.claim.process != probe.target,
             )
             probe.helper_count = len(helpers)
@@ -356,12 +363,12 @@
             missed = probe.helper_count - probe.nack_count
             # Lifeguard: helpers that say nothing either point to this process; helpers that do, to the other.
             worse = missed if probe.helper_count else 1
-            self.health_score = min(self.times.health, self.health_score + max(0, worse))
+            self.health_score = min(self.parameters.health, self.health_score + max(0, worse))
             claim = member.claim
             suspect = Claim(
                 claim.process, claim.incarnation, MemberState.SUSPECT, claim.address, claim.duty_bits
             )
-            self._apply_claim(now, suspect, self.me)
+            self._apply_claim(now, suspect, self.self_id)
 
     def _handle_ack(self, number: int, answered: ProcessId, out: list[OutboundMessage]) -> None:
         if number in self.relayed_probes:
@@ -373,7 +380,7 @@
 
     def _apply_claim(self, now: MonotonicTime, claim: Claim, by: ProcessId) -> bool:
         """Gives whether it was news."""
-        if claim.process == self.me:
+        if claim.process == self.self_id:
             self._refute_claim(claim)
             return False
         member = self.table.get(claim.process)
@@ -388,7 +395,9 @@
         if claim.supersedes(old):
             if claim.state is not old.state:
                 member.state_since = now
-                member.suspected_by = {by} if claim.state is MemberState.SUSPECT and by != self.me else set()
+                member.suspected_by = (
+                    {by} if claim.state is MemberState.SUSPECT and by != self.self_id else set()
+                )
                 self.state_changes.append((claim.process, claim.state))
             member.claim, member.transmissions = claim, 0
             self.gossip_queue[claim.process] = member
@@ -398,9 +407,9 @@
             return True
         if claim.state is MemberState.SUSPECT and claim.incarnation == old.incarnation:
             if (
-                by != self.me
+                by != self.self_id
                 and by not in member.suspected_by
-                and len(member.suspected_by) < self.times.confirmations
+                and len(member.suspected_by) < self.parameters.confirmations
             ):
                 member.suspected_by.add(by)
                 member.transmissions, self.gossip_queue[claim.process] = (
@@ -417,7 +426,7 @@
                 and self.own_claim.state is not MemberState.LEFT
             ):
                 self.own_claim = Claim(
-                    self.me,
+                    self.self_id,
                     claim.incarnation + 1,
                     MemberState.ALIVE,
                     self.own_claim.address,
@@ -426,9 +435,9 @@
             return
         if claim.incarnation >= self.own_claim.incarnation:
             self.refutations += 1
-            self.health_score = min(self.times.health, self.health_score + 1)
+            self.health_score = min(self.parameters.health, self.health_score + 1)
             self.own_claim = Claim(
-                self.me,
+                self.self_id,
                 claim.incarnation,
                 MemberState.ALIVE,
                 self.own_claim.address,
@@ -452,7 +461,7 @@
         if self.own_claim_resends > 0 or theirs is None or not theirs.claim.incarnation:
             first.append(self.own_claim)
             self.own_claim_resends = max(0, self.own_claim_resends - 1)
-        some = fresh[: self.times.claims - len(first)]
+        some = fresh[: self.parameters.claims - len(first)]
         for member in some:
             member.transmissions += 1
         return (*first, *(m.claim for m in some))
@@ -463,8 +472,8 @@
 
     def _request_page(self, now: MonotonicTime, out: list[OutboundMessage]) -> None:
         # One that has just begun knows few, and what was news before it came reaches it by pages only.
-        young = now - self.started_at < JOIN_EXCHANGES * self.times.exchange
-        self.next_page = now + self.times.exchange * (0.75 + self.rng.random() / 2) / (
+        young = now - self.started_at < JOIN_EXCHANGES * self.parameters.exchange
+        self.next_page = now + self.parameters.exchange * (0.75 + self.rng.random() / 2) / (
             JOIN_EXCHANGES if young else 1
         )
         for member in self._sample_members(1, lambda m: m.claim.state is MemberState.ALIVE):
@@ -475,4 +484,4 @@
     def _build_page(self, after: ProcessId) -> Page:
         claims = [self.own_claim, *(m.claim for m in self.table.values() if m.claim.incarnation)]
         rest = sorted((c for c in claims if c.process > after), key=lambda c: c.process)
-        return Page(tuple(rest[: self.times.page]), len(rest) <= self.times.page)
+        return Page(tuple(rest[: self.parameters.page]), len(rest) <= self.parameters.page)
--- a/roadpulley/fleet/peers/service.py
+++ b/roadpulley/fleet/peers/service.py
@@ -26,7 +26,7 @@
 
 class DatagramEndpoint(asyncio.DatagramProtocol):
     def __init__(self, codec: Codec, handler: EnvelopeHandler) -> None:
-        self.codec, self.taken = codec, handler
+        self.codec, self.envelope_handler = codec, handler
         self.transport: asyncio.DatagramTransport | None = None
         self.pending: dict[tuple[str, int], list[msgspec.Raw]] = {}
         self.dropped: Counter[str] = Counter()
@@ -84,7 +84,9 @@
             self.dropped[DropReason.REMOTE_WITHOUT_KEY.value] += 1
             return
         found = self.codec.unpack(data)
-        cause = found if isinstance(found, DropReason) else self.taken(found, f"{addr[0]}:{addr[1]}")
+        cause = (
+            found if isinstance(found, DropReason) else self.envelope_handler(found, f"{addr[0]}:{addr[1]}")
+        )
         if cause is not None:
             self.dropped[cause.value] += 1
 
--- a/roadpulley/fleet/unix_socket.py
+++ b/roadpulley/fleet/unix_socket.py
@@ -43,10 +43,8 @@
 class DatagramSocket:
     """Sends at once or not at all; what event loops add to that is not needed on one machine."""
 
-    def __init__(
-        self, socket_path: SocketPath, transport: asyncio.DatagramTransport, sock: socket.socket
-    ) -> None:
-        self.place, self.transport, self.sock = socket_path, transport, sock
+    def __init__(self, path: SocketPath, transport: asyncio.DatagramTransport, sock: socket.socket) -> None:
+        self.socket_path, self.transport, self.sock = path, transport, sock
 
     def send(self, data: bytes, to: str) -> None:
         """Raises BlockingIOError where it is read too slowly, OSError where nobody listens."""
@@ -54,4 +52,4 @@
 
     def close(self) -> None:
         self.transport.close()
-        self.place.remove_if_owned()
+        self.socket_path.remove_if_owned()
--- a/roadpulley/fleet/worker_socket.py
+++ b/roadpulley/fleet/worker_socket.py
@@ -31,7 +31,7 @@
     """`taken` gets what a process says; `tell` answers it by its number."""
 
     def __init__(self, path: Path, handler: Callable[[WorkerMessage], None]) -> None:
-        self.path, self.taken = path, handler
+        self.path, self.message_handler = path, handler
         self.worker_paths: OrderedDict[int, str] = OrderedDict()  # by number, the path of its socket
         self.counters: Counter[str] = Counter()
         self.socket: DatagramSocket | None = None
@@ -57,7 +57,7 @@
         self.worker_paths.move_to_end(body.holder)
         if len(self.worker_paths) > MAX_WORKERS:
             self.worker_paths.popitem(last=False)
-        self.taken(body)
+        self.message_handler(body)
 
     def send_to_all(self, body: Any) -> None:
         for holder in list(self.worker_paths):
--- a/roadpulley/limits/bounds.py
+++ b/roadpulley/limits/bounds.py
@@ -27,62 +27,68 @@
 
     plan: api.Plan
     gateways: int
-    unit: float = 1.0
-    seconds: float = 60.0
-    parted: int = 1
-    lease: float = LEASE_MS / 1000
+    largest_request_units: float = 1.0
+    duration_s: float = 60.0
+    affected_gateways: int = 1
+    lease_s: float = LEASE_MS / 1000
 
     @property
-    def leased(self) -> float:
+    def leased_s(self) -> float:
         """Seconds of the event in which leases hold still."""
-        return min(self.seconds, self.lease)
+        return min(self.duration_s, self.lease_s)
 
     @property
-    def untold(self) -> float:
+    def max_uncounted_units(self) -> float:
         """Units that one gateway may have sent on and not told yet; where units are scarce, one request."""
-        return self.unit if self.sparse else max(self.unit, UNSAID * self.plan.burst)
+        return (
+            self.largest_request_units
+            if self.is_sparse
+            else max(self.largest_request_units, UNSAID * self.plan.burst)
+        )
 
     @property
-    def sparse(self) -> bool:
-        return self.plan.burst / self.gateways < SPARSE * self.unit
+    def is_sparse(self) -> bool:
+        return self.plan.burst / self.gateways < SPARSE * self.largest_request_units
 
     @property
     def even_burst(self) -> float:
         """Units that a gateway that knows of no total holds, whether they are there or not."""
-        return max(self.unit, self.plan.burst / self.gateways)
+        return max(self.largest_request_units, self.plan.burst / self.gateways)
 
 
 @dataclass(frozen=True)
 class Bound:
-    over: float
-    less: float
+    excess_units: float
+    shortfall_units: float
 
 
 def bound_simultaneous_burst(case: Scenario) -> Bound:
     """Nothing fails, and all gateways are asked for everything at once after a calm time: each has read that
     all is there. Until it reads again it sends on what may stay untold, and as much while that is told."""
-    return Bound((case.gateways - 1) * 2 * case.untold, 0.0)
+    return Bound((case.gateways - 1) * 2 * case.max_uncounted_units, 0.0)
 
 
 def bound_silent_counter(case: Scenario) -> Bound:
     """The counter answers nobody: each spends its lease, then its even part."""
     plan, more = case.plan, case.gateways - 1
-    after = case.seconds - case.leased
+    after = case.duration_s - case.leased_s
     return Bound(
-        more * (plan.burst + plan.rate * case.leased),
+        more * (plan.burst + plan.rate * case.leased_s),
         more / case.gateways * (plan.burst + plan.rate * after),
     )
 
 
 def bound_partitioned_counter(case: Scenario) -> Bound:
     """The counter answers only some: the rest spend their leases, then even parts that those don't miss."""
-    plan, cut = case.plan, min(case.parted, case.gateways)
+    plan, cut = case.plan, min(case.affected_gateways, case.gateways)
     if cut == case.gateways:
         return bound_silent_counter(case)
-    after = case.seconds - case.leased
-    over = cut * (plan.burst + plan.rate * case.leased) + cut / case.gateways * plan.rate * after
-    over += (case.gateways - cut - 1) * 2 * case.untold  # the others may be asked all at once: `surge`
-    return Bound(over, bound_silent_counter(case).less)
+    after = case.duration_s - case.leased_s
+    over = cut * (plan.burst + plan.rate * case.leased_s) + cut / case.gateways * plan.rate * after
+    over += (
+        (case.gateways - cut - 1) * 2 * case.max_uncounted_units
+    )  # the others may be asked all at once: `surge`
+    return Bound(over, bound_silent_counter(case).shortfall_units)
 
 
 def bound_emptied_counter(case: Scenario) -> Bound:
@@ -91,12 +97,14 @@
     Right after a period's edge little was told under the new number. A total that falls by no more than
     `GIVEN_BACK` requests looks like a settlement: so much that was spent before the event seems to be there.
     """
-    return Bound((case.gateways - 1) * case.plan.burst + GIVEN_BACK * case.unit, case.plan.burst)
+    return Bound(
+        (case.gateways - 1) * case.plan.burst + GIVEN_BACK * case.largest_request_units, case.plan.burst
+    )
 
 
 def bound_old_copy(case: Scenario) -> Bound:
     """It comes back with an old copy. Lower numbers are as none; higher ones look as if spent elsewhere."""
-    return Bound(bound_emptied_counter(case).over, 2 * case.plan.burst)
+    return Bound(bound_emptied_counter(case).excess_units, 2 * case.plan.burst)
 
 
 def bound_late_answers(case: Scenario) -> Bound:
@@ -120,16 +128,18 @@
     """Gateways restart while the counter answers: what they had not told is lost, and a total from before
     their start tells when nothing of it was spent: they take their even part of the burst for there. At a
     period's edge one request is let in by the first of two totals, before the other one is read."""
-    number = min(case.parted, case.gateways)
-    return Bound(number * (case.untold + case.even_burst + case.unit), case.plan.burst)
+    number = min(case.affected_gateways, case.gateways)
+    return Bound(
+        number * (case.max_uncounted_units + case.even_burst + case.largest_request_units), case.plan.burst
+    )
 
 
 def bound_restarts_without_counter(case: Scenario) -> Bound:
     """All gateways restart while the counter is away: each begins with its even part."""
     plan = case.plan
     begins = case.gateways * case.even_burst
-    less = (case.gateways - 1) / case.gateways * (plan.burst + plan.rate * case.seconds)
-    return Bound(begins + (case.gateways - 1) * plan.burst + case.gateways * case.untold, less)
+    less = (case.gateways - 1) / case.gateways * (plan.burst + plan.rate * case.duration_s)
+    return Bound(begins + (case.gateways - 1) * plan.burst + case.gateways * case.max_uncounted_units, less)
 
 
 EVENTS: dict[str, Callable[[Scenario], Bound]] = {
@@ -148,13 +158,13 @@
 
 def add_bounds(bounds: list[Bound]) -> Bound:
     """Of events one after the other: each can give what it gives alone, and no more."""
-    return Bound(sum(b.over for b in bounds), sum(b.less for b in bounds))
+    return Bound(sum(b.excess_units for b in bounds), sum(b.shortfall_units for b in bounds))
 
 
 def compute_lone_ceiling_ratio(case: Scenario, rights: float = 0.0) -> float:
     """The part of a ceiling that one gateway can spend alone, whatever fails. Over it: never anything."""
     even = 1 / max(1, case.gateways)
-    shared = share(case.plan, even, case.unit) if even < 1 and not rights else 0.0
+    shared = share(case.plan, even, case.largest_request_units) if even < 1 and not rights else 0.0
     return (1 - shared) * even * (1 - rights)
 
 
@@ -162,15 +172,15 @@
     "burst a tenth lower": lambda c: replace(c, plan=replace(c.plan, burst=0.9 * c.plan.burst)),
     "rate a tenth lower": lambda c: replace(c, plan=replace(c.plan, rate=0.9 * c.plan.rate)),
     "one gateway fewer": lambda c: replace(c, gateways=max(1, c.gateways - 1)),
-    "a lease of half the time": lambda c: replace(c, lease=c.lease / 2),
-    "an event of half the time": lambda c: replace(c, seconds=c.seconds / 2),
+    "a lease of half the time": lambda c: replace(c, lease_s=c.lease_s / 2),
+    "an event of half the time": lambda c: replace(c, duration_s=c.duration_s / 2),
 }
 
 
 def compute_sensitivity(event: Callable[[Scenario], Bound], case: Scenario) -> dict[str, float]:
     """By how much of itself each change moves what can be over; the lease is the module's own constant."""
-    whole = event(case).over
+    whole = event(case).excess_units
     return {
-        name: round((event(change(case)).over - whole) / whole, 3) if whole else 0.0
+        name: round((event(change(case)).excess_units - whole) / whole, 3) if whole else 0.0
         for name, change in CHANGES.items()
     }
--- a/roadpulley/testbed/members_world.py
+++ b/roadpulley/testbed/members_world.py
@@ -115,7 +115,7 @@
             if self.rng.random() < self.loss or self.cut(self.now, name, tell.address):
                 continue
             delay = self.rng.uniform(0.0002, MOST_DELAY_S)
-            who = self.machines[name].me
+            who = self.machines[name].self_id
             self.at(self.now + delay, partial(self._arrive, tell, name, who))
 
     def _arrive(self, tell: OutboundMessage, source: str, who: ProcessId) -> None:
--- a/roadpulley/testbed/quota_plays.py
+++ b/roadpulley/testbed/quota_plays.py
@@ -51,7 +51,7 @@
         case = self.case
         settings = api.Settings(
             n, case.gateways, "a", (VIEW,), (case.plan,), RULES, 3, has_counter=True,
-            max_retry_after=500.0, counter_timeout=WAIT_MS, max_request_units=case.unit,
+            max_retry_after=500.0, counter_timeout=WAIT_MS, max_request_units=case.largest_request_units,
         )  # fmt: skip
         made = Gateway(settings, seed=n + 1)
         entries = tuple(api.BackendEntry(b, "a", 0, 0.0, api.BackendState.READY) for b in range(BACKENDS))
@@ -74,7 +74,7 @@
 
     def act(self, n: int, gateway: Gateway, action: api.Action) -> None:
         if isinstance(action, api.Send):
-            self.spends.append(Spent(self.now / 1000, "c", self.case.unit, str(n)))
+            self.spends.append(Spent(self.now / 1000, "c", self.case.largest_request_units, str(n)))
             ended = api.AttemptEnded(action.request, 0, action.backend, api.Outcome.OK, 1.0, True)
             self.give(n, gateway, ended)
         elif isinstance(action, api.SetTimer):
@@ -93,10 +93,17 @@
         self.give(n, gateway, api.CounterReplied(call.name, api.Outcome.OK, total))
 
     def ask(self, n: int) -> None:
-        self.asked += self.case.unit
+        self.asked += self.case.largest_request_units
         name = f"r{next(self.serial)}"
         event = api.RequestArrived(
-            name, "view", self.case.plan.name, "c", self.now + 3_000, self.case.unit, self.case.gateways, 0
+            name,
+            "view",
+            self.case.plan.name,
+            "c",
+            self.now + 3_000,
+            self.case.largest_request_units,
+            self.case.gateways,
+            0,
         )
         self.give(n, self.gateways[n], event)
 
@@ -117,11 +124,11 @@
         self.pass_time(2_000 * self.case.plan.burst / self.case.plan.rate)
         for n in range(self.case.gateways):
             self.ask(n)
-        self.pass_time(1_000 * self.case.gateways * self.case.unit / self.case.plan.rate)
+        self.pass_time(1_000 * self.case.gateways * self.case.largest_request_units / self.case.plan.rate)
 
     def flood(self, seconds: float, *who: int) -> None:
         """As much as would be let in, and more."""
-        each = 1 + int(self.case.plan.burst / self.case.unit / 4)
+        each = 1 + int(self.case.plan.burst / self.case.largest_request_units / 4)
         for _ in range(int(seconds * 1000 / STEP_MS)):
             for n in who:
                 for _ in range(each):
@@ -135,19 +142,19 @@
 
 def surge(site: Site) -> None:
     site.calm()
-    site.flood(site.case.seconds, *range(site.case.gateways))
+    site.flood(site.case.duration_s, *range(site.case.gateways))
 
 
 def silent(site: Site) -> None:
     site.calm()
     site.away.update(range(site.case.gateways))
-    site.flood(site.case.seconds, *range(site.case.gateways))
+    site.flood(site.case.duration_s, *range(site.case.gateways))
 
 
 def parted(site: Site) -> None:
     site.calm()
-    site.away.update(range(site.case.parted))
-    site.flood(site.case.seconds, *range(site.case.gateways))
+    site.away.update(range(site.case.affected_gateways))
+    site.flood(site.case.duration_s, *range(site.case.gateways))
 
 
 def emptied(site: Site) -> None:
@@ -171,7 +178,7 @@
     """Every number is higher by a burst than what was ever added."""
     site.calm()
     raised(site)
-    site.flood(site.case.seconds, *range(site.case.gateways))
+    site.flood(site.case.duration_s, *range(site.case.gateways))
 
 
 def half_lost(site: Site) -> None:
@@ -190,7 +197,7 @@
 
 def restarted(site: Site) -> None:
     site.calm()
-    for n in range(site.case.parted):
+    for n in range(site.case.affected_gateways):
         site.flood(0.2, n)
         site.restart(n)
     site.flood(0.5, *range(site.case.gateways))
@@ -235,9 +242,9 @@
     site.calm()
     event(site)
     before = len(site.spends)
-    site.flood(case.seconds, 0)
-    due = case.plan.burst + case.plan.rate * case.seconds
-    return due - case.unit * (len(site.spends) - before)
+    site.flood(case.duration_s, 0)
+    due = case.plan.burst + case.plan.rate * case.duration_s
+    return due - case.largest_request_units * (len(site.spends) - before)
 
 
 def over(event: str, case: Scenario, start: float = START_MS) -> float:
--- a/tests/fleet/test_counters.py
+++ b/tests/fleet/test_counters.py
@@ -56,14 +56,14 @@
 ) -> None:
     first, second = machine("z"), machine("z")
     for body in told:
-        first.heard(0.0, body)
+        first.handle_message(0.0, body)
     again = [*told, *rng.sample(told, len(told) // 2)]
     rng.shuffle(again)
     for body in again:
-        second.heard(0.0, body)
+        second.handle_message(0.0, body)
     assert {n: first.total(1.0, n) for n in "xyz"} == {n: second.total(1.0, n) for n in "xyz"}
-    assert {o: owned.hashes for o, owned in first.owners.items()} == {
-        o: owned.hashes for o, owned in second.owners.items()
+    assert {o: owned.bucket_hashes for o, owned in first.owners.items()} == {
+        o: owned.bucket_hashes for o, owned in second.owners.items()
     }
 
 
@@ -79,31 +79,31 @@
     counts = machine()
     for amount, keep in ((float("nan"), 10), (float("inf"), 10), (1.0, 0)):
         assert counts.add(0.0, AddRequest(1, 1, "n", amount, keep)) is None
-    counts.heard(0.0, PartBatch(ProcessId("b", 1), (CounterPart("n", 1, float("nan"), 10),)))
+    counts.handle_message(0.0, PartBatch(ProcessId("b", 1), (CounterPart("n", 1, float("nan"), 10),)))
     assert counts.total(0.0, "n") == 0.0
 
 
 def test_a_number_ends_everywhere_and_passing_it_on_gives_it_no_time() -> None:
     first, second, third = machine("a"), machine("b"), machine("c")
     added(first, 0.0, 1, 5.0, keep=10_000)
-    second.heard(2.0, first.news(2.0)[0])
+    second.handle_message(2.0, first.take_changes(2.0)[0])
     for digest in third.digests():
-        second.heard(2.0, digest)
-    pages = [p for d in third.digests() for p in second.heard(9.0, d)]
-    pages += list(second._pages(9.0, ProcessId("a", 1), ["n"]))
-    third.heard(9.0, pages[-1])
+        second.handle_message(2.0, digest)
+    pages = [p for d in third.digests() for p in second.handle_message(9.0, d)]
+    pages += list(second._make_batches(9.0, ProcessId("a", 1), ["n"]))
+    third.handle_message(9.0, pages[-1])
     assert third.total(9.5, "n") == 5.0
     assert [m.total(10.1, "n") for m in (first, second, third)] == [0.0, 0.0, 0.0]
     assert added(first, 11.0, 2, 1.0) == 1.0  # a new one of that name
-    second.sweep(11.0)
-    assert second.numbers == {}
+    second.remove_expired(11.0)
+    assert second.counters == {}
     assert ProcessId("a", 1) not in second.owners
 
 
 def test_our_own_part_is_not_taken_from_others() -> None:
     counts = machine()
     added(counts, 0.0, 1, 1.0)
-    counts.heard(0.0, PartBatch(ProcessId("a", 1), (CounterPart("n", 99, 50.0, KEEP_MS),)))
+    counts.handle_message(0.0, PartBatch(ProcessId("a", 1), (CounterPart("n", 99, 50.0, KEEP_MS),)))
     assert counts.total(0.0, "n") == 1.0
 
 
@@ -111,13 +111,13 @@
     counts = machine()
     for n in range(3 * MAX_PARTS_PER_BATCH + 1):
         added(counts, 0.0, n, 1.0, name=f"n{n}")
-    assert [len(p.parts) for p in counts.news(0.0)] == [
+    assert [len(p.parts) for p in counts.take_changes(0.0)] == [
         MAX_PARTS_PER_BATCH,
         MAX_PARTS_PER_BATCH,
         MAX_PARTS_PER_BATCH,
         1,
     ]
-    assert counts.news(0.0) == []
+    assert counts.take_changes(0.0) == []
 
 
 # ---- drawn histories ----
@@ -148,7 +148,7 @@
         due = [f for f in self.flying if f[0] <= self.now]
         self.flying = [f for f in self.flying if f[0] > self.now]
         for _, source, target, body in due:
-            for answer in self.machines[target].heard(self.now, body):
+            for answer in self.machines[target].handle_message(self.now, body):
                 self.send(target, source, answer)
         for n, one in enumerate(self.machines):
             if adds and rng.random() < 0.4:
@@ -156,7 +156,7 @@
                 name, amount = rng.choice("xyz"), rng.choice((0.5, 1.0, 3.0))
                 added(one, self.now, self.numbers, amount, name)
                 self.truth[name] += amount
-            for body in one.news(self.now):
+            for body in one.take_changes(self.now):
                 for other in range(self.size):
                     if other != n:
                         self.send(n, other, body)
@@ -167,7 +167,7 @@
 
     def restart(self, n: int) -> None:
         """What it had not told anybody is gone; the rest stays counted."""
-        before = self.machines[n].me
+        before = self.machines[n].self_id
         self.machines[n] = machine(before.name, before.boot + 1, self.kind)
 
     def views(self) -> list[dict[str, float]]:
@@ -203,19 +203,19 @@
 class AddsUp(ReplicatedCounters):
     """A part that comes again is added once more."""
 
-    def _merge(self, now: float, owner: ProcessId, part: CounterPart) -> None:
-        known = self._of(part.name, owner)
-        super()._merge(now, owner, part)
-        if known is not None and owner != self.me and part.version == known.version:
+    def _merge_part(self, now: float, owner: ProcessId, part: CounterPart) -> None:
+        known = self._find_part(part.name, owner)
+        super()._merge_part(now, owner, part)
+        if known is not None and owner != self.self_id and part.version == known.version:
             known.total += part.total
 
 
 class AnyVersion(ReplicatedCounters):
     """An older part takes the place of a newer one."""
 
-    def _merge(self, now: float, owner: ProcessId, part: CounterPart) -> None:
-        if owner != self.me:
-            self._keep(part.name, owner, part.version, part.total, now + part.left_ms / 1000)
+    def _merge_part(self, now: float, owner: ProcessId, part: CounterPart) -> None:
+        if owner != self.self_id:
+            self._store_part(part.name, owner, part.version, part.total, now + part.remaining_ms / 1000)
 
 
 class NeverCompares(ReplicatedCounters):
@@ -229,7 +229,7 @@
     """Parts of owners that are gone are passed on by nobody."""
 
     def digests(self):  # type: ignore[no-untyped-def]
-        return [d for d in super().digests() if d.owner == self.me]
+        return [d for d in super().digests() if d.owner == self.self_id]
 
 
 class SameOwner(ReplicatedCounters):
@@ -252,6 +252,6 @@
 
 
 def test_settings_of_counts_are_judged() -> None:
-    assert read_replication_settings(Table({"counts": {}}).read_table("counts")).say == 0.05
+    assert read_replication_settings(Table({"counts": {}}).read_table("counts")).send_interval_s == 0.05
     with pytest.raises(ValidationError, match=r"counts\.say_s"):
         read_replication_settings(Table({"counts": {"say_s": 99}}).read_table("counts"))
--- a/tests/testbed/test_quota_bounds.py
+++ b/tests/testbed/test_quota_bounds.py
@@ -41,8 +41,8 @@
 @pytest.mark.parametrize("plan", PLANS)
 def test_what_is_promised_is_kept_and_nearly_reached(event: str, plan: str) -> None:
     for seconds in (10.0, 40.0):
-        case = Scenario(PLANS[plan], 2, seconds=seconds)
-        promised, seen = EVENTS[event](case).over, over(event, case)
+        case = Scenario(PLANS[plan], 2, duration_s=seconds)
+        promised, seen = EVENTS[event](case).excess_units, over(event, case)
         least = LESS_TIGHT.get(event, LEAST_TIGHT) * promised
         assert least <= seen <= promised, f"{seconds} s: {seen} of {promised}"
 
@@ -52,30 +52,30 @@
     """There the totals of two numbers are needed, and half of them may be told."""
     for plan in PLANS.values():
         for gateways in (2, 4):
-            case = Scenario(plan, gateways, seconds=4.0)
-            promised = EVENTS[event](case).over
+            case = Scenario(plan, gateways, duration_s=4.0)
+            promised = EVENTS[event](case).excess_units
             assert max(over(event, case, start) for start in STARTS) <= promised, (plan.name, gateways)
 
 
 @pytest.mark.parametrize("plan", PLANS)
 def test_with_more_gateways_the_promise_is_kept_as_well(plan: str) -> None:
     for event in PLAYS:
-        case = Scenario(PLANS[plan], 5, seconds=20.0, parted=2)
-        promised, seen = EVENTS[event](case).over, over(event, case)
+        case = Scenario(PLANS[plan], 5, duration_s=20.0, affected_gateways=2)
+        promised, seen = EVENTS[event](case).excess_units, over(event, case)
         assert seen <= promised and bool(seen) is bool(promised), f"{event}: {seen} of {promised}"
 
 
 @pytest.mark.parametrize("plan", PLANS)
 def test_one_gateway_that_gets_everything_is_refused_no_more_than_is_said(plan: str) -> None:
-    case = Scenario(PLANS[plan], 2, seconds=60.0)
-    promised, missing = bound_silent_counter(case).less, less(case)
+    case = Scenario(PLANS[plan], 2, duration_s=60.0)
+    promised, missing = bound_silent_counter(case).shortfall_units, less(case)
     assert LEAST_TIGHT * promised <= missing <= promised
 
 
 @pytest.mark.parametrize("plan", PLANS)
 def test_numbers_that_are_too_high_cost_a_customer_one_burst(plan: str) -> None:
-    case = Scenario(PLANS[plan], 2, seconds=40.0)
-    promised = EVENTS["the counter comes back with higher numbers"](case).less
+    case = Scenario(PLANS[plan], 2, duration_s=40.0)
+    promised = EVENTS["the counter comes back with higher numbers"](case).shortfall_units
     missing = [less(case, raised, start) for start in STARTS]
     assert max(missing) <= promised
     assert max(missing) >= 0.9 * promised
@@ -84,28 +84,28 @@
 @pytest.mark.parametrize("plan", PLANS)
 def test_events_in_a_row_give_no_more_than_each_alone(plan: str) -> None:
     """Replaced empty twice within a lease, and then silent for all."""
-    case = Scenario(PLANS[plan], 3, seconds=20.0)
+    case = Scenario(PLANS[plan], 3, duration_s=20.0)
     site = Site(case)
     PLAYS["the counter comes back empty"](site)
     PLAYS["the counter comes back empty"](site)
     site.away.update(range(3))
-    site.flood(case.seconds, 0, 1, 2)
+    site.flood(case.duration_s, 0, 1, 2)
     emptied = EVENTS["the counter comes back empty"](case)
-    promised = add_bounds([emptied, emptied, bound_silent_counter(case)]).over
+    promised = add_bounds([emptied, emptied, bound_silent_counter(case)]).excess_units
     assert 0 < site.judged().over <= promised
 
 
 def test_alone_and_without_an_event_nothing_is_over() -> None:
     for event in ("the counter is silent", "nothing fails, all at once"):
-        assert EVENTS[event](Scenario(PLANS["basic"], 1)).over == 0
+        assert EVENTS[event](Scenario(PLANS["basic"], 1)).excess_units == 0
     site = Site(Scenario(PLANS["business"], 2))
     site.calm()
     site.flood(20.0, 0, 1)
-    assert site.judged().over < 2 * site.case.untold
+    assert site.judged().over < 2 * site.case.max_uncounted_units
 
 
 def test_one_gateway_too_takes_a_small_loss_of_the_counter_s_numbers_for_a_settlement() -> None:
-    case = Scenario(PLANS["business"], 1, seconds=2.0)
+    case = Scenario(PLANS["business"], 1, duration_s=2.0)
     seen = []
     for start in (START_MS + 500 * n for n in range(60)):
         site = Site(case, start)
@@ -114,13 +114,13 @@
         site.ask(0)
         site.pass_time(620)
         site.counter.totals.clear()
-        site.flood(case.seconds, 0)
+        site.flood(case.duration_s, 0)
         seen.append(site.judged().over)
-    assert 0 < max(seen) <= EVENTS["the counter comes back empty"](case).over
+    assert 0 < max(seen) <= EVENTS["the counter comes back empty"](case).excess_units
 
 
 def test_what_a_setting_changes_is_what_the_bound_changes() -> None:
-    case = Scenario(PLANS["enterprise"], 4, seconds=60.0)
+    case = Scenario(PLANS["enterprise"], 4, duration_s=60.0)
     moved = compute_sensitivity(bound_silent_counter, case)
     assert moved["one gateway fewer"] == pytest.approx(-1 / 3, abs=0.01)
     assert moved["an event of half the time"] == 0  # leases have ended by then
