--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -36,10 +36,10 @@
 from mintford import interface as api  # noqa: E402
 
 CLASSES = (
-    api.RequestClass("view", aim=1_500, deadline=4_000, importance=2, effect=api.Effect.SAFE),
+    api.RequestClass("view", latency_target=1_500, deadline=4_000, importance=2, effect=api.Effect.SAFE),
     api.RequestClass(
         "order",
-        aim=1_500,
+        latency_target=1_500,
         deadline=4_000,
         importance=6,
         effect=api.Effect.KEYED,
@@ -90,7 +90,7 @@
     def warmth(self, now: float) -> float:
         if not self.started:
             return 1.0
-        age = (now - self.started) / RULES.warm_within
+        age = (now - self.started) / RULES.warmup_time
         return min(1.0, RULES.start_capacity + (1 - RULES.start_capacity) * age)
 
     def connect(self, gateway: int, now: float) -> bool:
@@ -119,7 +119,7 @@
         self.sent.append((now, work))
         while self.sent[0][0] < now - 1_000:
             self.sent.popleft()
-        return sum(w for _, w in self.sent) / (RULES.fall_multiple * self.warmth(now) * CORES * 1_000)
+        return sum(w for _, w in self.sent) / (RULES.overload_multiple * self.warmth(now) * CORES * 1_000)
 
 
 class World(quota_error.World):
@@ -295,7 +295,7 @@
         ask = self.asks.pop(send.request, None) if outcome is api.Outcome.OK else self.asks.get(send.request)
         if outcome is api.Outcome.OK and ask is not None:
             kind = self.classes[send.request]
-            if self.now - ask.began <= kind.aim and ask.charged:
+            if self.now - ask.began <= kind.latency_target and ask.charged:
                 window = int((ask.began - self.begun) // WINDOW_MS)
                 self.got_at[window] += kind.importance * ask.customer.plan.price_factor
         lag = self.now - since
--- a/benchmarks/quota_error.py
+++ b/benchmarks/quota_error.py
@@ -33,7 +33,7 @@
 from mintford import Gateway  # noqa: E402
 from mintford import interface as api  # noqa: E402
 
-KIND = api.RequestClass("view", aim=60_000, deadline=60_000, importance=1, effect=api.Effect.SAFE)
+KIND = api.RequestClass("view", latency_target=60_000, deadline=60_000, importance=1, effect=api.Effect.SAFE)
 PLANS = (
     api.Plan("small", rate=1.7, burst=16.0, overage_cost=0.8),
     api.Plan("middle", rate=4.2, burst=32.0, overage_cost=0.6, ceiling_rate=8.6, ceiling_burst=66.0),
--- a/mintford/attempts.py
+++ b/mintford/attempts.py
@@ -23,7 +23,7 @@
         self, event: api.RequestArrived, kind: api.RequestClass, c: Customer, now: float, gone: float
     ) -> None:
         super().__init__(event, kind, c.plan.name)
-        self.customer, self.aim_at = c, min(event.expires, now + kind.aim)
+        self.customer, self.aim_at = c, min(event.expires, now + kind.latency_target)
         self.first_aim_at = self.aim_at - gone  # of its client's first try, as far as can be told
         self.ran: list[Attempt] = []  # attempts that may have run or are out, the earliest first
 
--- a/mintford/guards.py
+++ b/mintford/guards.py
@@ -38,7 +38,7 @@
 
 def warmth(rules: api.SafetyRules, started: float, now: float) -> float:
     """The least part of its capacity that a backend started at that time surely has; 0 started: long ago."""
-    age = (now - started) / max(1.0, rules.warm_within) if started > 0 else 1.0
+    age = (now - started) / max(1.0, rules.warmup_time) if started > 0 else 1.0
     return min(1.0, rules.start_capacity + (1 - rules.start_capacity) * age)
 
 
@@ -49,4 +49,4 @@
     it an even part of its own requests times less than the least it can do, so that the sum over all
     gateways stays under that part of a warm one's load; twice, as one long request is much of it.
     """
-    return warm * min(1.0, warm * rules.fall_multiple / 2)
+    return warm * min(1.0, warm * rules.overload_multiple / 2)
--- a/mintford/interface.py
+++ b/mintford/interface.py
@@ -63,7 +63,7 @@
     """A class of requests: its latency target, its deadline, its importance and the effects of running it."""
 
     name: str
-    aim: float
+    latency_target: float
     deadline: float
     importance: float = 1.0
     effect: Effect = Effect.UNSAFE
@@ -92,8 +92,8 @@
 
     drain_grace: float
     start_capacity: float
-    warm_within: float
-    fall_multiple: float
+    warmup_time: float
+    overload_multiple: float
 
 
 @dataclass(frozen=True, slots=True)
--- a/mintford/load.py
+++ b/mintford/load.py
@@ -80,7 +80,7 @@
     def sort_warm(self, now: float) -> None:
         self.warm = [b for b in self.subset if b.warmth(now) >= 1]
         self.ring = self.warm * 2
-        cold = (b.started + self.settings.rules.warm_within for b in self.subset if b.warmth(now) < 1)
+        cold = (b.started + self.settings.rules.warmup_time for b in self.subset if b.warmth(now) < 1)
         self.warm_at = min(cold, default=math.inf)
 
     def choose_subset(self, ready: list[Backend]) -> list[Backend]:
--- a/mintford/reading.py
+++ b/mintford/reading.py
@@ -32,8 +32,8 @@
         rules=api.SafetyRules(
             drain_grace=float(rules.get("drainGrace") or 0),
             start_capacity=float(rules.get("startCapacity") or 0),
-            warm_within=float(rules.get("warmWithin") or 0),
-            fall_multiple=float(rules.get("fallMultiple") or 0),
+            warmup_time=float(rules.get("warmWithin") or 0),
+            overload_multiple=float(rules.get("fallMultiple") or 0),
         ),
         max_attempts=int(caps.get("maxAttempts") or 1),
         may_duplicate=bool(caps.get("mayDuplicate")),
@@ -51,7 +51,7 @@
 def read_class(raw: dict[str, Any]) -> api.RequestClass:
     return api.RequestClass(
         name=str(raw["name"]),
-        aim=float(raw.get("aim") or raw["deadline"]),
+        latency_target=float(raw.get("aim") or raw["deadline"]),
         deadline=float(raw["deadline"]),
         importance=float(raw.get("importance") or 0),
         effect=api.Effect(raw["effect"]),
--- a/mintford/rules.py
+++ b/mintford/rules.py
@@ -176,7 +176,7 @@
         counted = counted or request.right
         short = units - c.tokens if plan.rate else 0.0  # 0 or less: the lease can pay
         crowded = bool(plan.open_limit) and c.out + 1 > max(1.0, plan.open_limit * c.part)
-        strain = (expected := self.shedding.time_to_answer(now)) / max(kind.aim, 1.0)
+        strain = (expected := self.shedding.time_to_answer(now)) / max(kind.latency_target, 1.0)
         earned = RETRY_CALM if strain < CALM else RETRY_SHARE
         self.attempts.retries = min(RETRY_STORE, self.attempts.retries + earned)
         earns = plan.overage_earnings - plan.overage_cost if short > 0 or crowded else 1.0
@@ -194,7 +194,9 @@
         may_go = request.may_go if request.shut else None
         backend = None if refused else self.fleet.pick(now, request.marks, may_go)
         if backend is None:
-            wait = short * 1000 / max(plan.rate * c.part, 1e-9) if short > 0 else kind.aim * PATIENCE
+            wait = (
+                short * 1000 / max(plan.rate * c.part, 1e-9) if short > 0 else kind.latency_target * PATIENCE
+            )
             if c.unsaid < 0:
                 self.quotas.tell(now, c, out)
             return self.attempts.finish(request, out, wait)
@@ -213,7 +215,9 @@
     def patience(self, now: float, attempt: Attempt) -> float:
         # Danger: an answer that waits here to be read is not late, and its backend not to blame.
         request = attempt.request
-        return 2 * self.own.lag + self.fleet.patience(now, attempt.backend, request.marks, request.kind.aim)
+        return 2 * self.own.lag + self.fleet.patience(
+            now, attempt.backend, request.marks, request.kind.latency_target
+        )
 
     def check(self, now: float, request: Request, out: api.Actions) -> None:
         """A request's time is up, or it has waited for longer than usual."""
--- a/mintford/shedding.py
+++ b/mintford/shedding.py
@@ -53,7 +53,7 @@
         worth = kind.importance / self.top_importance if self.top_importance else 1.0
         if (worth + self.random.random()) / 2 >= self.level:
             return None
-        return min(kind.aim * PATIENCE, self.settings.max_retry_after)
+        return min(kind.latency_target * PATIENCE, self.settings.max_retry_after)
 
 
 class Shedding:
@@ -80,8 +80,8 @@
         """
         top = self.own.top_importance
         lesser = 1 - kind.importance * earns / top if top else 0.0
-        equals = (c.aim for c in self.own.settings.classes if c.importance >= kind.importance)
-        aim = min((kind.aim, *equals))
+        equals = (c.latency_target for c in self.own.settings.classes if c.importance >= kind.importance)
+        aim = min((kind.latency_target, *equals))
         return SHED_AT * (1 - SHED_SPAN * lesser) * aim, aim
 
     def kept(self, kind: api.RequestClass) -> float:
--- a/roadpulley/__main__.py
+++ b/roadpulley/__main__.py
@@ -123,7 +123,7 @@
     answer within its aim can still come before SIGKILL.
     """
     longest = min(MAX_DEADLINE_S, max((c.deadline for c in settings.classes), default=3_000.0) / 1000)
-    aim = max((c.aim for c in settings.classes), default=3_000.0) / 1000
+    aim = max((c.latency_target for c in settings.classes), default=3_000.0) / 1000
     return max(MIN_DRAIN_S, longest + FINAL_ANSWER_MARGIN_S - aim), longest + FINAL_ANSWER_MARGIN_S
 
 
--- a/roadpulley/testbed/quota_plays.py
+++ b/roadpulley/testbed/quota_plays.py
@@ -22,7 +22,7 @@
 STEP_MS = 25.0  # between two moments of a flood
 BACKENDS = 40
 RULES = api.SafetyRules(1_000, 0.2, 10_000, 2)
-VIEW = api.RequestClass("view", aim=1_000, deadline=3_000, importance=1, effect=api.Effect.SAFE)
+VIEW = api.RequestClass("view", latency_target=1_000, deadline=3_000, importance=1, effect=api.Effect.SAFE)
 
 
 @dataclass
--- a/tests/decisions/test_cold_fleet.py
+++ b/tests/decisions/test_cold_fleet.py
@@ -75,7 +75,7 @@
             recent.popleft()
         if self.born[backend] and warmth(RULES, self.born[backend], self.now) < 1:
             warm = warmth(RULES, self.born[backend], recent[0])  # the least in this window
-            allowed = RULES.fall_multiple * warm * CAPACITY * WINDOW_MS / 1000
+            allowed = RULES.overload_multiple * warm * CAPACITY * WINDOW_MS / 1000
             bound = allowed + 2 * math.sqrt(allowed) + 2
             self.most = max(self.most, len(recent) / bound)
             if len(recent) > bound:
--- a/tests/decisions/test_decisions.py
+++ b/tests/decisions/test_decisions.py
@@ -126,9 +126,11 @@
 
 def test_a_class_worth_less_with_a_longer_aim_does_not_make_dearer_ones_late() -> None:
     """Danger: judged by its own longer aim, the lesser class held out longest and filled every queue."""
-    quote = api.RequestClass("quote", aim=1500, deadline=4000, importance=1, effect=api.Effect.SAFE)
-    payout = api.RequestClass("payout", aim=1200, deadline=4000, importance=3)
-    slow = api.RequestClass("slow", aim=9000, deadline=9000, importance=3)
+    quote = api.RequestClass(
+        "quote", latency_target=1500, deadline=4000, importance=1, effect=api.Effect.SAFE
+    )
+    payout = api.RequestClass("payout", latency_target=1200, deadline=4000, importance=3)
+    slow = api.RequestClass("slow", latency_target=9000, deadline=9000, importance=3)
     w = world(classes=(quote, payout, slow))
     for _ in range(60):
         send = one(w.ask("payout"))
@@ -139,7 +141,7 @@
         while sends(w.ask(name)):
             pass
         waits[name] = w.gateway.shedding.time_to_answer(w.now)
-    assert waits["quote"] < 0.5 * waits["payout"] <= 0.5 * 0.7 * payout.aim
+    assert waits["quote"] < 0.5 * waits["payout"] <= 0.5 * 0.7 * payout.latency_target
     assert waits["slow"] == waits["payout"], "as much worth, but a longer aim: it may not delay the other"
 
 
--- a/tests/decisions/test_membership.py
+++ b/tests/decisions/test_membership.py
@@ -18,7 +18,7 @@
 from mintford.rules import Gateway
 
 RATE, BURST, ASKED = 20.0, 40.0, 60.0  # of the plan, a second; asked by the one customer
-VIEW = api.RequestClass("view", aim=1000, deadline=3000, effect=api.Effect.SAFE)
+VIEW = api.RequestClass("view", latency_target=1000, deadline=3000, effect=api.Effect.SAFE)
 PLAN = api.Plan("firm", rate=RATE, burst=BURST, overage_cost=1.0)
 HARD = api.Plan("firm", RATE, BURST, overage_cost=1.0, ceiling_rate=2 * RATE, ceiling_burst=2 * BURST)
 RULES = api.SafetyRules(1000, 0.2, 10_000, 2)
--- a/tests/decisions/test_subsets.py
+++ b/tests/decisions/test_subsets.py
@@ -11,7 +11,7 @@
 from mintford.load import COVER, SUBSET
 from mintford.rules import Gateway
 
-VIEW = api.RequestClass("view", aim=1000, deadline=3000, effect=api.Effect.SAFE)
+VIEW = api.RequestClass("view", latency_target=1000, deadline=3000, effect=api.Effect.SAFE)
 RULES = api.SafetyRules(1000, 0.2, 10_000, 2)
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,17 +9,17 @@
 from mintford import interface as api
 from mintford.rules import Gateway
 
-SAFE = api.RequestClass("view", aim=1000, deadline=3000, importance=1, effect=api.Effect.SAFE)
+SAFE = api.RequestClass("view", latency_target=1000, deadline=3000, importance=1, effect=api.Effect.SAFE)
 KEYED = api.RequestClass(
     "order",
-    aim=1000,
+    latency_target=1000,
     deadline=3000,
     importance=4,
     effect=api.Effect.KEYED,
     dedup=api.DedupScope.CELL,
     repeat_window=2000,
 )
-UNSAFE = api.RequestClass("wipe", aim=1000, deadline=3000, importance=2, effect=api.Effect.UNSAFE)
+UNSAFE = api.RequestClass("wipe", latency_target=1000, deadline=3000, importance=2, effect=api.Effect.UNSAFE)
 BASIC = api.Plan("basic", rate=2, burst=8, overage_cost=1)
 FIRM = api.Plan("firm", rate=10, burst=20, open_limit=8, overage_cost=1, ceiling_rate=20, ceiling_burst=40)
 BONUS = api.Plan("bonus", rate=1, burst=2, overage_earnings=0.2)
--- a/tests/operations/test_retuning.py
+++ b/tests/operations/test_retuning.py
@@ -216,7 +216,7 @@
 
 def test_the_rules_of_cold_backends_are_those_that_hold_now() -> None:
     world = World()
-    rules = api.SafetyRules(RULES.drain_grace, 0.5, RULES.warm_within, 4)
+    rules = api.SafetyRules(RULES.drain_grace, 0.5, RULES.warmup_time, 4)
     world.give(api.SettingsChanged(settings(rules=rules)))
     assert {b.rules for b in world.gateway.fleet.backends.values()} == {rules}
 
