--- a/roadpulley/__main__.py
+++ b/roadpulley/__main__.py
@@ -100,7 +100,7 @@
             log.warning("listen and admin are taken up at a restart only")
         driver, settings = self.life.driver, config.settings
         if config.told != standing.told:
-            self.life.server.retune(RequestParser(settings, config.workers))
+            self.life.server.set_parser(RequestParser(settings, config.workers))
             driver.backends.retune(config.connect_timeout, config.keepalive, settings.rules.drain_grace)
             driver.retune(settings, config.max_open)
             self.life.machine.times = lifecycle_times(settings)
@@ -269,7 +269,7 @@
     await life.left.wait()
     if closing is not None:
         closing()
-    empty = asyncio.ensure_future(server.empty.wait())
+    empty = asyncio.ensure_future(server.all_closed.wait())
     ended = asyncio.ensure_future(life.ended.wait())
     await asyncio.wait({empty, ended}, return_when=asyncio.FIRST_COMPLETED)
     life.give(Event.EMPTY if empty.done() else Event.TIME)
@@ -277,7 +277,7 @@
     if driver.requests:
         log.warning("%d requests open at the end", len(driver.requests))
         driver.fail_all()
-    server.end()
+    server.finish()
     await asyncio.wait({empty}, timeout=CLOSE_TIMEOUT_S)
     empty.cancel()
 
--- a/roadpulley/edges/connection.py
+++ b/roadpulley/edges/connection.py
@@ -71,161 +71,163 @@
         self.server, self.socket, self.fd = server, accepted, accepted.fileno()
         self.reader = CommandReader()
         self.slots: deque[Slot] = deque()
-        self.held = 0  # bytes of the commands in `slots`
-        self.dropped = 0  # bytes, while it lingers
-        self.long = 0  # long values under way
-        self.granted = 0  # bytes of the budget, for a long body that is not whole
-        self.granted_at = 0.0
+        self.pending_bytes = 0  # bytes of the commands in `slots`
+        self.discarded_bytes = 0  # bytes, while it lingers
+        self.streaming_replies = 0  # long values under way
+        self.body_grant_bytes = 0  # bytes of the budget, for a long body that is not whole
+        self.body_granted_at = 0.0
         self.unsent = bytearray()
         self.state = OPEN
-        self.reading = self.writing = self.pumping = self.unread = False
-        self.used_at = self.moved_at = now_ms()  # moved: answers were last taken by the client
-        self.due: float | None = (
-            self.used_at + COMMAND_TIMEOUT_MS
+        self.is_reading = self.is_writing = self.is_pumping = self.has_unparsed_bytes = False
+        self.last_used_at = self.last_progress_at = now_ms()  # moved: answers were last taken by the client
+        self.command_deadline: float | None = (
+            self.last_used_at + COMMAND_TIMEOUT_MS
         )  # of a command that is owed; None: between commands
-        self._throttle()
+        self._update_reading()
 
     # ---- from the event loop ----
 
-    def _readable(self) -> None:
+    def _on_readable(self) -> None:
         try:
-            count = self.socket.recv_into(self.server.buffer)
+            count = self.socket.recv_into(self.server.read_buffer)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
             count = 0
         if not count:
             return self.close()  # a client that closes has gone away
-        self.received(self.server.view[:count])
+        self.receive(self.server.read_view[:count])
 
-    def received(self, data: bytes | memoryview) -> None:
+    def receive(self, data: bytes | memoryview) -> None:
         if self.state != OPEN:
             return  # nothing more is answered here, and it must not pile up either
         self.reader.feed(data)
-        self.unread = True
+        self.has_unparsed_bytes = True
         self.pump()
 
-    def _writable(self) -> None:
+    def _on_writable(self) -> None:
         self._send()
-        if self.slots and self.state < LINGERING and (long := self.slots[0].long) and long.started:
-            long.room()
+        if self.slots and self.state < LINGERING and (long := self.slots[0].stream) and long.is_started:
+            long.resume_if_drained()
         self.pump()
 
     # ---- commands ----
 
     def pump(self) -> None:
         """Take commands and write answers, as far as both go; answers given at once are written together."""
-        if self.pumping or self.state >= LINGERING:
+        if self.is_pumping or self.state >= LINGERING:
             return
-        self.pumping = True
+        self.is_pumping = True
         try:
             if self.slots:
-                self._write()
-                if self.server.draining and self.at_rest:
-                    self._readable()
-            while self.unread and not self._stuck():
-                self._take()
-                self._write()
+                self._write_replies()
+                if self.server.draining and self.is_at_rest:
+                    self._on_readable()
+            while self.has_unparsed_bytes and not self._is_blocked():
+                self._process_commands()
+                self._write_replies()
                 # Danger: the end of a drain goes out with the last answer. A turn later its client
                 # has taken the connection for free and sent its next request, which would be turned back.
-                if self.server.draining and self.at_rest:
-                    self._readable()
+                if self.server.draining and self.is_at_rest:
+                    self._on_readable()
         finally:
-            self.pumping = False
+            self.is_pumping = False
         if not self.slots and not self.unsent:
             if self.state == FLUSHING:
-                self.linger()
-            elif self.server.draining and self.at_rest:
-                self.leave()
-        self._throttle()
+                self.start_lingering()
+            elif self.server.draining and self.is_at_rest:
+                self.close_for_drain()
+        self._update_reading()
 
-    def _stuck(self) -> bool:
+    def _is_blocked(self) -> bool:
         # Danger: a long value that breaks takes its connection along. What was read behind it would be lost,
         # what was not is sent again by the client.
         return (
             self.state != OPEN
-            or self.long > 0
-            or self.held > MAX_PENDING_COMMAND_BYTES
+            or self.streaming_replies > 0
+            or self.pending_bytes > MAX_PENDING_COMMAND_BYTES
             or len(self.slots) >= MAX_PENDING_COMMANDS
             or len(self.unsent) > MAX_UNSENT_BYTES
             or self.reader.wants > 0
         )
 
-    def _take(self) -> None:
+    def _process_commands(self) -> None:
         """Take what commands the bytes read so far hold."""
         try:
-            while not self._stuck():
+            while not self._is_blocked():
                 args = self.reader.next()
                 if args is None:
-                    if self.reader.wants and self._ask():
+                    if self.reader.wants and self._request_body_grant():
                         continue
-                    self.unread = False
+                    self.has_unparsed_bytes = False
                     if self.reader.wants or self.reader.long:
                         # A long body has its time from its last piece, and in all.
                         if not self.reader.wants:
-                            self.due = min(now_ms() + COMMAND_TIMEOUT_MS, self.granted_at + BODY_TIMEOUT_MS)
+                            self.command_deadline = min(
+                                now_ms() + COMMAND_TIMEOUT_MS, self.body_granted_at + BODY_TIMEOUT_MS
+                            )
                     elif not self.reader.held:
-                        self.due = None
-                    elif self.due is None:
-                        self.due = now_ms() + COMMAND_TIMEOUT_MS
+                        self.command_deadline = None
+                    elif self.command_deadline is None:
+                        self.command_deadline = now_ms() + COMMAND_TIMEOUT_MS
                     return
-                self.due = None
-                self.command(args)
+                self.command_deadline = None
+                self.handle_command(args)
         except MalformedError as error:
             self.refuse_protocol(str(error))
 
-    def _ask(self) -> bool:
+    def _request_body_grant(self) -> bool:
         """Ask for the room that a long body needs; whether it is granted at once."""
         size = self.reader.wants
         try:
-            granted = self.server.bodies.ask(self, size, self._granted)
+            granted = self.server.body_budget.ask(self, size, self._on_body_granted)
         except ValueError:
             raise MalformedError("length of an argument") from None
         if granted:
-            self._grant(size)
+            self._start_body(size)
         else:
-            self.due = now_ms() + BODY_TIMEOUT_MS
+            self.command_deadline = now_ms() + BODY_TIMEOUT_MS
         return granted
 
-    def _grant(self, size: int) -> None:
-        self.granted, self.granted_at = size, now_ms()
+    def _start_body(self, size: int) -> None:
+        self.body_grant_bytes, self.body_granted_at = size, now_ms()
         self.reader.grant()
 
-    def _granted(self) -> None:
-        self._grant(self.reader.wants)
-        self.unread = True
+    def _on_body_granted(self) -> None:
+        self._start_body(self.reader.wants)
+        self.has_unparsed_bytes = True
         self.pump()
 
-    def _write(self) -> None:
+    def _write_replies(self) -> None:
         """Write the answers that are due, in the order of the commands."""
         due: list[bytes] = []
         while self.slots and self.slots[0].reply is not None:
             slot = self.slots.popleft()
-            self.held -= slot.size
+            self.pending_bytes -= slot.size
             due.append(slot.reply or b"")
         if due and self.state < LINGERING:
             waiting, before = bool(self.unsent), len(self.unsent)
             self.unsent += due[0] if len(due) == 1 else b"".join(due)
-            self.server.unsent += len(self.unsent) - before
+            self.server.unsent_bytes += len(self.unsent) - before
             if not waiting:
-                self.moved_at = now_ms()
+                self.last_progress_at = now_ms()
                 self._send()
-            self.server.used(self)
-            if self.server.unsent > self.server.most_unsent:
-                self.server.drop_slowest()
-        if self.slots and self.state < LINGERING and (long := self.slots[0].long) and not long.started:
+            self.server.note_use(self)
+            if self.server.unsent_bytes > self.server.max_unsent_bytes:
+                self.server.close_slowest_reader()
+        if self.slots and self.state < LINGERING and (long := self.slots[0].stream) and not long.is_started:
             long.start()
 
-    def push(self, long: StreamingReply, data: bytes | bytearray | memoryview) -> None:
+    def write_chunk(self, long: StreamingReply, data: bytes | bytearray | memoryview) -> None:
         """Write a piece of the value whose turn it is."""
         waiting = bool(self.unsent)
         self.unsent += data
-        self.server.unsent += len(data)
+        self.server.unsent_bytes += len(data)
         if not waiting:
-            self.moved_at = now_ms()
+            self.last_progress_at = now_ms()
             self._send()
-        if self.state < LINGERING and len(self.unsent) > self.server.water():
-            long.pause()
+        if self.state < LINGERING and len(self.unsent) > self.server.high_water_bytes():
+            long.pause_source()
 
     def _send(self) -> None:
         try:
@@ -235,21 +237,21 @@
         except OSError:
             return self.close()
         if sent:
-            self.moved_at = now_ms()
+            self.last_progress_at = now_ms()
         del self.unsent[:sent]
-        self.server.unsent -= sent
-        if bool(self.unsent) != self.writing:
-            self.writing = not self.writing
-            if self.writing:
-                self.server.loop.add_writer(self.fd, self._writable)
+        self.server.unsent_bytes -= sent
+        if bool(self.unsent) != self.is_writing:
+            self.is_writing = not self.is_writing
+            if self.is_writing:
+                self.server.loop.add_writer(self.fd, self._on_writable)
             else:
                 self.server.loop.remove_writer(self.fd)
 
-    def _throttle(self) -> None:
-        if self.state < LINGERING and (go := not self._stuck()) != self.reading:
-            self.reading = go
+    def _update_reading(self) -> None:
+        if self.state < LINGERING and (go := not self._is_blocked()) != self.is_reading:
+            self.is_reading = go
             if go:
-                self.server.loop.add_reader(self.fd, self._readable)
+                self.server.loop.add_reader(self.fd, self._on_readable)
             else:
                 self.server.loop.remove_reader(self.fd)
 
@@ -259,30 +261,30 @@
         slot.answered, slot.reply = True, b"-ERR protocol error\r\n"
         self.slots.append(slot)
         self.state = FLUSHING
-        self.server.refused[reason] += 1
+        self.server.refusals[reason] += 1
 
-    def command(self, args: list[bytes]) -> None:
+    def handle_command(self, args: list[bytes]) -> None:
         body = self.reader.take_body()
         slot = Slot(self, sum(map(len, args)) + (len(body) if body else 0))
-        slot.granted, self.granted = self.granted, 0
-        self.held += slot.size
+        slot.body_grant_bytes, self.body_grant_bytes = self.body_grant_bytes, 0
+        self.pending_bytes += slot.size
         self.slots.append(slot)
         verb = args[0].upper()
         if verb in REQUEST_VERBS:
-            if self.server.handler.strained and (away := self.server.turn_away(args)):
-                slot.kind, reply = away
+            if self.server.handler.strained and (away := self.server.refuse_early(args)):
+                slot.class_name, reply = away
                 return slot.answer(reply)
             try:
-                command = self.server.terms.parse(args, body)
+                command = self.server.parser.parse(args, body)
             except ValueError as error:
-                self.server.refused[str(error)] += 1
-                slot.kind = self.server.named(args)
+                self.server.refusals[str(error)] += 1
+                slot.class_name = self.server.find_class(args)
                 return slot.answer(b"-ERR %b\r\n" % str(error).encode())
-            self.server.asked(self)
-            slot.request, slot.kind = command.id, command.request_class
+            self.server.note_request(self)
+            slot.request, slot.class_name = command.id, command.request_class
             self.server.handler.on_command(command, slot)
         elif verb == b"PING":
-            if not self.server.says_yes:
+            if not self.server.answers_ping:
                 slot.answer(b"-ERR takes no clients now\r\n")
             else:
                 slot.answer(encode_bulk(args[1]) if len(args) > 1 else b"+PONG\r\n")
@@ -297,27 +299,27 @@
     # ---- the end ----
 
     @property
-    def closed(self) -> bool:
+    def is_closed(self) -> bool:
         return self.state == CLOSED
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         return self.state == OPEN and not self.slots and not self.unsent
 
-    def overdue(self, now: float) -> bool:
-        return self.state == OPEN and self.due is not None and now > self.due
+    def is_overdue(self, now: float) -> bool:
+        return self.state == OPEN and self.command_deadline is not None and now > self.command_deadline
 
     @property
-    def waits_for_bytes(self) -> bool:
+    def is_awaiting_input(self) -> bool:
         """A command has begun and it is its client's turn, or it waits for room."""
-        return self.reading or self.reader.wants > 0
+        return self.is_reading or self.reader.wants > 0
 
     @property
-    def at_rest(self) -> bool:
+    def is_at_rest(self) -> bool:
         """Nothing is open here, and no command has begun to come."""
-        return self.idle and not self.reader.held
+        return self.is_idle and not self.reader.held
 
-    def gone(self) -> bool:
+    def close_if_disconnected(self) -> bool:
         """Whether its client has left; closes then.
 
         Danger: a connection that is stuck is not read, nor is one in time while the loop is late, and its end
@@ -332,20 +334,20 @@
                 self.close()
         return self.state >= LINGERING
 
-    def retire(self, room: bool = False) -> None:
+    def close_if_idle(self, room: bool = False) -> None:
         """End it unless something is open here, also what has come and was not read yet.
 
         `room`: its descriptor is needed now. What it was answered last arrived long ago.
         """
-        if self.idle and self.reading:
-            self._readable()
-        if self.at_rest or (room and self.idle and not self.server.draining):
+        if self.is_idle and self.is_reading:
+            self._on_readable()
+        if self.is_at_rest or (room and self.is_idle and not self.server.draining):
             if room:
                 self.close()
             else:
-                self.linger()
+                self.start_lingering()
 
-    def leave(self) -> None:
+    def close_for_drain(self) -> None:
         """The server drains: end it once nothing is open here.
 
         Danger: one just taken in has its first command under way; closed now, its client could not know
@@ -353,93 +355,96 @@
         """
         if self.state != OPEN or not self.server.draining:
             return
-        if self in self.server.silent and (due := self.used_at + FIRST_COMMAND_GRACE_MS) > now_ms():
-            self.server.timers.at(due, self.leave)
+        if (
+            self in self.server.without_request
+            and (due := self.last_used_at + FIRST_COMMAND_GRACE_MS) > now_ms()
+        ):
+            self.server.timers.at(due, self.close_for_drain)
         else:
-            self.retire()
+            self.close_if_idle()
 
-    def last(self) -> None:
+    def finish_commands(self) -> None:
         """Take what has come, and no more commands; it ends with the answers that it owes."""
-        if self.state == OPEN and self.reading:
-            self._readable()
+        if self.state == OPEN and self.is_reading:
+            self._on_readable()
         if self.state == OPEN:
             self.state = FLUSHING
             self.pump()
 
-    def check(self, now: float) -> None:
+    def check_timeouts(self, now: float) -> None:
         """End what the client has begun and does not go on with, and what it has left."""
         if self.state == LINGERING:
-            if now > self.moved_at + LINGER_TIMEOUT_MS:
+            if now > self.last_progress_at + LINGER_TIMEOUT_MS:
                 self.close()
-        elif not self.reading and self.gone():
+        elif not self.is_reading and self.close_if_disconnected():
             return
-        elif self.unsent and now - self.moved_at > (
-            STREAM_STALL_TIMEOUT_MS if self.long else WRITE_STALL_TIMEOUT_MS
+        elif self.unsent and now - self.last_progress_at > (
+            STREAM_STALL_TIMEOUT_MS if self.streaming_replies else WRITE_STALL_TIMEOUT_MS
         ):
-            self.server.refused["answers left unread"] += 1
+            self.server.refusals["answers left unread"] += 1
             self.close()
-        elif self.overdue(now) and self.waits_for_bytes:
-            if self.reading:
-                self._readable()  # while the loop was late the rest may have come
-            if self.at_rest:
+        elif self.is_overdue(now) and self.is_awaiting_input:
+            if self.is_reading:
+                self._on_readable()  # while the loop was late the rest may have come
+            if self.is_at_rest:
                 # Danger: an error now would be read as the answer to the first request, if that is under way.
-                self.retire()
-            elif self.overdue(now):
+                self.close_if_idle()
+            elif self.is_overdue(now):
                 self.refuse_protocol("command not whole in time")
                 self.pump()
-        elif self.idle and now - self.used_at > IDLE_TIMEOUT_MS:
-            self.retire()
+        elif self.is_idle and now - self.last_used_at > IDLE_TIMEOUT_MS:
+            self.close_if_idle()
 
-    def linger(self) -> None:
+    def start_lingering(self) -> None:
         """End the sending side, then read to the end: what comes is dropped."""
-        self.state, self.due, self.moved_at = LINGERING, None, now_ms()
+        self.state, self.command_deadline, self.last_progress_at = LINGERING, None, now_ms()
         self.reader = CommandReader()
-        self._give_back()
+        self._release_body_grant()
         try:
             self.socket.shutdown(socket.SHUT_WR)
         except OSError:
             return self.close()  # the client was first
-        self.server.lingers(self)
-        if not self.reading:
-            self.reading = True
+        self.server.add_lingering(self)
+        if not self.is_reading:
+            self.is_reading = True
         else:
             self.server.loop.remove_reader(self.fd)
-        self.server.loop.add_reader(self.fd, self._drop)
+        self.server.loop.add_reader(self.fd, self._discard)
 
-    def _give_back(self) -> None:
+    def _release_body_grant(self) -> None:
         """The room of a long body that is not whole, or the wish for it."""
-        self.server.bodies.leave(self)
-        if self.granted:
-            self.server.bodies.give_back(self.granted)
-            self.granted = 0
+        self.server.body_budget.leave(self)
+        if self.body_grant_bytes:
+            self.server.body_budget.give_back(self.body_grant_bytes)
+            self.body_grant_bytes = 0
 
-    def _drop(self) -> None:
+    def _discard(self) -> None:
         try:
-            count = self.socket.recv_into(self.server.buffer)
+            count = self.socket.recv_into(self.server.read_buffer)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
             count = 0
-        self.dropped += count
-        if not count or self.dropped > MAX_LINGER_BYTES:
+        self.discarded_bytes += count
+        if not count or self.discarded_bytes > MAX_LINGER_BYTES:
             self.close()
 
     def close(self) -> None:
-        if self.closed:
+        if self.is_closed:
             return
         self.state = CLOSED
         self.server.loop.remove_reader(self.fd)
         self.server.loop.remove_writer(self.fd)
         self.socket.close()
-        self.server.forget(self)
-        self.server.unsent -= len(self.unsent)
+        self.server.remove_connection(self)
+        self.server.unsent_bytes -= len(self.unsent)
         slots, self.slots, self.unsent = self.slots, deque(), bytearray()
-        self.server.long -= self.long
-        self.long = 0
-        self._give_back()
+        self.server.streaming_replies -= self.streaming_replies
+        self.streaming_replies = 0
+        self._release_body_grant()
         for slot in slots:
-            slot.answered, slot.long = True, None
-            if slot.granted:
-                slot.give_back()
+            slot.answered, slot.stream = True, None
+            if slot.body_grant_bytes:
+                slot.release_body_grant()
             if slot.request is not None:
                 self.server.handler.on_client_gone(slot.request)
--- a/roadpulley/edges/request_parser.py
+++ b/roadpulley/edges/request_parser.py
@@ -39,7 +39,7 @@
         self.classes = {c.name.encode(): c for c in settings.classes}
         self.plans = {p.name.encode(): p.name for p in settings.plans}
         self.max_request_units, self.gateways = settings.max_request_units, settings.gateways // workers
-        self.right: dict[tuple[bytes, ...], tuple[api.RequestClass, str, float, int, int]] = {}
+        self.known_attributes: dict[tuple[bytes, ...], tuple[api.RequestClass, str, float, int, int]] = {}
 
     def parse(self, args: list[bytes], body: bytearray | None = None) -> Command:
         """Raises ValueError, with the reason, for what is not a request of a known class, plan and size.
@@ -54,9 +54,9 @@
         verb, customer, request, listed = args[:4]
         if plain := ATTRIBUTES_PATTERN.fullmatch(listed):
             before, named, title, left, after, key, *rest, repeat = plain.groups()
-            known = self.right.get((verb, named, title, *rest))
+            known = self.known_attributes.get((verb, named, title, *rest))
             if known is not None and (key or known[0].effect is not api.Effect.KEYED):
-                return self.command(args, known, float(left), before, after, repeat is not None, body)
+                return self.build_command(args, known, float(left), before, after, repeat is not None, body)
         given: dict[bytes, bytes] = {}
         for item in listed.split(b","):
             name, equals, value = item.partition(b"=")
@@ -82,12 +82,12 @@
         before, after = listed[: at + 2], listed[at + 2 + len(given[b"d"]) :]
         known = (kind, plan, units, spread * self.workers, first * self.workers)
         if plain:
-            if len(self.right) >= MAX_CACHED_ATTRIBUTES:
-                self.right.clear()
-            self.right[verb, named, title, *rest] = known
-        return self.command(args, known, wait, before, after, given.get(b"r") == b"1", body)
+            if len(self.known_attributes) >= MAX_CACHED_ATTRIBUTES:
+                self.known_attributes.clear()
+            self.known_attributes[verb, named, title, *rest] = known
+        return self.build_command(args, known, wait, before, after, given.get(b"r") == b"1", body)
 
-    def command(
+    def build_command(
         self,
         args: list[bytes],
         known: tuple[api.RequestClass, str, float, int, int],
--- a/roadpulley/edges/resp_server.py
+++ b/roadpulley/edges/resp_server.py
@@ -55,73 +55,80 @@
         loop: asyncio.AbstractEventLoop,
         timers: Timers,
         handler: Handler,
-        terms: RequestParser,
-        most: int,
-        memory: int,
+        parser: RequestParser,
+        max_connections: int,
+        memory_bytes: int,
         tallies: RequestStats | None = None,
     ) -> None:
-        self.loop, self.timers, self.handler, self.most = loop, timers, handler, most
+        self.loop, self.timers, self.handler, self.max_connections = loop, timers, handler, max_connections
         self.tallies = tallies or RequestStats()
-        self.retune(terms)
-        self.long = 0  # long values under way
-        self.bodies = MemoryBudget(max(MAX_BODY_BYTES, memory // 2))
-        self.most_unsent, self.unsent = memory, 0  # bytes of answers that are not taken yet, of all clients
-        self.buffer = bytearray(
+        self.set_parser(parser)
+        self.streaming_replies = 0  # long values under way
+        self.body_budget = MemoryBudget(max(MAX_BODY_BYTES, memory_bytes // 2))
+        self.max_unsent_bytes, self.unsent_bytes = (
+            memory_bytes,
+            0,
+        )  # bytes of answers that are not taken yet, of all clients
+        self.read_buffer = bytearray(
             READ_BUFFER_BYTES
         )  # of all connections: each takes out at once what it has read
-        self.view = memoryview(self.buffer)
+        self.read_view = memoryview(self.read_buffer)
         self.connections: dict[ClientConnection, None] = {}  # the longest unused first
-        self.silent: dict[ClientConnection, None] = {}  # of these, those that never asked, the oldest first
+        self.without_request: dict[
+            ClientConnection, None
+        ] = {}  # of these, those that never asked, the oldest first
         self.lingering: dict[ClientConnection, None] = {}  # of all, those that have ended but for their bytes
-        self.refused: Tally[str] = Tally()  # since the last line of the log, by reason
-        self.told_at = 0.0
-        self.draining = self.accepting = self.shared = False
-        self.says_yes = True  # to PING
+        self.refusals: Tally[str] = Tally()  # since the last line of the log, by reason
+        self.last_log_at = 0.0
+        self.draining = self.accepting = self.has_shared_listener = False
+        self.answers_ping = True  # to PING
         self.listener: socket.socket | None = None
-        self.waiting: Timer | None = None  # to accept again
-        self.empty = asyncio.Event()
-        self.empty.set()
+        self.accept_timer: Timer | None = None  # to accept again
+        self.all_closed = asyncio.Event()
+        self.all_closed.set()
 
     async def listen(self, host: str, port: int, given: socket.socket | None = None) -> int:
         """Start to accept; gives the port. A socket that is given is bound; other processes have it too."""
-        self.shared = given is not None
+        self.has_shared_listener = given is not None
         self.listener = given or socket.create_server((host, port), backlog=BACKLOG)
         self.listener.setblocking(False)
-        self._accept_more()
+        self._resume_accepting()
         self.sweep()
         return int(self.listener.getsockname()[1])
 
     # ---- accepting ----
 
-    def _accept_more(self) -> None:
-        self.waiting = None
+    def _resume_accepting(self) -> None:
+        self.accept_timer = None
         if self.listener is not None and not self.accepting:
             self.accepting = True
-            if self.shared:
+            if self.has_shared_listener:
                 # Danger: the supervisor has it refuse once nobody accepts, which may cross the start of this
                 # one: it would serve and never be reached. Asked again, it listens again.
                 self.listener.listen(BACKLOG)
             self.loop.add_reader(self.listener.fileno(), self._accept)
 
-    def _pause(self) -> None:
+    def _pause_accepting(self) -> None:
         """Those that wait in the kernel's queue cost nothing; closing them would fail their requests."""
         if self.listener is not None and self.accepting:
             self.accepting = False
             self.loop.remove_reader(self.listener.fileno())
-            self.waiting = self.timers.at(now_ms() + ACCEPT_RETRY_INTERVAL_MS, self._accept_more)
+            self.accept_timer = self.timers.at(now_ms() + ACCEPT_RETRY_INTERVAL_MS, self._resume_accepting)
 
     def _accept(self) -> None:
-        for turn in range(MAX_SHARED_ACCEPTS_PER_WAKEUP if self.shared else MAX_ACCEPTS_PER_WAKEUP):
+        for turn in range(
+            MAX_SHARED_ACCEPTS_PER_WAKEUP if self.has_shared_listener else MAX_ACCEPTS_PER_WAKEUP
+        ):
             # Room is made only for one that is known to wait, as on the first turn.
-            if (turn and len(self.connections) >= self.most) or not self._accept_one():
+            if (turn and len(self.connections) >= self.max_connections) or not self._accept_one():
                 return
 
     def _accept_one(self) -> bool:
         """Take in the next that waits; False where none does, or there is no room for it yet."""
         if self.listener is None:
             return False
-        if len(self.connections) >= self.most and not self.make_room():
-            self._pause()
+        if len(self.connections) >= self.max_connections and not self.evict_idle_connection():
+            self._pause_accepting()
             return False
         try:
             accepted, _address = self.listener.accept()
@@ -130,121 +137,125 @@
         except ConnectionAbortedError:
             return True  # it has left; the next may wait
         except OSError as error:
-            self.refused[f"not accepted: {error.strerror}"] += 1
-            self._pause()
+            self.refusals[f"not accepted: {error.strerror}"] += 1
+            self._pause_accepting()
             return False
         accepted.setblocking(False)
         accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         connection = ClientConnection(self, accepted)
-        self.connections[connection] = self.silent[connection] = None
-        self.empty.clear()
+        self.connections[connection] = self.without_request[connection] = None
+        self.all_closed.clear()
         if self.draining:
-            connection.leave()
+            connection.close_for_drain()
         return True
 
-    def make_room(self) -> bool:
+    def evict_idle_connection(self) -> bool:
         """Give up a connection that nobody is using: one that has ended first, then one that never asked."""
         if ended := next(iter(self.lingering), None):
             ended.close()
             return True
         now = now_ms()
-        oldest = next((c for c in self.silent if c.idle), None)
-        if oldest is not None and now - oldest.used_at > NEW_CONNECTION_GRACE_MS:
-            oldest.retire(room=True)
-            if oldest.closed:
+        oldest = next((c for c in self.without_request if c.is_idle), None)
+        if oldest is not None and now - oldest.last_used_at > NEW_CONNECTION_GRACE_MS:
+            oldest.close_if_idle(room=True)
+            if oldest.is_closed:
                 return True
-        spare = next((c for c in self.connections if c.idle and c not in self.silent), None)
-        if spare is not None and now - spare.used_at > MIN_EVICTABLE_IDLE_MS:
-            spare.retire(room=True)
-        return spare is not None and spare.closed
+        spare = next((c for c in self.connections if c.is_idle and c not in self.without_request), None)
+        if spare is not None and now - spare.last_used_at > MIN_EVICTABLE_IDLE_MS:
+            spare.close_if_idle(room=True)
+        return spare is not None and spare.is_closed
 
     # ---- connections ----
 
-    def asked(self, connection: ClientConnection) -> None:
-        self.silent.pop(connection, None)
+    def note_request(self, connection: ClientConnection) -> None:
+        self.without_request.pop(connection, None)
 
-    def used(self, connection: ClientConnection) -> None:
-        connection.used_at = now_ms()
+    def note_use(self, connection: ClientConnection) -> None:
+        connection.last_used_at = now_ms()
         if connection in self.connections:
             del self.connections[connection]
             self.connections[connection] = None
 
-    def turn_away(self, args: list[bytes]) -> tuple[str, bytes] | None:
+    def refuse_early(self, args: list[bytes]) -> tuple[str, bytes] | None:
         """Class and refusal of a request that is not worth reading whole just now, if seen before."""
         plain = ATTRIBUTES_PATTERN.fullmatch(args[3]) if len(args) > 3 else None
-        known = self.terms.right.get((args[0], *plain.group(2, 3, 7, 8, 9))) if plain else None
+        known = self.parser.known_attributes.get((args[0], *plain.group(2, 3, 7, 8, 9))) if plain else None
         reply = self.handler.turn_away(known[0].name) if known else None
         return (known[0].name, reply) if known and reply else None
 
-    def named(self, args: list[bytes]) -> str | None:
+    def find_class(self, args: list[bytes]) -> str | None:
         """The class that a wrong request names, if it is or was one."""
         found = CLASS_PATTERN.search(args[3]) if len(args) > 3 else None
         name = found[1].decode(errors="replace") if found else ""
         return name if name in self.tallies.answers else None
 
-    def water(self) -> int:
+    def high_water_bytes(self) -> int:
         """Bytes of a long value that may wait for its client: of all of them together, half of the budget."""
         return max(
-            MIN_HIGH_WATER_BYTES, min(MAX_HIGH_WATER_BYTES, self.most_unsent // (2 * max(1, self.long)))
+            MIN_HIGH_WATER_BYTES,
+            min(MAX_HIGH_WATER_BYTES, self.max_unsent_bytes // (2 * max(1, self.streaming_replies))),
         )
 
-    def lingers(self, connection: ClientConnection) -> None:
-        self.silent.pop(connection, None)
+    def add_lingering(self, connection: ClientConnection) -> None:
+        self.without_request.pop(connection, None)
         self.lingering[connection] = None
-        if len(self.lingering) > self.most // MAX_LINGERING_DIVISOR:
+        if len(self.lingering) > self.max_connections // MAX_LINGERING_DIVISOR:
             next(iter(self.lingering)).close()
 
-    def forget(self, connection: ClientConnection) -> None:
+    def remove_connection(self, connection: ClientConnection) -> None:
         self.connections.pop(connection, None)
-        self.silent.pop(connection, None)
+        self.without_request.pop(connection, None)
         self.lingering.pop(connection, None)
         if not self.connections:
-            self.empty.set()
+            self.all_closed.set()
 
-    def drop_slowest(self) -> None:
+    def close_slowest_reader(self) -> None:
         """Give up the client that has taken nothing for the longest time, before memory runs out."""
-        waiting = (c for c in self.connections if c.unsent and not c.long)  # long values are held back
-        slowest = min(waiting, key=lambda c: c.moved_at, default=None)
+        waiting = (
+            c for c in self.connections if c.unsent and not c.streaming_replies
+        )  # long values are held back
+        slowest = min(waiting, key=lambda c: c.last_progress_at, default=None)
         if slowest is not None:
-            self.refused["answers left unread"] += 1
+            self.refusals["answers left unread"] += 1
             slowest.close()
 
     def sweep(self) -> None:
         now = now_ms()
         for connection in list(self.connections):
-            connection.check(now)
-        if self.refused and now - self.told_at >= LOG_INTERVAL_MS:  # one line tells of all
-            log.warning("refused: %s", dict(self.refused))
-            self.refused.clear()
-            self.told_at = now
+            connection.check_timeouts(now)
+        if self.refusals and now - self.last_log_at >= LOG_INTERVAL_MS:  # one line tells of all
+            log.warning("refused: %s", dict(self.refusals))
+            self.refusals.clear()
+            self.last_log_at = now
         self.timers.at(now + SWEEP_INTERVAL_MS, self.sweep)
 
-    def retune(self, terms: RequestParser) -> None:
+    def set_parser(self, parser: RequestParser) -> None:
         """Other terms from the next request on. What was counted of a class that is dropped stays."""
-        self.terms = terms
-        for name in terms.classes:
+        self.parser = parser
+        for name in parser.classes:
             self.tallies.know(name.decode())
 
-    def stand(self, says_yes: bool, accepts: bool, keeps: bool) -> None:
-        """What this server is to its clients from now on.
+    def set_admission(self, answers_ping: bool, accepts: bool, keeps_idle: bool) -> None:
+        """Change what the server offers to its clients.
 
-        `says_yes`: to PING. `accepts`: not to accept is final. `keeps`: connections at rest; where they are
-        not kept, each is closed as soon as it has its answers.
+        `answers_ping`: whether PING is answered with PONG. `accepts`: whether connections are accepted; False
+        is final. `keeps_idle`: whether idle connections stay open; if not, the server drains, and each
+        connection is closed once it has its answers.
         """
-        self.says_yes, self.draining = says_yes, not keeps
-        if not keeps:
+        self.answers_ping, self.draining = answers_ping, not keeps_idle
+        if not keeps_idle:
             for connection in list(self.connections):
-                connection.leave()
+                connection.close_for_drain()
         if not accepts and self.listener is not None:
             # Danger: closing a listener resets all that wait at it, and what they have asked by then. Those
             # at one that is shared are taken by the others.
-            while not self.shared and self._accept_one():
+            while not self.has_shared_listener and self._accept_one():
                 pass
-            self._pause()
+            self._pause_accepting()
             self.listener.close()
             self.listener = None
 
-    def end(self) -> None:
+    def finish(self) -> None:
         """The process ends: what has come by now is taken, and refused at the door; nothing after that."""
         for connection in list(self.connections):
-            connection.last()
+            connection.finish_commands()
--- a/roadpulley/operations/life.py
+++ b/roadpulley/operations/life.py
@@ -52,7 +52,7 @@
         if stance.ended:
             return self.ended.set()
         if self.server.listener is not None or not stance.accepts:
-            self.server.stand(stance.says_yes, stance.accepts, stance.keeps)
+            self.server.set_admission(stance.says_yes, stance.accepts, stance.keeps)
 
     def watch(self) -> None:
         due = self.machine.due()
--- a/roadpulley/soak/planted.py
+++ b/roadpulley/soak/planted.py
@@ -32,7 +32,7 @@
         if self.server.draining:
             self.close()
 
-    ClientConnection.leave = leave  # type: ignore[method-assign]
+    ClientConnection.close_for_drain = leave  # type: ignore[method-assign]
 
 
 def repeat_unsafe_requests() -> None:
--- a/tests/edges/test_client_disconnects.py
+++ b/tests/edges/test_client_disconnects.py
@@ -53,7 +53,7 @@
         return found
 
     def nothing_is_held(self) -> bool:
-        attempts, held = self.driver.gateway.attempts, self.server.bodies.held
+        attempts, held = self.driver.gateway.attempts, self.server.body_budget.held
         out = [b.out for b in self.driver.gateway.fleet.backends.values()]
         customers = [c.out for c in self.driver.gateway.quotas.customers.values()]
         return not (
@@ -108,8 +108,8 @@
         one = await scene.one()
         await until(lambda: scene.driver.requests)
         assert not scene.driver.attempts
-        one.held = connection.MAX_PENDING_COMMAND_BYTES + 1
-        one._throttle()
+        one.pending_bytes = connection.MAX_PENDING_COMMAND_BYTES + 1
+        one._update_reading()
         client.leave(how)
         await until(scene.nothing_is_held)
         assert len(scene.world.backends[0].got) == 1
@@ -136,7 +136,7 @@
         else:
             client.write(b"".join(keyed(b"%d" % n, b"x" * 60_000) for n in range(4)))
         one = await scene.one()
-        await until(lambda: one.slots and not one.reading and not scene.driver.busy)
+        await until(lambda: one.slots and not one.is_reading and not scene.driver.busy)
         await until(lambda: sum(len(b.got) for b in scene.world.backends) == len(scene.driver.attempts))
         before = [len(b.got) for b in scene.world.backends]
         client.leave(how)
@@ -157,7 +157,7 @@
         client.write(encode(*request(b"late")))
         client.leave(how)
         scene.driver.look_due = driver_module.now_ms() - 150  # the loop is late by so much
-        one._readable()
+        one._on_readable()
         assert not scene.driver.attempts and not scene.driver.requests
         await until(scene.nothing_is_held)
         assert not scene.world.backends[0].got
@@ -174,7 +174,7 @@
         client = Leaver(scene.world.port)
         one = await scene.one()
         client.write(encode(*request(b"late")))
-        one._readable()  # it is sent on in this call: the connection to the backend is under way
+        one._on_readable()  # it is sent on in this call: the connection to the backend is under way
         assert scene.driver.attempts
         scene.server.loop.remove_reader(one.fd)  # its end is not seen by the loop before that is up
         client.leave(how)
@@ -200,7 +200,7 @@
         count = 2 * connection.MAX_PENDING_COMMANDS
         client.write(b"".join(encode(*request(b"%d" % n)) for n in range(count)))
         one = await scene.one()
-        await until(lambda: one.slots and not one.reading)
+        await until(lambda: one.slots and not one.is_reading)
         client.leave(how)
         await until(scene.nothing_is_held)
 
@@ -214,15 +214,15 @@
     monkeypatch.setattr(resp_server, "SWEEP_INTERVAL_MS", 10.0)
 
     async def scenario(scene: Scene) -> None:
-        scene.server.bodies.held = scene.server.bodies.most  # by others
+        scene.server.body_budget.held = scene.server.body_budget.most  # by others
         client = Leaver(scene.world.port)
         client.write(keyed(b"long", b"x" * 100_000)[:400])
         one = await scene.one()
         await until(lambda: one.reader.wants)
         client.leave(how)
         await until(lambda: not scene.server.connections)
-        assert not scene.server.bodies.waiting
-        scene.server.bodies.held = 0
+        assert not scene.server.body_budget.waiting
+        scene.server.body_budget.held = 0
 
     played(scenario)
 
--- a/tests/edges/test_connection_close.py
+++ b/tests/edges/test_connection_close.py
@@ -85,7 +85,7 @@
         waiting = [Raw(world.port) for _ in range(100)]
         for number, client in enumerate(waiting):
             client.write(encode(*request(b"%d" % number)))
-        server.stand(says_yes=True, accepts=False, keeps=False)
+        server.set_admission(answers_ping=True, accepts=False, keeps_idle=False)
         answers = await asyncio.gather(*(client.rest() for client in waiting))
         assert set(answers) == {VALUE, BUSY}  # a single backend takes only so many at once
         assert not any(client.reset for client in waiting)
@@ -95,18 +95,18 @@
 
 def test_the_backlog_is_taken_in_though_all_places_are_held_by_clients_at_rest() -> None:
     async def scenario(world: World, server: RespServer) -> None:
-        server.most = 8
+        server.max_connections = 8
         resting = [Raw(world.port) for _ in range(8)]
         for client in resting:
             client.write(encode(b"PING"))
         assert [await client.take(7) for client in resting] == [b"+PONG\r\n"] * 8
         await until(lambda: len(server.connections) == 8)
         for one in list(server.connections):
-            server.asked(one)
+            server.note_request(one)
         waiting = [Raw(world.port) for _ in range(6)]
         for number, client in enumerate(waiting):
             client.write(encode(*request(b"%d" % number)))
-        server.stand(says_yes=True, accepts=False, keeps=False)
+        server.set_admission(answers_ping=True, accepts=False, keeps_idle=False)
         assert set(await asyncio.gather(*(client.rest() for client in waiting))) <= {VALUE, BUSY}
 
     played(scenario)
@@ -137,7 +137,7 @@
         client = Raw(world.port)
         client.write(encode(*request(b"first")))
         await until(lambda: world.backends[0].got)
-        server.stand(says_yes=True, accepts=True, keeps=False)
+        server.set_admission(answers_ping=True, accepts=True, keeps_idle=False)
         (one,) = server.connections
         held.go_on.set()
         client.write(encode(*request(b"second")))  # unread as the answer before it is written
@@ -155,7 +155,7 @@
         client = Raw(world.port)
         client.write(encode(*request(b"last")))
         await until(lambda: world.backends[0].got)
-        server.stand(says_yes=True, accepts=True, keeps=False)
+        server.set_admission(answers_ping=True, accepts=True, keeps_idle=False)
         (one,) = server.connections
         one.slots[0].answer(VALUE)
         assert one.state == connection.LINGERING  # in this call
@@ -169,7 +169,7 @@
         client = Raw(world.port)
         client.write(encode(*request(b"first")))
         assert await client.take(len(VALUE)) == VALUE
-        server.stand(says_yes=True, accepts=True, keeps=False)
+        server.set_admission(answers_ping=True, accepts=True, keeps_idle=False)
         client.write(encode(*request(b"late")))  # its sending side has ended in the turn before
         assert await client.rest() == b"" and not client.reset
         client.socket.close()
@@ -216,9 +216,9 @@
         client.write(before)
         await until(lambda: [c for c in server.connections if bool(c.reader.held) == bool(before)])
         (one,) = server.connections
-        await until(lambda: one.overdue(now_ms()))
+        await until(lambda: one.is_overdue(now_ms()))
         client.write(unread)
-        one.check(now_ms())
+        one.check_timeouts(now_ms())
         stays = answer == VALUE
         assert one.state == (connection.OPEN if stays else connection.LINGERING)
         assert await (client.take(len(VALUE)) if stays else client.rest()) == answer
@@ -267,13 +267,13 @@
 
 def test_those_that_linger_are_few_and_make_room_first() -> None:
     async def scenario(world: World, server: RespServer) -> None:
-        server.most = 8
+        server.max_connections = 8
         ended = [Raw(world.port) for _ in range(8)]
         for client in ended:
             client.write(encode(b"QUIT"))
         assert await asyncio.gather(*(client.rest() for client in ended)) == [b"+OK\r\n"] * 8
         assert len(server.lingering) == 8 // resp_server.MAX_LINGERING_DIVISOR
-        server.most = len(server.connections)
+        server.max_connections = len(server.connections)
         client = Raw(world.port)
         client.write(encode(*request()))
         assert await client.take(len(VALUE)) == VALUE
@@ -332,17 +332,17 @@
     length = 100_000
 
     async def scenario(world: World, server: RespServer) -> None:
-        taken = 0 if granted else server.bodies.most
-        server.bodies.held = taken  # by others
+        taken = 0 if granted else server.body_budget.most
+        server.body_budget.held = taken  # by others
         client = Raw(world.port)
         client.write(encode(*request(b"long", name=b"keyed", body=b"x" * length)).split(b"x" * 64)[0])
-        await until(lambda: any(c.granted or c.reader.wants for c in server.connections))
+        await until(lambda: any(c.body_grant_bytes or c.reader.wants for c in server.connections))
         (one,) = server.connections
-        one.last()
+        one.finish_commands()
         assert await client.rest() == b"" and not client.reset
-        assert server.bodies.held == taken and not server.bodies.waiting
+        assert server.body_budget.held == taken and not server.body_budget.waiting
         client.socket.close()
         await until(lambda: not server.connections)
-        assert server.bodies.held == taken
+        assert server.body_budget.held == taken
 
     played(scenario)
--- a/tests/edges/test_fast_paths.py
+++ b/tests/edges/test_fast_paths.py
@@ -57,7 +57,7 @@
     args = [verb, customer, request, listed]
     with mock.patch.object(module, "ATTRIBUTES_PATTERN", mock.Mock(fullmatch=lambda listed: None)):
         long = outcome(terms, args)
-    assert not terms.right
+    assert not terms.known_attributes
     assert outcome(terms, args) == long == outcome(terms, args)
 
 
@@ -65,12 +65,12 @@
     terms = RequestParser(read_settings(SETTINGS))
     args = [b"API.READ", b"00000000b4d65521", b"r1", GOOD]
     terms.parse(args)
-    assert len(terms.right) == 1
+    assert len(terms.known_attributes) == 1
     with mock.patch.object(module, "parse_decimal", side_effect=AssertionError("the long way")):
         assert terms.parse(args).wait == 480.0
     with mock.patch.object(module, "MAX_CACHED_ATTRIBUTES", 1):
         terms.parse([b"API.READ", b"00000000b4d65521", b"r1", GOOD.replace(b"free", b"basic")])
-    assert len(terms.right) == 1
+    assert len(terms.known_attributes) == 1
 
 
 ARGUMENT = st.one_of(st.binary(max_size=30), st.sampled_from([b"", b"\r\n", b"a\r\n$1\r\nb", b"x" * 600]))
--- a/tests/edges/test_long_bodies.py
+++ b/tests/edges/test_long_bodies.py
@@ -64,18 +64,18 @@
 
     async def played(world: World, server: RespServer, body: bytes) -> None:
         most = 0
-        assert server.bodies.most < 2 * len(body)
+        assert server.body_budget.most < 2 * len(body)
 
         async def ask(number: int) -> None:
             nonlocal most
             peer = await world.client()
             peer.writer.write(written(b"%d" % number, body))
             assert await peer.receive() == b"value"
-            most = max(most, server.bodies.held)
+            most = max(most, server.body_budget.held)
 
         await asyncio.gather(*(ask(number) for number in range(8)))
         assert len(world.backends[0].got) == 8
-        assert server.bodies.held == 0 and not server.bodies.waiting
+        assert server.body_budget.held == 0 and not server.body_budget.waiting
         connections = server.handler.backends.connections  # type: ignore[attr-defined]
         assert connections and all(c.unsent.obj == b"" for c in connections), "none keeps a value"
 
--- a/tests/edges/test_long_values.py
+++ b/tests/edges/test_long_values.py
@@ -259,8 +259,8 @@
             slow.append(s)
         for s in slow:
             assert await loop.sock_recv(s, 1024)
-        await until(lambda: server.long == 60 and any(c.unsent for c in server.connections))
-        assert server.unsent <= server.most_unsent
+        await until(lambda: server.streaming_replies == 60 and any(c.unsent for c in server.connections))
+        assert server.unsent_bytes <= server.max_unsent_bytes
         got = 0
         while got < 4 * MIB - 1024:
             got += len(await loop.sock_recv(slow[0], 65536))
--- a/tests/edges/test_resp_server.py
+++ b/tests/edges/test_resp_server.py
@@ -197,7 +197,7 @@
                 (connection,) = seen[0].connections
                 echo = encode(b"PING", b"x" * 65536)
                 written = 0
-                while connection.reading:
+                while connection.is_reading:
                     peer.writer.write(echo)
                     written += 1
                     await asyncio.sleep(0)
@@ -222,13 +222,13 @@
                         if not peer.writer.transport.is_closing():  # that one was given up, and knows it
                             peer.send(b"PING", b"x" * 65536)
                     await asyncio.sleep(0)
-                    assert seen[0].unsent <= seen[0].most_unsent + 70_000
+                    assert seen[0].unsent_bytes <= seen[0].max_unsent_bytes + 70_000
                 late = await world.client()
                 assert await world.ask(late) == b"value"
                 for peer in peers:
                     peer.writer.transport.abort()
         await until(lambda: not seen[0].connections)
-        assert seen[0].unsent == 0
+        assert seen[0].unsent_bytes == 0
 
     in_loop(scenario)
 
@@ -450,7 +450,7 @@
                 (connection,) = seen[0].connections
                 peer.writer.write(encode(*request()) + b"?what\r\n" + b"x" * 10_000_000)
                 await until(lambda: backend.got)
-                assert connection.state == FLUSHING and not connection.reading
+                assert connection.state == FLUSHING and not connection.is_reading
                 assert connection.reader.held <= resp_server.READ_BUFFER_BYTES
                 go_on.set()
                 assert await peer.receive() == b"value"
@@ -468,9 +468,9 @@
                 used, young, quiet = await world.client(), await world.client(), await world.client()
                 assert await world.ask(used) == b"value"
                 await until(lambda: len(seen[0].connections) == 3)
-                for connection in seen[0].silent:
-                    connection.used_at = now_ms()  # however slowly this test got here
-                seen[0].stand(says_yes=True, accepts=False, keeps=False)
+                for connection in seen[0].without_request:
+                    connection.last_used_at = now_ms()  # however slowly this test got here
+                seen[0].set_admission(answers_ping=True, accepts=False, keeps_idle=False)
                 assert await used.receive() is None
                 assert await world.ask(young) == b"value"
                 assert await young.receive() is None
--- a/tests/operations/test_in_service.py
+++ b/tests/operations/test_in_service.py
@@ -262,7 +262,7 @@
         assert await world.ask(peer) == b"value"
         fd = peer.writer.get_extra_info("socket").fileno()
         os.write(fd, encode(*request(b"crosses")))  # past the loop, which has not read it yet
-        server.stand(says_yes=False, accepts=True, keeps=False)
+        server.set_admission(answers_ping=False, accepts=True, keeps_idle=False)
         assert await peer.receive() == b"value"
         assert await peer.receive() is None
         peer.close()
