--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -126,9 +126,9 @@
 
     def take(self, one: Try) -> bool:
         store = self.stores[one.gateway]
-        store.fill(one.at - self.at[one.gateway])
+        store.refill(one.at - self.at[one.gateway])
         self.at[one.gateway] = one.at
-        if not store.holds(one.units, False):
+        if not store.can_pay(one.units, False):
             return False
         store.take(one.units, False)
         return True
--- a/mintford/changes.py
+++ b/mintford/changes.py
@@ -14,51 +14,53 @@
 from .quotas import Customer, Quotas
 
 
-def take_in(quotas: Quotas, now: float, event: api.PlanChanged) -> None:
+def apply_plan_change(quotas: Quotas, now: float, event: api.PlanChanged) -> None:
     """A plan's new terms, or those of one customer; from the next request on."""
     if event.customer:
         if event.plan is None:
-            quotas.own.pop(event.customer, None)
+            quotas.customer_plans.pop(event.customer, None)
         else:
-            quotas.own[event.customer] = event.plan
+            quotas.customer_plans[event.customer] = event.plan
     elif event.plan is not None:
         quotas.plans[event.plan.name] = event.plan
     one = quotas.customers.get(event.customer)
     for c in [one] if one else [] if event.customer else list(quotas.customers.values()):
-        plan = quotas.plan_of(c.key, c.named)
+        plan = quotas.get_plan(c.key, c.plan_name)
         if plan is not c.plan:
-            change(quotas, now, c, plan)
+            change_plan(quotas, now, c, plan)
 
 
-def retune(quotas: Quotas, now: float, old: api.Settings, new: api.Settings) -> None:
+def apply_settings(quotas: Quotas, now: float, old: api.Settings, new: api.Settings) -> None:
     """Other settings: each plan that they change has its new terms; what they drop has no requests more."""
     # Danger: a plan that another source has changed in service is not to be set back by settings as before.
     before = {plan.name: plan for plan in old.plans}
     quotas.settings = new
-    quotas.dearest = max((p.price_factor for p in new.plans), default=1.0)
+    quotas.max_price_factor = max((p.price_factor for p in new.plans), default=1.0)
     for plan in new.plans:
         if before.pop(plan.name, None) != plan:
-            take_in(quotas, now, api.PlanChanged(plan))
+            apply_plan_change(quotas, now, api.PlanChanged(plan))
     for name in before:
         quotas.plans.pop(name, None)
 
 
-def change(quotas: Quotas, now: float, c: Customer, plan: api.Plan) -> None:
-    quotas.fill(now, c)  # what time gave back until now, at the old rate
+def change_plan(quotas: Quotas, now: float, c: Customer, plan: api.Plan) -> None:
+    quotas.refill(now, c)  # what time gave back until now, at the old rate
     more, old, old_ceiling = plan.burst - c.plan.burst, c.plan, c.ceiling
     counted = quotas.settings.has_counter and plan.rate > 0
-    c.settle_terms(plan)
+    c.apply_plan(plan)
     c.store += more
-    c.tokens += more * c.even  # all gateways together: the difference, however unevenly they hold leases
+    c.tokens += (
+        more * c.even_share
+    )  # all gateways together: the difference, however unevenly they hold leases
     c.fresh_until = now  # the lease was sized for the old plan: the next call sizes it anew
     if not old.rate:
         # Danger: nothing was charged under a plan without a quota, at any gateway: its wants and totals say
         # nothing, so this one follows the store from its next reading on, and holds the even share till then.
         c.heard = False
-        c.tokens = min(c.tokens, plan.burst * c.even)
+        c.tokens = min(c.tokens, plan.burst * c.even_share)
     # Danger: what was sent on under no ceiling was counted nowhere. As after a restart, nothing of a new one
     # is there until time has given it.
-    c.ceiling = Ceiling(plan, c.even, counted, 0.0, c.unit, quotas.settings.rights_ratio)
-    c.ceiling.take_part(quotas.part, 1.0)
+    c.ceiling = Ceiling(plan, c.even_share, counted, 0.0, c.max_units, quotas.settings.rights_ratio)
+    c.ceiling.set_gateway_share(quotas.gateway_share, 1.0)
     if old.ceiling_rate:
-        c.ceiling.inherit(old_ceiling)
+        c.ceiling.carry_over_debt(old_ceiling)
--- a/mintford/guards.py
+++ b/mintford/guards.py
@@ -5,12 +5,12 @@
 from . import interface as api
 
 LEASE_MS = 15_000.0  # the design's lease; a backend that is met seldom is remembered no longer
-END_MS = 50.0  # a request is ended this long before it expires; small beside any aim
-NEVER_RAN = {api.Outcome.FULL, api.Outcome.CONNECT, api.Outcome.IGNORED}
-CALLED_OFF = {api.Outcome.TIMED_OUT, api.Outcome.CANCELLED}
+EXPIRY_MARGIN_MS = 50.0  # a request is ended this long before it expires; small beside any aim
+NOT_RUN_OUTCOMES = {api.Outcome.FULL, api.Outcome.CONNECT, api.Outcome.IGNORED}
+CANCELLED_OUTCOMES = {api.Outcome.TIMED_OUT, api.Outcome.CANCELLED}
 
 
-def may_repeat(
+def can_repeat(
     kind: api.RequestClass, first: api.BackendEntry, sent_at: float, to: api.BackendEntry, now: float
 ) -> bool:
     """May a request whose earliest attempt that may have run went to `first` at `sent_at` go to another now?
@@ -18,31 +18,31 @@
     Danger: an effect happening twice. Unsafe work is never sent again once it may have run, keyed work only
     inside the group that drops the repeat, and a little before that group forgets.
     """
-    if kind.effect is api.Effect.SAFE or now >= repeat_until(kind, sent_at):
+    if kind.effect is api.Effect.SAFE or now >= get_repeat_deadline(kind, sent_at):
         return kind.effect is api.Effect.SAFE
     same_zone = first.zone == to.zone and (kind.dedup is not api.DedupScope.CELL or first.cell == to.cell)
     return kind.dedup is api.DedupScope.ALL or same_zone
 
 
-def repeat_until(kind: api.RequestClass, sent_at: float) -> float:
+def get_repeat_deadline(kind: api.RequestClass, sent_at: float) -> float:
     """Until when what may have run, first sent then, may be sent again: a little before it is forgotten."""
-    left = {api.Effect.KEYED: kind.repeat_window - END_MS, api.Effect.UNSAFE: 0.0}
+    left = {api.Effect.KEYED: kind.repeat_window - EXPIRY_MARGIN_MS, api.Effect.UNSAFE: 0.0}
     return sent_at + left.get(kind.effect, float("inf"))
 
 
-def harmless(kind: api.RequestClass, may_have_run: bool) -> bool:
+def is_refusal_safe(kind: api.RequestClass, may_have_run: bool) -> bool:
     """Whether a refusal is true: a new try of this request would do no harm."""
     keyed_by_all = kind.effect is api.Effect.KEYED and kind.dedup is api.DedupScope.ALL
     return not may_have_run or kind.effect is api.Effect.SAFE or keyed_by_all
 
 
-def warmth(rules: api.SafetyRules, started: float, now: float) -> float:
+def compute_warmth(rules: api.SafetyRules, started: float, now: float) -> float:
     """The least part of its capacity that a backend started at that time surely has; 0 started: long ago."""
     age = (now - started) / max(1.0, rules.warmup_time) if started > 0 else 1.0
     return min(1.0, rules.start_capacity + (1 - rules.start_capacity) * age)
 
 
-def cold_share(rules: api.SafetyRules, warm: float) -> float:
+def compute_cold_share(rules: api.SafetyRules, warm: float) -> float:
     """The part of an even share of requests that a cold backend is sent.
 
     Danger: sent more than it can do by all gateways together, a cold backend falls over. Each gateway gives
--- a/mintford/handover.py
+++ b/mintford/handover.py
@@ -8,39 +8,49 @@
 from .quotas import Quotas
 
 
-def take_part(quotas: Quotas, fleet: Fleet, now: float, part: float) -> api.HandoverState:
+def split_off(quotas: Quotas, fleet: Fleet, now: float, part: float) -> api.HandoverState:
     """From now on this process has such a part of its gateway; gives what it holds no more."""
-    given, kept = [], min(1.0, part / (quotas.part or part or 1.0))
+    given, kept = [], min(1.0, part / (quotas.gateway_share or part or 1.0))
     for c in quotas.customers.values():
-        quotas.fill(now, c)
+        quotas.refill(now, c)
         lease = {name: getattr(c, name) for name in api.LEASE_FIELDS}
         lease["store"] += c.unsaid  # this process will tell that, and the other read it; but not at its end
-        held = max(0.0, c.tokens), c.ceiling.own, c.ceiling.unused
+        held = max(0.0, c.tokens), c.ceiling.own_tokens, c.ceiling.shared_allowance
         amounts = (*(amount * (1 - kept) for amount in held), 0.0 if part else c.unsaid)
-        given.append(api.CustomerSnapshot(c.key, c.named, round(1 / c.even), lease, *amounts))
+        given.append(api.CustomerSnapshot(c.key, c.plan_name, round(1 / c.even_share), lease, *amounts))
         c.tokens, c.unsaid = c.tokens - amounts[0], c.unsaid - amounts[3]
-        c.ceiling.take_part(part, kept)
-    quotas.part = part
+        c.ceiling.set_gateway_share(part, kept)
+    quotas.gateway_share = part
     seen = (api.BackendSnapshot(b.id, b.started, b.marks) for b in fleet.backends.values() if b.marks)
-    return api.HandoverState(quotas.since, tuple(given), tuple(seen), fleet.typical, fleet.recent)
+    return api.HandoverState(
+        quotas.started_at, tuple(given), tuple(seen), fleet.typical_latency, fleet.recent_latency
+    )
 
 
 def apply(quotas: Quotas, fleet: Fleet, now: float, estate: api.HandoverState) -> None:
     """Go on from what the other process held; of a customer that is known here, the amounts alone."""
     # Danger: who is not named was not met since then: its ceiling has filled since then, and for no longer.
-    quotas.since = estate.complete_since
+    quotas.started_at = estate.complete_since
     for held in estate.customers:
         c = quotas.customers.get(held.customer)
         if c is None:
-            c = quotas.meet(held.customer, held.plan, held.spread, now, now, 0.0)
+            c = quotas.add_customer(held.customer, held.plan, held.spread, now, now, 0.0)
             for name, value in held.lease.items():
                 setattr(c, name, value)
             c.tokens = 0.0
         c.tokens += held.tokens
         quotas.charge(c, held.unsaid)
-        c.ceiling.own, c.ceiling.unused = c.ceiling.own + held.own, c.ceiling.unused + held.unused
+        c.ceiling.own_tokens, c.ceiling.shared_allowance = (
+            c.ceiling.own_tokens + held.own,
+            c.ceiling.shared_allowance + held.unused,
+        )
     for seen in estate.backends:
         if (b := fleet.backends.get(seen.backend)) and b.started == seen.started:
             b.marks.update(seen.marks)
-    if estate.typical and not fleet.samples:
-        fleet.typical, fleet.samples, fleet.recent, fleet.recent_at = estate.typical, 1.0, estate.recent, now
+    if estate.typical and not fleet.latency_samples:
+        fleet.typical_latency, fleet.latency_samples, fleet.recent_latency, fleet.recent_latency_at = (
+            estate.typical,
+            1.0,
+            estate.recent,
+            now,
+        )
--- a/mintford/orders.py
+++ b/mintford/orders.py
@@ -11,27 +11,33 @@
 
 class Orders:
     def __init__(self) -> None:
-        self.now = api.OrdersChanged()
+        self.current = api.OrdersChanged()
 
-    def refuses(self, event: api.RequestArrived) -> bool:
-        return event.customer in self.now.blocked_customers or event.request_class in self.now.shed_classes
+    def is_refused(self, event: api.RequestArrived) -> bool:
+        return (
+            event.customer in self.current.blocked_customers
+            or event.request_class in self.current.shed_classes
+        )
 
-    def owed(self, request: Request, backend: Backend) -> tuple[str, ...]:
+    def list_required_limits(self, request: Request, backend: Backend) -> tuple[str, ...]:
         """Limits that are to pay next before it may go there."""
-        if not (limited := self.now.limit_names):
+        if not (limited := self.current.limit_names):
             return ()
         c, kind, pool = request.customer, request.kind.name, backend.entry.zone
         of_it = ("class", kind), ("plan", c.plan.name), ("customer", c.key)
-        names = tuple(n for scope in of_it for n in limited.get(scope, ()) if n not in request.paid)
-        request.pool = "" if names else pool
-        return names or tuple(n for n in limited.get(("pool", pool), ()) if n not in request.paid)
+        names = tuple(n for scope in of_it for n in limited.get(scope, ()) if n not in request.granted_limits)
+        request.pending_pool = "" if names else pool
+        return names or tuple(n for n in limited.get(("pool", pool), ()) if n not in request.granted_limits)
 
-    def answered(self, request: Request, paid: bool) -> None:
+    def apply_decision(self, request: Request, paid: bool) -> None:
         """What it owed is paid, or can't be: it is refused, but that another pool may do."""
-        request.right = request.right or (paid and request.asked)
+        request.has_rights = request.has_rights or (paid and request.rights_requested)
         if paid:
-            request.paid += request.owing
-        elif request.pool:
-            request.shut, request.asked = (*request.shut, request.pool), request.right
-        if paid or request.pool:
-            request.owing = ()
+            request.granted_limits += request.pending_limits
+        elif request.pending_pool:
+            request.excluded_pools, request.rights_requested = (
+                (*request.excluded_pools, request.pending_pool),
+                request.has_rights,
+            )
+        if paid or request.pending_pool:
+            request.pending_limits = ()
--- a/mintford/reading.py
+++ b/mintford/reading.py
@@ -11,7 +11,7 @@
 from . import interface as api
 
 # What a load report may hold, by its names in the simulator's pages and on this wire.
-FIELDS = {
+REPORT_FIELDS = {
     "inflight": "inflight", "busy_reqs": "inflight",
     "queue": "queue", "pending": "queue",
     "util": "util", "cpu_share": "util",
@@ -81,7 +81,7 @@
     names = () if how == "none" else tuple(telemetry.get("names") or ())
     return api.Capabilities(
         load_reports=how if names else "none",
-        report_fields=tuple(FIELDS[name] for name in names if name in FIELDS),
+        report_fields=tuple(REPORT_FIELDS[name] for name in names if name in REPORT_FIELDS),
         allows_probes=bool(caps.get("probes")),
         settles_units=bool(info.get("costAfter")),
         marks_retries=bool(habits.get("marksRetry")),
@@ -100,7 +100,7 @@
     return parts[0] / sum(parts) if parts[0] > 0 else 0.0
 
 
-def in_words(settings: api.Settings) -> list[str]:
+def describe_settings(settings: api.Settings) -> list[str]:
     """What a deployment offers and what it asks, one line each: for people who run a gateway there."""
     offers, plans = settings.capabilities, settings.plans
     rules = [p.name for p in plans if p.ceiling_rate], [p.name for p in plans if p.open_limit]
--- a/roadpulley/cli/check.py
+++ b/roadpulley/cli/check.py
@@ -12,7 +12,7 @@
 
 import click
 
-from mintford.reading import in_words, read_settings
+from mintford.reading import describe_settings, read_settings
 from roadpulley.checks import Table, ValidationError
 from roadpulley.core.validation import validate_gateway_config
 from roadpulley.testbed import scenario
@@ -46,7 +46,7 @@
     raw = parsed(path)
     if path.suffix == ".json":
         validate_gateway_config(raw).reject_unknown_keys()
-        offered = in_words(read_settings(raw["settings"]))
+        offered = describe_settings(read_settings(raw["settings"]))
         return "configuration of a gateway\n" + "\n".join(f"    {line}" for line in offered)
     if DEPLOY_KEYS & set(raw) and not SCENARIO_KEYS & set(raw) - {"node"}:
         deploy(raw, path.resolve().parent.parent)
--- a/roadpulley/core/driver.py
+++ b/roadpulley/core/driver.py
@@ -185,7 +185,7 @@
         self.behind = lag
         if lag or self.lagging or self.strained:
             self.give(api.LoopLagMeasured(lag))
-            self.lagging, self.strained = lag > 0, self.gateway.level > 0
+            self.lagging, self.strained = lag > 0, self.gateway.shed_level > 0
             if self.counter is not None:
                 self.counter.lag = lag
         self.watch_lag()
@@ -201,7 +201,7 @@
 
     def turn_away(self, request_class: str) -> bytes | None:
         """The refusal of a request that the module turns away at the door; None: let it in."""
-        wait = self.gateway.turn_away(request_class)
+        wait = self.gateway.get_early_refusal(request_class)
         return None if wait is None else encode_busy(wait)
 
     def retune(self, settings: api.Settings, max_open: int) -> None:
--- a/roadpulley/core/validation.py
+++ b/roadpulley/core/validation.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from mintford import interface as api
-from mintford.reading import FIELDS
+from mintford.reading import REPORT_FIELDS
 from roadpulley.checks import Table, ValidationError, format_value
 
 from .discovery import BACKEND_STATES
@@ -109,7 +109,7 @@
     names = telemetry.read_value("names", [], "give a list of names")
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
         raise ValidationError(
-            telemetry.path_of("names"), f"is {names!r}", f"give a list of {', '.join(FIELDS)}"
+            telemetry.path_of("names"), f"is {names!r}", f"give a list of {', '.join(REPORT_FIELDS)}"
         )
     if how != "none" and not names:
         raise ValidationError(
--- a/roadpulley/limits/bounds.py
+++ b/roadpulley/limits/bounds.py
@@ -15,9 +15,9 @@
 from dataclasses import dataclass, replace
 
 from mintford import interface as api
-from mintford.ceilings import share
+from mintford.ceilings import compute_shared_ratio
 from mintford.guards import LEASE_MS
-from mintford.quotas import GIVEN_BACK, SPARSE, UNSAID
+from mintford.quotas import MAX_SETTLEMENT_RATIO, SPARSE_BURST_RATIO, UNREPORTED_BURST_RATIO
 
 
 @dataclass(frozen=True)
@@ -43,12 +43,12 @@
         return (
             self.largest_request_units
             if self.is_sparse
-            else max(self.largest_request_units, UNSAID * self.plan.burst)
+            else max(self.largest_request_units, UNREPORTED_BURST_RATIO * self.plan.burst)
         )
 
     @property
     def is_sparse(self) -> bool:
-        return self.plan.burst / self.gateways < SPARSE * self.largest_request_units
+        return self.plan.burst / self.gateways < SPARSE_BURST_RATIO * self.largest_request_units
 
     @property
     def even_burst(self) -> float:
@@ -98,7 +98,8 @@
     `GIVEN_BACK` requests looks like a settlement: so much that was spent before the event seems to be there.
     """
     return Bound(
-        (case.gateways - 1) * case.plan.burst + GIVEN_BACK * case.largest_request_units, case.plan.burst
+        (case.gateways - 1) * case.plan.burst + MAX_SETTLEMENT_RATIO * case.largest_request_units,
+        case.plan.burst,
     )
 
 
@@ -164,7 +165,9 @@
 def compute_lone_ceiling_ratio(case: Scenario, rights: float = 0.0) -> float:
     """The part of a ceiling that one gateway can spend alone, whatever fails. Over it: never anything."""
     even = 1 / max(1, case.gateways)
-    shared = share(case.plan, even, case.largest_request_units) if even < 1 and not rights else 0.0
+    shared = (
+        compute_shared_ratio(case.plan, even, case.largest_request_units) if even < 1 and not rights else 0.0
+    )
     return (1 - shared) * even * (1 - rights)
 
 
--- a/roadpulley/operations/life.py
+++ b/roadpulley/operations/life.py
@@ -80,6 +80,6 @@
         yield "relayed", tallies.relayed
         yield "open_requests", len(self.driver.requests)
         yield "registry_entries", len(fleet.backends)
-        yield "out_of_rotation", self.driver.gateway.avoided(now_ms())
+        yield "out_of_rotation", self.driver.gateway.count_avoided(now_ms())
         yield "cfg_accepted", self.configurations[0]
         yield "cfg_invalid", self.configurations[1]
--- a/roadpulley/soak/planted.py
+++ b/roadpulley/soak/planted.py
@@ -39,7 +39,7 @@
     """A request that may not be repeated goes to another backend once the first has failed."""
     from mintford import attempts
 
-    vars(attempts).update(may_repeat=lambda *_: True, repeat_until=lambda *_: float("inf"))
+    vars(attempts).update(can_repeat=lambda *_: True, get_repeat_deadline=lambda *_: float("inf"))
 
 
 def ignore_drains() -> None:
@@ -95,7 +95,7 @@
     """A failure is worded as a refusal, which promises that nothing ran."""
     from mintford import attempts
 
-    vars(attempts).update(harmless=lambda *_: True)
+    vars(attempts).update(is_refusal_safe=lambda *_: True)
 
 
 def forget_requests() -> None:
--- a/tests/core/test_driver.py
+++ b/tests/core/test_driver.py
@@ -28,7 +28,7 @@
     def __init__(self) -> None:
         self.events: list[api.Event] = []
         self.answers: dict[type, list[api.Action] | Exception] = {}
-        self.level = 0.0
+        self.shed_level = 0.0
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         self.events.append(event)
--- a/tests/core/test_lag.py
+++ b/tests/core/test_lag.py
@@ -63,14 +63,14 @@
             peer = await world.client()
             assert await world.ask(peer) == b"value"
             (driver,) = made
-            driver.gateway.own.level, driver.strained = 1.0, True  # nothing is worth that much
+            driver.gateway.loop_lag.shed_level, driver.strained = 1.0, True  # nothing is worth that much
             peer.send(*request(b"r2"))
             assert str(await peer.receive()) == "BUSY 500"
             assert not driver.requests and len(world.backends[0].got) == 1
             # What was never seen to be right is read in full: a wrong one is still told why.
             peer.send(*request(b"r3", plan=b"golden"))
             assert str(await peer.receive()) == "ERR unknown plan"
-            driver.gateway.own.level, driver.strained = 0.0, False
+            driver.gateway.loop_lag.shed_level, driver.strained = 0.0, False
             assert await world.ask(peer, id=b"r4") == b"value"
 
     in_loop(scenario)
--- a/tests/core/test_outcomes.py
+++ b/tests/core/test_outcomes.py
@@ -21,7 +21,7 @@
 from hypothesis import strategies as st
 from loopback import LOCAL, encode
 
-from mintford.guards import NEVER_RAN as MODULES
+from mintford.guards import NOT_RUN_OUTCOMES as MODULES
 from mintford.interface import BackendState, Outcome
 from roadpulley.core import outcomes
 from roadpulley.core.backends import REUSE_DELAY_MS, BackendPools
--- a/tests/decisions/test_ceiling_rights.py
+++ b/tests/decisions/test_ceiling_rights.py
@@ -54,9 +54,9 @@
 def test_a_right_that_is_paid_lets_a_request_in_and_costs_the_even_part_nothing() -> None:
     world = gateway()
     asked = spends(flood(world))[0]
-    own = world.gateway.quotas.customers["c"].ceiling.own
+    own = world.gateway.quotas.customers["c"].ceiling.own_tokens
     assert len(sends(world.give(api.RightsDecided(asked.request, True)))) == 1
-    assert world.gateway.quotas.customers["c"].ceiling.own == own
+    assert world.gateway.quotas.customers["c"].ceiling.own_tokens == own
     assert world.give(api.RightsDecided(asked.request, True)) == []  # a second answer does nothing
 
 
@@ -106,8 +106,11 @@
     assert counted
     for count in counted:
         for action in world.give(api.CounterReplied(count.name, api.Outcome.OK, count.amount)):
-            assert not isinstance(action, api.Send) or world.gateway.quotas.customers["c"].ceiling.own >= 0
-    assert world.gateway.quotas.customers["c"].ceiling.own >= -1e-9
+            assert (
+                not isinstance(action, api.Send)
+                or world.gateway.quotas.customers["c"].ceiling.own_tokens >= 0
+            )
+    assert world.gateway.quotas.customers["c"].ceiling.own_tokens >= -1e-9
 
 
 class Fleet:
--- a/tests/decisions/test_ceilings.py
+++ b/tests/decisions/test_ceilings.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from mintford import interface as api
-from mintford.ceilings import SHARED, SPLIT, Ceiling, share
-from mintford.quotas import EPOCH_MS, SILENT_MS
+from mintford.ceilings import MAX_SHARED_RATIO, SPLIT_QUOTA_RATIO, Ceiling, compute_shared_ratio
+from mintford.quotas import EPOCH_MS, MIN_OUTAGE_MS
 
 RATE, BURST, MOST = 10.0, 40.0, 4.0
 # The quota's store is so large that the ceiling alone refuses.
@@ -123,14 +123,14 @@
     site.pass_time(60_000)
     for _ in range(200):
         site.ask(0, 1.0)
-    alone = BURST * (SHARED + (1 - SHARED) / 4)
+    alone = BURST * (MAX_SHARED_RATIO + (1 - MAX_SHARED_RATIO) / 4)
     assert alone - 2 <= site.sent <= alone
     before = site.sent
     for _ in range(100):
         site.pass_time(200)
         for _ in range(4):
             site.ask(0, 1.0)
-    assert site.sent - before > 0.95 * 20 * RATE * (SHARED + (1 - SHARED) / 4)
+    assert site.sent - before > 0.95 * 20 * RATE * (MAX_SHARED_RATIO + (1 - MAX_SHARED_RATIO) / 4)
 
 
 def test_what_the_others_took_at_an_epoch_s_end_is_missed_by_nobody() -> None:
@@ -158,17 +158,17 @@
     site.pass_time(1_000)
     quotas = site.worlds[0].gateway.quotas
     site.ask(0, 9.0)
-    assert quotas.lost_at == site.worlds[0].now
-    assert quotas.customers["c"].ceiling.pool <= 0
+    assert quotas.counter_lost_at == site.worlds[0].now
+    assert quotas.customers["c"].ceiling.shared_tokens <= 0
     other = Installation(2, 2)
     other.pass_time(10_000)
     other.counter.fails = api.Outcome.TIMED_OUT
     for _ in range(2):  # the counter is gone for a while, and comes back empty
         other.ask(0, 1.0)
-        other.pass_time(SILENT_MS)
+        other.pass_time(MIN_OUTAGE_MS)
     other.counter.fails = None
     other.ask(0, 1.0)
-    assert other.worlds[0].gateway.quotas.customers["c"].ceiling.pool <= 0
+    assert other.worlds[0].gateway.quotas.customers["c"].ceiling.shared_tokens <= 0
 
 
 def test_a_crowded_counter_is_not_taken_for_one_that_lost_its_numbers() -> None:
@@ -177,9 +177,9 @@
     for fails in (api.Outcome.FULL, api.Outcome.FULL, None, api.Outcome.FULL, api.Outcome.TIMED_OUT, None):
         site.counter.fails = fails
         site.ask(0, 1.0)
-        site.pass_time(SILENT_MS / 3)
+        site.pass_time(MIN_OUTAGE_MS / 3)
     quotas = site.worlds[0].gateway.quotas
-    assert quotas.lost_at < 0 and quotas.customers["c"].ceiling.pool > 0
+    assert quotas.counter_lost_at < 0 and quotas.customers["c"].ceiling.shared_tokens > 0
 
 
 def test_a_counter_that_comes_back_empty_gives_a_gateway_nothing_twice() -> None:
@@ -196,29 +196,38 @@
 
 def test_the_shared_part_is_judged_by_the_totals_and_by_what_was_taken_here() -> None:
     ceiling = Ceiling(PLAN, 0.5, True, 0.0, 1.0)
-    assert not ceiling.holds(1, True), "no total has shown that anything is there"
-    ceiling.met(spent=3, before=0, seconds=1)
-    pool = BURST * SHARED
-    assert ceiling.pool == pool - 3 and ceiling.holds(pool - 3, True) and not ceiling.holds(1, False)
+    assert not ceiling.can_pay(1, True), "no total has shown that anything is there"
+    ceiling.estimate_shared_tokens(spent=3, before=0, seconds=1)
+    pool = BURST * MAX_SHARED_RATIO
+    assert (
+        ceiling.shared_tokens == pool - 3
+        and ceiling.can_pay(pool - 3, True)
+        and not ceiling.can_pay(1, False)
+    )
     ceiling.take(2, True)
-    ceiling.met(spent=0, before=0, seconds=1)
-    assert ceiling.pool == pool - 2, "a total without what was taken here proves nothing of it"
-    ceiling.met(spent=0, before=100, seconds=1)
-    assert ceiling.pool == RATE * SHARED, "all of the last epoch's may have been spent at its end"
-    ceiling.spent_elsewhere(-5)
-    assert ceiling.pool == RATE * SHARED, "a settlement gives a ceiling nothing back"
-    ceiling.spent_elsewhere(1)
-    ceiling.fill(0.1)
-    assert ceiling.pool == RATE * SHARED - 1 + 0.1 * RATE * SHARED
-    ceiling.forget()
-    assert not ceiling.holds(1, True)
+    ceiling.estimate_shared_tokens(spent=0, before=0, seconds=1)
+    assert ceiling.shared_tokens == pool - 2, "a total without what was taken here proves nothing of it"
+    ceiling.estimate_shared_tokens(spent=0, before=100, seconds=1)
+    assert ceiling.shared_tokens == RATE * MAX_SHARED_RATIO, (
+        "all of the last epoch's may have been spent at its end"
+    )
+    ceiling.subtract_peer_spending(-5)
+    assert ceiling.shared_tokens == RATE * MAX_SHARED_RATIO, "a settlement gives a ceiling nothing back"
+    ceiling.subtract_peer_spending(1)
+    ceiling.refill(0.1)
+    assert ceiling.shared_tokens == RATE * MAX_SHARED_RATIO - 1 + 0.1 * RATE * MAX_SHARED_RATIO
+    ceiling.reset_shared_tokens()
+    assert not ceiling.can_pay(1, True)
 
 
 def test_what_is_split_carries_the_quota_by_itself() -> None:
     def plan(times: float) -> api.Plan:
         return api.Plan("p", rate=10, burst=10, ceiling_rate=10 * times, ceiling_burst=10 * times)
 
-    assert share(plan(3), 0.5, 1) == SHARED and share(plan(1.2), 0.5, 1) == 0
+    assert (
+        compute_shared_ratio(plan(3), 0.5, 1) == MAX_SHARED_RATIO
+        and compute_shared_ratio(plan(1.2), 0.5, 1) == 0
+    )
     for times in (1.3, 1.6, 2.0, 2.5):
-        assert (1 - share(plan(times), 0.5, 1)) * times >= SPLIT - 1e-9
-    assert share(plan(3), 1 / 30, 1) == 0, "among many nothing is shared"
+        assert (1 - compute_shared_ratio(plan(times), 0.5, 1)) * times >= SPLIT_QUOTA_RATIO - 1e-9
+    assert compute_shared_ratio(plan(3), 1 / 30, 1) == 0, "among many nothing is shared"
--- a/tests/decisions/test_cold_fleet.py
+++ b/tests/decisions/test_cold_fleet.py
@@ -1,7 +1,7 @@
 """Cold backends under the sum of what all gateways send, in virtual time: uneven shares, retries, restarts.
 
 A backend falls beyond N + 2 x root of N + 2 requests in the rule's window, N being multiple x present
-capacity x window. Where each gateway gives a cold one its even part times `cold_share`, the sum over all
+capacity x window. Where each gateway gives a cold one its part times `compute_cold_share`, the sum of all
 gateways is in the mean `warmth x multiple / 2` of N at most times the load of the warm ones, whatever the
 gateways' own shares are: it is a share of requests, not of gateways. So chance has N / 2 + 2 x root of N
 + 2 to spare.
@@ -19,7 +19,7 @@
 
 from mintford import Gateway, load
 from mintford import interface as api
-from mintford.guards import warmth
+from mintford.guards import compute_warmth
 
 WINDOW_MS, CAPACITY = 1_000.0, 13.0  # of the rule; requests a second of a warm backend
 BACKENDS, LOAD, FAILS, ENDS_MS = 24, 0.85, 0.1, 12_000.0
@@ -73,8 +73,8 @@
         recent.append(self.now)
         while recent[0] <= self.now - WINDOW_MS:
             recent.popleft()
-        if self.born[backend] and warmth(RULES, self.born[backend], self.now) < 1:
-            warm = warmth(RULES, self.born[backend], recent[0])  # the least in this window
+        if self.born[backend] and compute_warmth(RULES, self.born[backend], self.now) < 1:
+            warm = compute_warmth(RULES, self.born[backend], recent[0])  # the least in this window
             allowed = RULES.overload_multiple * warm * CAPACITY * WINDOW_MS / 1000
             bound = allowed + 2 * math.sqrt(allowed) + 2
             self.most = max(self.most, len(recent) / bound)
@@ -128,12 +128,12 @@
 
 @pytest.mark.patches_inside
 def test_a_ramp_that_counts_cold_backends_as_warm_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(load, "cold_share", lambda rules, warm: 1.0)
+    monkeypatch.setattr(load, "compute_cold_share", lambda rules, warm: 1.0)
     assert any(Fleet(20, seed).run().over for seed in range(4))
 
 
 @pytest.mark.patches_inside
 def test_a_ramp_for_each_gateway_alone_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each would keep to what a cold backend bears from it, and all of them together would fell it."""
-    monkeypatch.setattr(load, "cold_share", lambda rules, warm: min(1.0, warm * 20))
+    monkeypatch.setattr(load, "compute_cold_share", lambda rules, warm: min(1.0, warm * 20))
     assert any(Fleet(20, seed).run().over for seed in range(4))
--- a/tests/decisions/test_counted_ahead.py
+++ b/tests/decisions/test_counted_ahead.py
@@ -6,7 +6,7 @@
 from helpers import Counter, World, counts, entry, refusals, sends
 
 from mintford import interface as api
-from mintford.quotas import EPOCH_MS, REFRESH_MS, ROOM_LEAST
+from mintford.quotas import EPOCH_MS, MIN_CALL_BUDGET_RATIO, MIN_REFRESH_INTERVAL_MS
 
 # Many backends, so that quotas alone refuse. The even share of a store of eight requests is four.
 MANY = [entry(n) for n in range(40)]
@@ -108,8 +108,8 @@
             world.pass_time(wait)
             for call in calls:
                 world.give(api.CounterReplied(call.name, api.Outcome.TIMED_OUT, 0.0))
-    assert broken.gateway.quotas.counter_room == 1.0
-    assert crowded.gateway.quotas.counter_room < 3 * ROOM_LEAST
+    assert broken.gateway.quotas.call_budget == 1.0
+    assert crowded.gateway.quotas.call_budget < 3 * MIN_CALL_BUDGET_RATIO
 
 
 def test_a_gateway_that_meets_a_customer_knows_the_least_that_is_left() -> None:
@@ -146,7 +146,9 @@
                 world.end(action)
         world.pass_time(20)
     c = world.gateway.quotas.customers["c"]
-    assert c.failed > 2 and calls <= 4 * (2000 / REFRESH_MS + 2), "two seconds, and the last epoch's end too"
+    assert c.failed_calls > 2 and calls <= 4 * (2000 / MIN_REFRESH_INTERVAL_MS + 2), (
+        "two seconds, and the last epoch's end too"
+    )
 
 
 def test_a_plan_that_never_runs_short_is_told_now_and_then_and_not_with_every_request() -> None:
--- a/tests/decisions/test_decisions.py
+++ b/tests/decisions/test_decisions.py
@@ -140,7 +140,7 @@
     for name in ("quote", "payout", "slow"):
         while sends(w.ask(name)):
             pass
-        waits[name] = w.gateway.shedding.time_to_answer(w.now)
+        waits[name] = w.gateway.shedding.estimate_latency(w.now)
     assert waits["quote"] < 0.5 * waits["payout"] <= 0.5 * 0.7 * payout.latency_target
     assert waits["slow"] == waits["payout"], "as much worth, but a longer aim: it may not delay the other"
 
@@ -347,7 +347,7 @@
         entries += [api.BackendEntry(n, "b", 1, 0, api.BackendState.READY) for n in (3, 4)]
         w = world(*entries, capabilities=api.Capabilities(price_crossing=price), seed=3)
         for b in w.gateway.fleet.backends.values():
-            b.out = load if b.id < 3 else 0
+            b.open_attempts = load if b.id < 3 else 0
         there = 0
         for _ in range(400):
             send = one(w.ask("view", "none"))
--- a/tests/decisions/test_flat.py
+++ b/tests/decisions/test_flat.py
@@ -13,21 +13,21 @@
 from hypothesis import strategies as st
 
 from mintford import interface as api
-from mintford.load import DRAWN, LONGEST, NOISE, Backend, Fleet
+from mintford.load import MAX_CANDIDATES, MAX_LATENCY_RATIO, NOISE_QUANTILES, Backend, Fleet
 from mintford.rules import Gateway
-from mintford.shedding import PRIOR
+from mintford.shedding import LATENCY_PRIOR_ANSWERS
 
 
 def walked(gateway: Gateway, now: float) -> float:
     """What is out over the rate of answers, told by looking at every attempt."""
-    limit = max(LONGEST * max(gateway.fleet.typical, gateway.fleet.recent), 1.0)
-    waiting = 1 + sum(now - a.sent_at < limit for a in gateway.attempts.out.values())
-    if waiting <= gateway.fleet.floor:
+    limit = max(MAX_LATENCY_RATIO * max(gateway.fleet.typical_latency, gateway.fleet.recent_latency), 1.0)
+    waiting = 1 + sum(now - a.sent_at < limit for a in gateway.attempts.open_attempts.values())
+    if waiting <= gateway.fleet.free_attempts:
         return 0.0
     fleet = gateway.fleet
-    prior = PRIOR if fleet.recent else 0.0
-    rate = fleet.rate * math.exp((fleet.answered_at - now) / 800.0)
-    return (waiting + prior) * 1000 / max(rate + prior * 1000 / max(1.0, fleet.recent), 1e-9)
+    prior = LATENCY_PRIOR_ANSWERS if fleet.recent_latency else 0.0
+    rate = fleet.answer_rate * math.exp((fleet.last_answer_at - now) / 800.0)
+    return (waiting + prior) * 1000 / max(rate + prior * 1000 / max(1.0, fleet.recent_latency), 1e-9)
 
 
 @given(st.lists(st.tuples(st.sampled_from(["ask", "end", "wait"]), st.integers(0, 400)), max_size=60))
@@ -44,19 +44,19 @@
             world.end(out.pop(amount % len(out)), api.Outcome.FAILED)  # tells nothing of latency
         else:
             world.now += amount
-        assert world.gateway.shedding.time_to_answer(world.now) == walked(world.gateway, world.now)
+        assert world.gateway.shedding.estimate_latency(world.now) == walked(world.gateway, world.now)
 
 
 @pytest.mark.patches_inside
 def test_a_choice_looks_at_a_few_of_a_large_fleet_and_in_time_at_all(monkeypatch: Any) -> None:
     looked: list[list[Backend]] = []
-    real = Fleet.cheapest
+    real = Fleet.choose_cheapest
 
     def cheapest(self: Fleet, now: float, marks: Any, among: list[Backend]) -> Backend | None:
         looked.append(among)
         return real(self, now, marks, among)
 
-    monkeypatch.setattr(Fleet, "cheapest", cheapest)
+    monkeypatch.setattr(Fleet, "choose_cheapest", cheapest)
     world = World([entry(n) for n in range(200)], gateways=1)
     chosen = Counter[int]()
     for number in range(2_000):
@@ -64,7 +64,7 @@
         chosen[send.backend] += 1
         world.end(send)
         world.now += 1
-    assert max(map(len, looked)) <= DRAWN
+    assert max(map(len, looked)) <= MAX_CANDIDATES
     assert len(chosen) == 200 and max(chosen.values()) < 60
 
 
@@ -73,14 +73,14 @@
     (send,) = sends(world.ask(plan="none"))
     slow = world.gateway.fleet.backends[send.backend]
     for b in world.gateway.fleet.backends.values():
-        b.out = 50 if b is not slow else 0
+        b.open_attempts = 50 if b is not slow else 0
     chosen = {sends(world.ask(plan="none", customer=f"c{n}"))[0].backend for n in range(4)}
     assert chosen == {slow.id}
 
 
 def test_the_chance_in_a_choice_is_that_of_its_quantiles() -> None:
-    mean = sum(NOISE) / len(NOISE)
-    assert sorted(NOISE) == NOISE and abs(mean - math.gamma(1.25)) < 0.01
+    mean = sum(NOISE_QUANTILES) / len(NOISE_QUANTILES)
+    assert sorted(NOISE_QUANTILES) == NOISE_QUANTILES and abs(mean - math.gamma(1.25)) < 0.01
 
 
 def test_requests_due_together_share_a_timer_and_each_is_looked_at() -> None:
@@ -91,7 +91,7 @@
     timers = [a for _, a in world.log if isinstance(a, api.SetTimer)][before:]
     assert len(timers) == 1
     ended = [a for a in world.pass_time(600) if isinstance(a, api.Fail)]
-    assert len(ended) == 30 and not world.gateway.attempts.requests and not world.gateway.attempts.wheel
+    assert len(ended) == 30 and not world.gateway.attempts.requests and not world.gateway.attempts.timer_wheel
 
 
 def test_a_backend_that_warms_up_is_taken_in_at_its_time() -> None:
@@ -125,11 +125,11 @@
     gateway = world.gateway
     drawn, company = Counter[int](), Counter[tuple[int, int]]()
     for _ in range(8_000):
-        few = [b.id for b in gateway.fleet.draw(gateway.fleet.warm)]
-        assert len(set(few)) == DRAWN
+        few = [b.id for b in gateway.fleet.draw_candidates(gateway.fleet.warm)]
+        assert len(set(few)) == MAX_CANDIDATES
         drawn.update(few)
         company.update((a, b) for a in few for b in few if a == 0 < b)
-    mean = 8_000 * DRAWN / 200
+    mean = 8_000 * MAX_CANDIDATES / 200
     assert len(drawn) == 200 and max(abs(n - mean) for n in drawn.values()) < 0.25 * mean
     # Danger: were neighbours always drawn together, a choice inside a failing zone would find nothing else.
     assert len({b for _, b in company}) > 100 and max(company.values()) < drawn[0] / 3
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -3,9 +3,9 @@
 from helpers import BASIC, Counter, World, counts, refusals, sends
 
 from mintford import interface as api
-from mintford.ceilings import SHARED
+from mintford.ceilings import MAX_SHARED_RATIO
 from mintford.guards import LEASE_MS
-from mintford.quotas import EPOCH_MS, SLOW_START_DOUBLING_MS, WANTS_MS, Customer
+from mintford.quotas import EPOCH_MS, SLOW_START_DOUBLING_MS, WANTS_PERIOD_MS, Customer
 
 SLOW_START_MS = 8 * SLOW_START_DOUBLING_MS  # surely over by then
 
@@ -68,7 +68,7 @@
     world = World()
     assert not sends(world.ask(plan="firm"))
     world.pass_time(1000)
-    assert drain(world, 100, plan="firm") == 10 * (1 - SHARED)
+    assert drain(world, 100, plan="firm") == 10 * (1 - MAX_SHARED_RATIO)
 
 
 def test_open_attempts_are_held_to_this_gateways_part_of_the_cap() -> None:
@@ -83,7 +83,7 @@
     slow = World(has_counter=False)
     for _ in range(60):
         slow.ask(plan="basic", customer=f"x{slow.serial}")
-    slow.gateway.fleet.rate = 20.0  # sixty out at twenty answers a second: far from spare
+    slow.gateway.fleet.answer_rate = 20.0  # sixty out at twenty answers a second: far from spare
     assert drain(slow, 30, plan="bonus") <= 2
 
 
@@ -193,13 +193,13 @@
             if place == 0 or step % 4 == 0:  # four to one, ten times the quota together
                 through[place] += len(sent(counter, world, plan="firm"))
             world.pass_time(25)
-    shares = [customer(world).share() for world in worlds]
+    shares = [customer(world).compute_share() for world in worlds]
     assert abs(sum(shares) - 1) < 0.05 and 0.7 < shares[0] < 0.9
     assert 0.9 * 200 < sum(through) < 1.15 * 220
     told = [
         c for _, c in worlds[0].log if isinstance(c, api.AddToCounter) and c.name.startswith("w") and c.amount
     ]
-    assert len(told) <= 800 * 25 / WANTS_MS + 1
+    assert len(told) <= 800 * 25 / WANTS_PERIOD_MS + 1
 
 
 def test_what_a_time_out_may_have_added_is_not_added_again_and_what_was_turned_away_is() -> None:
@@ -269,11 +269,11 @@
     came to it again.
     """
     world = World(plans=(BASIC,), gateways=200)
-    world.gateway.quotas.starting, world.gateway.quotas.counter_room = 1.0, 0.0
+    world.gateway.quotas.slow_start_ratio, world.gateway.quotas.call_budget = 1.0, 0.0
     assert sends(world.ask(customer="early", spread=200)) and not counts(
         world.ask(customer="late", spread=200)
     )
-    world.gateway.quotas.counter_room = 1.0
+    world.gateway.quotas.call_budget = 1.0
     told = [
         *counts(world.ask(customer="other", spread=200)),
         *counts(world.ask(customer="third", spread=200)),
@@ -286,7 +286,7 @@
     """They would size leases that can pay for nothing: a sixth of all calls to the counter were such."""
     for spread, told in ((200, False), (2, True)):
         world, counter, names = World(plans=(BASIC,), gateways=200), Counter(), list[str]()
-        world.gateway.quotas.starting, world.gateway.quotas.counter_room = 1.0, 1.0
+        world.gateway.quotas.slow_start_ratio, world.gateway.quotas.call_budget = 1.0, 1.0
         for _ in range(40):
             calls = counts(counter.play(world, world.ask(spread=spread)))
             names += [call.name for call in calls]
@@ -298,7 +298,7 @@
     """Danger: the calls that the end of an epoch takes would all come at once, from all gateways."""
     now, seconds = 7 * EPOCH_MS, 30
     made = [Customer(f"c{n}", BASIC, 4, now, now, World().gateway.settings) for n in range(600)]
-    seen = [[c.epoch(now + s * 1000)[0] > c.epoch(now)[0] for s in range(seconds + 1)] for c in made]
+    seen = [[c.get_epoch(now + s * 1000)[0] > c.get_epoch(now)[0] for s in range(seconds + 1)] for c in made]
     turns = [one.index(True) for one in seen]
     assert max(turns.count(s) for s in range(1, seconds + 1)) < 3 * 600 / seconds
 
@@ -308,9 +308,9 @@
     called = {"order": 0, "view": 0}
     for seed in range(40):
         world = World(seed=seed, plans=(BASIC,), gateways=40)
-        world.gateway.quotas.starting = 1.0
+        world.gateway.quotas.slow_start_ratio = 1.0
         for turn in range(40):
-            world.gateway.quotas.counter_room = 0.2  # most calls have failed
+            world.gateway.quotas.call_budget = 0.2  # most calls have failed
             name = ("order", "view")[turn % 2]
             called[name] += any(a.amount for a in counts(world.ask(name, "basic", f"c{turn}", 30)))
             world.pass_time(100)
@@ -352,7 +352,7 @@
     sent(counter, world)
     customer(world).tail = 5.0  # its reading never came
     c = customer(world)
-    world.gateway.quotas.fill(world.now + LEASE_MS - 100, c)
+    world.gateway.quotas.refill(world.now + LEASE_MS - 100, c)
     assert c.heard and c.tail == 5.0
-    world.gateway.quotas.fill(world.now + LEASE_MS + 100, c)
+    world.gateway.quotas.refill(world.now + LEASE_MS + 100, c)
     assert not c.heard and c.tail == 0.0
--- a/tests/decisions/test_membership.py
+++ b/tests/decisions/test_membership.py
@@ -14,7 +14,7 @@
 
 from mintford import interface as api
 from mintford.guards import LEASE_MS
-from mintford.quotas import WANTS_MS
+from mintford.quotas import WANTS_PERIOD_MS
 from mintford.rules import Gateway
 
 RATE, BURST, ASKED = 20.0, 40.0, 60.0  # of the plan, a second; asked by the one customer
@@ -137,7 +137,7 @@
     # The stated error: each that joins starts with its even part of the burst, and until the wants have moved
     # (twice their memory) its even share comes on top of the leases. Measured: 74 to 137 units in 20 s, with
     # the burst that is anybody's.
-    joined = (size - first) / size * (BURST + RATE * 2 * WANTS_MS / 1000)
+    joined = (size - first) / size * (BURST + RATE * 2 * WANTS_PERIOD_MS / 1000)
     assert sum(at >= 30_000 for at, _ in world.sent) <= 20 * RATE + BURST + joined
 
 
--- a/tests/decisions/test_ordered.py
+++ b/tests/decisions/test_ordered.py
@@ -55,9 +55,9 @@
     ordered(world, {("class", "view"): ("views",)})
     (asked,) = spends(world.ask(plan="firm"))
     assert (asked.plan, asked.customer, asked.limits) == ("firm", "c", ("views",))
-    own = world.gateway.quotas.customers["c"].ceiling.own
+    own = world.gateway.quotas.customers["c"].ceiling.own_tokens
     assert sends(world.give(api.RightsDecided(asked.request, True)))
-    assert world.gateway.quotas.customers["c"].ceiling.own == own  # the right paid, not the even part
+    assert world.gateway.quotas.customers["c"].ceiling.own_tokens == own  # the right paid, not the even part
 
 
 def test_where_a_pool_has_no_room_another_one_is_taken() -> None:
--- a/tests/decisions/test_plan_changes.py
+++ b/tests/decisions/test_plan_changes.py
@@ -168,15 +168,19 @@
 
 def test_what_is_owed_to_a_ceiling_is_owed_to_the_next_in_each_of_its_parts() -> None:
     old, wide = Ceiling(CAPPED["narrow"], 0.5, True, 100.0, 1.0), Ceiling(CAPPED["wide"], 0.5, True, 0.0, 1.0)
-    old.fill(0.0)
-    old.met(0.0, 0.0, 0.0)
+    old.refill(0.0)
+    old.estimate_shared_tokens(0.0, 0.0, 0.0)
     old.take(3.0, False)
-    old.own -= old.own  # the rest of its own part, so that the next comes from the shared one
+    old.own_tokens -= old.own_tokens  # the rest of its own part, so that the next comes from the shared one
     old.take(2.0, True)
-    wide.inherit(old)
-    assert wide.own_burst - wide.own == pytest.approx(old.own_burst - old.own)
-    assert wide.pool_burst - wide.unused == pytest.approx(2.0)
-    assert wide.pool_burst - wide.pool == pytest.approx(old.pool_burst - old.pool) == 2.0
+    wide.carry_over_debt(old)
+    assert wide.own_burst - wide.own_tokens == pytest.approx(old.own_burst - old.own_tokens)
+    assert wide.shared_burst - wide.shared_allowance == pytest.approx(2.0)
+    assert (
+        wide.shared_burst - wide.shared_tokens == pytest.approx(old.shared_burst - old.shared_tokens) == 2.0
+    )
     back = Ceiling(CAPPED["narrow"], 0.5, True, 0.0, 1.0)
-    back.inherit(wide)
-    assert (back.own, back.pool, back.unused) == pytest.approx((old.own, old.pool, old.unused))
+    back.carry_over_debt(wide)
+    assert (back.own_tokens, back.shared_tokens, back.shared_allowance) == pytest.approx(
+        (old.own_tokens, old.shared_tokens, old.shared_allowance)
+    )
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -6,10 +6,10 @@
 from helpers import BASIC, KEYED, SAFE, Counter, World, entry, refusals, sends
 
 from mintford import interface as api
-from mintford.attempts import TOLD_MS, Attempts
-from mintford.quotas import PRESSED
+from mintford.attempts import MAX_TRANSIT_DIFFERENCE_MS, Attempts
+from mintford.quotas import LOW_STORE_RATIO
 from mintford.reading import read_worst_class
-from mintford.shedding import KEPT
+from mintford.shedding import MAX_RESERVED_BURST_RATIO
 
 MANY = [entry(n) for n in range(40)]  # so that quotas alone refuse
 
@@ -25,14 +25,16 @@
 
 def test_how_long_ago_a_first_try_began_is_told_by_how_a_marked_retry_waits() -> None:
     attempts, kind = Attempts(World().gateway.settings), World().gateway.classes["view"]
-    assert attempts.gone(kind, 1800, True) == 0, "no first try is known yet"
-    assert attempts.gone(kind, 1800, False) == 0
-    assert attempts.gone(kind, 1800 - TOLD_MS + 1, True) == 0, "as long as a first one: it does not tell"
-    assert attempts.gone(kind, 1000, True) == 2000, "the rest of the deadline"
-    assert attempts.gone(kind, 2500, True) == 500, "a last try is given all that is left"
-    assert attempts.gone(kind, 1000, False) == 0, "a client of little patience"
+    assert attempts.estimate_elapsed(kind, 1800, True) == 0, "no first try is known yet"
+    assert attempts.estimate_elapsed(kind, 1800, False) == 0
+    assert attempts.estimate_elapsed(kind, 1800 - MAX_TRANSIT_DIFFERENCE_MS + 1, True) == 0, (
+        "as long as a first one: it does not tell"
+    )
+    assert attempts.estimate_elapsed(kind, 1000, True) == 2000, "the rest of the deadline"
+    assert attempts.estimate_elapsed(kind, 2500, True) == 500, "a last try is given all that is left"
+    assert attempts.estimate_elapsed(kind, 1000, False) == 0, "a client of little patience"
     other = World().gateway.classes["order"]
-    assert attempts.gone(other, 900, True) == 0, "by class"
+    assert attempts.estimate_elapsed(other, 900, True) == 0, "by class"
 
 
 def test_a_try_that_is_late_already_does_not_take_the_last_units_of_a_store() -> None:
@@ -40,7 +42,7 @@
     world.pass_time(10_000)
     assert sends(ask(world, 2000, False))
     c = world.gateway.quotas.customers["c"]
-    c.store = PRESSED * c.plan.burst - 1
+    c.store = LOW_STORE_RATIO * c.plan.burst - 1
     late = ask(world, 1500, True)  # 1.5 s after its first try began; the aim was 1 s
     assert refusals(late) and not sends(late)
     assert sends(ask(world, 2600, True)), "a retry that can be in time gets the unit"
@@ -71,13 +73,13 @@
         Counter(),
     )
     world.pass_time(10_000)
-    kept = part * KEPT * (1 - SAFE.importance / KEYED.importance) * BASIC.burst
+    kept = part * MAX_RESERVED_BURST_RATIO * (1 - SAFE.importance / KEYED.importance) * BASIC.burst
 
     def through(name: str) -> int:
         return sum(len(sends(counter.play(world, world.ask(name, spread=1)))) for _ in range(40))
 
     through(SAFE.name)
     c = world.gateway.quotas.customers["c"]
-    assert c.followed() and kept <= c.store < kept + 1
+    assert c.is_store_known() and kept <= c.store < kept + 1
     left = int(c.store)
     assert left >= 1 and through(KEYED.name) == left
--- a/tests/decisions/test_rules_hold.py
+++ b/tests/decisions/test_rules_hold.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from mintford import interface as api
-from mintford.ceilings import SHARED
+from mintford.ceilings import MAX_SHARED_RATIO
 
 NEVER_RAN = {api.Outcome.FULL, api.Outcome.CONNECT, api.Outcome.IGNORED}
 OUTCOMES = list(api.Outcome)
@@ -35,7 +35,7 @@
         self.calls: list[api.AddToCounter] = []
         self.states = {i: api.BackendState.READY for i in range(5)}
         self.told_at = {i: -1e9 for i in range(5)}
-        self.ceiling, self.ceiling_at = SHARED * 40, self.world.now
+        self.ceiling, self.ceiling_at = MAX_SHARED_RATIO * 40, self.world.now
         if started:
             self.step("t", 0, 400)
 
@@ -56,7 +56,7 @@
                 assert ready or now - self.told_at[action.backend] <= 1000
                 if not tries:
                     # Its even part of what is split, which starts empty, and all of what is shared.
-                    part = SHARED + (1 - SHARED) / 2
+                    part = MAX_SHARED_RATIO + (1 - MAX_SHARED_RATIO) / 2
                     more = (now - self.ceiling_at) / 1000 * 20 * part
                     self.ceiling = min(40 * part, self.ceiling + more) - 1
                     self.ceiling_at = now
--- a/tests/decisions/test_settlement.py
+++ b/tests/decisions/test_settlement.py
@@ -56,7 +56,7 @@
         before = self.charged(place)
         if outcome is api.Outcome.OK and cost > 0:
             self.ledger += min(cost, MOST) - guess
-        attempt = world.gateway.attempts.out.get((send.request, 0)) and 0
+        attempt = world.gateway.attempts.open_attempts.get((send.request, 0)) and 0
         event = api.AttemptEnded(send.request, attempt or 0, send.backend, outcome, 20.0, True, cost)
         self.counter.play(world, world.give(event))
         settled = self.charged(place) - before
@@ -139,7 +139,7 @@
 def customers(site: Installation) -> list[Customer]:
     for world in site.worlds:
         for c in world.gateway.quotas.customers.values():
-            world.gateway.quotas.fill(world.now, c)
+            world.gateway.quotas.refill(world.now, c)
     return [c for w in site.worlds for c in w.gateway.quotas.customers.values() if c.heard]
 
 
@@ -177,9 +177,9 @@
     site.pass_time(10_000)
     site.ask(0, "view", 4.0)
     c = site.worlds[0].gateway.quotas.customers["c"]
-    left = c.ceiling.own, c.ceiling.pool
+    left = c.ceiling.own_tokens, c.ceiling.shared_tokens
     site.end(0, api.Outcome.OK, 8.0)
-    assert (c.ceiling.own, c.ceiling.pool) == left
+    assert (c.ceiling.own_tokens, c.ceiling.shared_tokens) == left
 
 
 def test_a_try_beyond_the_quota_is_not_charged_and_not_settled() -> None:
--- a/tests/decisions/test_strain.py
+++ b/tests/decisions/test_strain.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from mintford import interface as api
-from mintford.shedding import LAG_AIM, LEVEL_MOST
+from mintford.shedding import MAX_SHED_LEVEL, TARGET_LAG_MS
 
 
 def lagged(world: World, lag: float, looks: int) -> None:
@@ -20,40 +20,40 @@
 
 
 def let_in(world: World, name: str, of: int = 400) -> float:
-    return sum(world.gateway.turn_away(name) is None for _ in range(of)) / of
+    return sum(world.gateway.get_early_refusal(name) is None for _ in range(of)) / of
 
 
 def test_without_lag_nobody_is_turned_away() -> None:
     world = World()
-    lagged(world, LAG_AIM * 0.8, 500)
-    assert world.gateway.level == 0 and let_in(world, SAFE.name) == 1.0
+    lagged(world, TARGET_LAG_MS * 0.8, 500)
+    assert world.gateway.shed_level == 0 and let_in(world, SAFE.name) == 1.0
 
 
 def test_the_least_worth_goes_first_and_each_is_told_when_to_come_back() -> None:
     world = World()
-    while world.gateway.level < 0.55:
-        lagged(world, LAG_AIM * 2, 1)
+    while world.gateway.shed_level < 0.55:
+        lagged(world, TARGET_LAG_MS * 2, 1)
     shares = [let_in(world, kind.name) for kind in (SAFE, UNSAFE, KEYED)]  # worth 1, 2, 4
     assert shares[0] < 0.6 and shares == sorted(shares) and shares[2] > shares[0] + 0.2
     lagged(world, 200.0, 60)
-    assert world.gateway.turn_away(SAFE.name) == 400.0  # a part of its aim, within what clients heed
+    assert world.gateway.get_early_refusal(SAFE.name) == 400.0  # a part of its aim, within what clients heed
     assert let_in(world, KEYED.name) > 0  # never all: else nothing would show that the strain is over
 
 
 def test_a_class_that_is_not_known_is_let_in_to_be_judged_in_full() -> None:
     world = World()
     lagged(world, 200.0, 100)
-    assert world.gateway.turn_away("nothing") is None
+    assert world.gateway.get_early_refusal("nothing") is None
 
 
 def test_when_the_lag_is_over_all_are_let_in_again_step_by_step() -> None:
     world = World()
     lagged(world, 200.0, 100)
-    assert world.gateway.level == LEVEL_MOST
+    assert world.gateway.shed_level == MAX_SHED_LEVEL
     levels = []
     for _ in range(200):
         lagged(world, 0.0, 1)
-        levels.append(world.gateway.level)
+        levels.append(world.gateway.shed_level)
     assert levels[-1] == 0.0 and let_in(world, SAFE.name) == 1.0
     late = levels[20:]  # once the lag itself has faded
     assert all(a >= b for a, b in zip(late, late[1:], strict=False)) and late[0] > 0.3
@@ -64,7 +64,7 @@
     world = World()
     for lag in lags:
         lagged(world, lag, 1)
-        assert 0 <= world.gateway.level <= LEVEL_MOST
+        assert 0 <= world.gateway.shed_level <= MAX_SHED_LEVEL
 
 
 @pytest.mark.parametrize(("lag", "called_off"), [(0.0, True), (400.0, False)])
--- a/tests/decisions/test_subsets.py
+++ b/tests/decisions/test_subsets.py
@@ -8,7 +8,7 @@
 from helpers import World
 
 from mintford import interface as api
-from mintford.load import COVER, SUBSET
+from mintford.load import MIN_GATEWAYS_PER_BACKEND, MIN_SUBSET_SIZE
 from mintford.rules import Gateway
 
 VIEW = api.RequestClass("view", latency_target=1000, deadline=3000, effect=api.Effect.SAFE)
@@ -35,7 +35,7 @@
     assert set(covered) == {e.backend for e in listed}
     assert max(covered.values()) - min(covered.values()) <= 1  # the last round may be a part of one
     assert max(map(len, chosen)) - min(map(len, chosen)) <= 1
-    wanted = max(SUBSET, COVER * len(listed) / gateways)
+    wanted = max(MIN_SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * len(listed) / gateways)
     assert max(map(len, chosen)) <= 1.5 * wanted + 1 < len(listed), "few of them"
 
 
@@ -70,12 +70,12 @@
     marks = "all", "class view", "plan none"
     b = world.gateway.fleet.backends[1]
     for _ in range(3):
-        world.gateway.fleet.judge(world.now, b, marks, api.Outcome.FULL, 1.0, 500.0)
+        world.gateway.fleet.record_outcome(world.now, b, marks, api.Outcome.FULL, 1.0, 500.0)
     unmet = "all", "class order", "plan other"
-    assert world.gateway.fleet.failing(world.now, b, unmet) > 0.5
+    assert world.gateway.fleet.estimate_failure_ratio(world.now, b, unmet) > 0.5
     for _ in range(9):
-        world.gateway.fleet.judge(world.now, b, unmet, api.Outcome.OK, 50.0, 500.0)
-        world.gateway.fleet.judge(world.now, b, marks, api.Outcome.FULL, 1.0, 500.0)
+        world.gateway.fleet.record_outcome(world.now, b, unmet, api.Outcome.OK, 50.0, 500.0)
+        world.gateway.fleet.record_outcome(world.now, b, marks, api.Outcome.FULL, 1.0, 500.0)
     world.now += 100
-    assert world.gateway.fleet.failing(world.now, b, unmet) < 0.1, "it was met, and is served"
-    assert world.gateway.fleet.failing(world.now, b, marks) > 0.5
+    assert world.gateway.fleet.estimate_failure_ratio(world.now, b, unmet) < 0.1, "it was met, and is served"
+    assert world.gateway.fleet.estimate_failure_ratio(world.now, b, marks) > 0.5
--- a/tests/decisions/test_windows.py
+++ b/tests/decisions/test_windows.py
@@ -8,7 +8,7 @@
 from helpers import KEYED, RULES, SAFE, UNSAFE, World, entry, sends, settings
 
 from mintford import interface as api
-from mintford.guards import END_MS, may_repeat, repeat_until
+from mintford.guards import EXPIRY_MARGIN_MS, can_repeat, get_repeat_deadline
 
 FIRST, OTHER = entry(1), entry(2)
 
@@ -27,7 +27,7 @@
 def test_a_repeat_of_keyed_work_tells_the_end_of_its_window() -> None:
     second = again(KEYED, api.Outcome.RESET)
     assert second is not None and second.attempt == 1
-    assert second.latest_start == 10_000 + KEYED.repeat_window - END_MS
+    assert second.latest_start == 10_000 + KEYED.repeat_window - EXPIRY_MARGIN_MS
 
 
 @pytest.mark.parametrize("outcome", [api.Outcome.CONNECT, api.Outcome.FULL, api.Outcome.IGNORED])
@@ -47,10 +47,10 @@
 @pytest.mark.parametrize("window", [0.0, 40.0, 60.0, 500.0])
 def test_a_window_of_any_length_ends_a_little_before_it_is_forgotten(window: float) -> None:
     kind = api.RequestClass("k", 1000, 3000, effect=api.Effect.KEYED, repeat_window=window)
-    until = repeat_until(kind, 1_000.0)
-    assert until == 1_000 + window - END_MS
+    until = get_repeat_deadline(kind, 1_000.0)
+    assert until == 1_000 + window - EXPIRY_MARGIN_MS
     for now in (1_000.0, until - 1, until, until + 1):
-        assert may_repeat(kind, FIRST, 1_000.0, OTHER, now) == (now < until)
-    assert repeat_until(SAFE, 1_000.0) == math.inf
-    assert repeat_until(UNSAFE, 1_000.0) <= 1_000.0
+        assert can_repeat(kind, FIRST, 1_000.0, OTHER, now) == (now < until)
+    assert get_repeat_deadline(SAFE, 1_000.0) == math.inf
+    assert get_repeat_deadline(UNSAFE, 1_000.0) <= 1_000.0
     assert settings().max_attempts == 3
--- a/tests/edges/test_client_disconnects.py
+++ b/tests/edges/test_client_disconnects.py
@@ -61,7 +61,7 @@
             or self.driver.requests
             or self.driver.attempts
             or attempts.requests
-            or attempts.out
+            or attempts.open_attempts
             or any(out)
             or any(customers)
             or held
--- a/tests/operations/test_retuning.py
+++ b/tests/operations/test_retuning.py
@@ -198,9 +198,9 @@
     quotas = world.gateway.quotas
     world.ask()
     before = quotas.customers["c"].store
-    out = dict(world.gateway.attempts.out)
+    out = dict(world.gateway.attempts.open_attempts)
     world.give(api.SettingsChanged(settings(classes=(SAFE,), max_attempts=1)))
-    assert quotas.customers["c"].store == before and world.gateway.attempts.out == out
+    assert quotas.customers["c"].store == before and world.gateway.attempts.open_attempts == out
     assert world.gateway.fleet.settings.max_attempts == 1 == world.gateway.settings.max_attempts
 
 
@@ -228,10 +228,10 @@
         request_id = "r1"
         request = world.gateway.attempts.requests[request_id]
         world.give(api.SettingsChanged(settings(max_attempts=now, has_counter=False)))
-        assert min(request.most, world.gateway.settings.max_attempts) == most
+        assert min(request.attempt_limit, world.gateway.settings.max_attempts) == most
         number = 0
-        while (request_id, number) in world.gateway.attempts.out:
-            attempt = world.gateway.attempts.out[request_id, number]
+        while (request_id, number) in world.gateway.attempts.open_attempts:
+            attempt = world.gateway.attempts.open_attempts[request_id, number]
             world.give(
                 api.AttemptEnded(request_id, number, attempt.backend.id, api.Outcome.FAILED, 5.0, False)
             )
--- a/tests/plans/test_plans_in_service.py
+++ b/tests/plans/test_plans_in_service.py
@@ -63,9 +63,9 @@
             words = ("assign", customer, "basic"), ("override", customer, "--burst=120", "--from=+300ms")
             for each in words:
                 assert await loop.run_in_executor(None, plan, tmp_path, *each) == 0
-            await until(lambda: seen[0].gateway.quotas.own.get(customer, None) is not None)
+            await until(lambda: seen[0].gateway.quotas.customer_plans.get(customer, None) is not None)
             # By the gateway's own clock:
-            await until(lambda: seen[0].gateway.quotas.own[customer].burst == 120)
+            await until(lambda: seen[0].gateway.quotas.customer_plans[customer].burst == 120)
             await through(world, 40)
             watch.close()
 
