--- a/roadpulley/cli/check.py
+++ b/roadpulley/cli/check.py
@@ -63,14 +63,14 @@
     Raises ValidationError with the place in the file.
     """
     try:
-        from roadpulley.fleet.settings import fleet
+        from roadpulley.fleet.settings import parse_fleet_settings
         from roadpulley.testbed import fleet_scenario
     except ImportError as error:
         raise ValidationError("", f"needs {error.name}", "install roadpulley[fleet]") from error
     if "fleet" in raw:
         fleet_scenario.read(Table(raw))
         return "scenario of a fleet"
-    fleet(Table(raw), path.parent)
+    parse_fleet_settings(Table(raw), path.parent)
     return "settings of a fleet"
 
 
--- a/roadpulley/cli/fleet.py
+++ b/roadpulley/cli/fleet.py
@@ -80,23 +80,23 @@
     """An instance of the fleet, judged whole before anything starts. Raises ValidationError."""
     try:
         from roadpulley.fleet.agent import Agent
-        from roadpulley.fleet.settings import named, read_settings
+        from roadpulley.fleet.settings import check_name, read_settings
         from roadpulley.fleet.works import create_works
     except ImportError as error:
         raise ValidationError("--fleet", f"needs {error.name}", "install roadpulley[fleet]") from error
     found = read_settings(settings)
     if name is None:
         raise ValidationError(
-            "--name", "is missing", f"name one of {', '.join(found.static)}, or another of its own"
+            "--name", "is missing", f"name one of {', '.join(found.known_addresses)}, or another of its own"
         )
-    return Agent(found, named(name, "--name"), create_works(found, name))
+    return Agent(found, check_name(name, "--name"), create_works(found, name))
 
 
 def workers_use(agent: Agent, settings: dict[str, Any]) -> None:
     """Tell the workers of a gateway what of the fleet is for them. Raises ValidationError."""
     from roadpulley.workers.worker import BESIDE, COUNTS, ORDERS, VERDICTS
 
-    os.environ[BESIDE] = str(agent.beside.path.resolve())
+    os.environ[BESIDE] = str(agent.worker_socket.path.resolve())
     if agent.settings.counts is not None:
         os.environ[COUNTS] = "1"
     if agent.settings.rights is not None:
--- a/roadpulley/cli/fleet_commands.py
+++ b/roadpulley/cli/fleet_commands.py
@@ -56,7 +56,7 @@
     from roadpulley.fleet.works import create_works
 
     found = read_settings(settings)
-    for name in found.static:
+    for name in found.known_addresses:
         create_works(found, name)
     times = found.times
     click.echo(
@@ -229,7 +229,7 @@
         if said == "done":
             click.echo("In every instance's settings from now on:\n[voters]")
             for voter, address in sorted(status["voters"].items()):
-                click.echo(f'{voter} = "{address or found.static[voter]}"')
+                click.echo(f'{voter} = "{address or found.known_addresses[voter]}"')
             return 0
         if said == "failed":
             return 1
--- a/roadpulley/fleet/report.py
+++ b/roadpulley/fleet/report.py
@@ -28,27 +28,27 @@
         for m in machine.table.values()
     ]
     mine = {
-        "name": agent.me.name,
-        "boot": agent.me.boot,
+        "name": agent.process_id.name,
+        "boot": agent.process_id.boot,
         "state": "alive",
         "for_s": 0.0,
-        "address": agent.post.address,
+        "address": agent.endpoint.address,
         "votes": agent.duties.voter is not None and agent.name in agent.reconfiguration.config.voters,
     }
-    seen = {r["name"] for r in rows if r["state"] == "alive"} | {agent.me.name}
+    seen = {r["name"] for r in rows if r["state"] == "alive"} | {agent.process_id.name}
     return {
         "instance": agent.name,
         "members": sorted([mine, *rows], key=lambda r: (r["name"], r["boot"])),
-        "unseen": sorted(set(agent.settings.static) - seen),
+        "unseen": sorted(set(agent.settings.known_addresses) - seen),
         "slowness": machine.health_score,
         "refuted": machine.refutations,
         "datagrams": {
-            "sent": agent.post.sent,
-            "sent_bytes": agent.post.sent_bytes,
-            "received": agent.post.received,
-            "received_bytes": agent.post.received_bytes,
-            "dropped": dict(agent.post.dropped),
-            "errors": dict(agent.post.errors),
+            "sent": agent.endpoint.sent,
+            "sent_bytes": agent.endpoint.sent_bytes,
+            "received": agent.endpoint.received,
+            "received_bytes": agent.endpoint.received_bytes,
+            "dropped": dict(agent.endpoint.dropped),
+            "errors": dict(agent.endpoint.errors),
         },
         "problems": agent.problems,
     }
@@ -59,7 +59,7 @@
     now, rows = agent.clock.now(), []
     voter = agent.duties.voter
     for name in sorted(agent.settings.duties):
-        holding = agent.duties.holdings.get(name)
+        local_duty = agent.duties.local_duties.get(name)
         duty_state = voter.duty_states.get(name) if voter is not None else None
         row: dict[str, Any] = {
             "duty": name,
@@ -67,15 +67,15 @@
             "holder": "",
             "known": "",
         }
-        if holding is not None and holding.candidate.state in (Stage.HOLDING, Stage.CLAIMING):
+        if local_duty is not None and local_duty.candidate.state in (Stage.HOLDING, Stage.CLAIMING):
             row |= {
                 "holder": agent.name,
-                "boot": agent.me.boot,
-                "since_s": round(now - holding.candidate.held_since, 1),
-                "fence": holding.candidate.ballot.round,
-                "left_s": round(holding.candidate.held_until - now, 2),
-                "state": holding.candidate.state.value,
-                "acts": holding.acts,
+                "boot": agent.process_id.boot,
+                "since_s": round(now - local_duty.candidate.held_since, 1),
+                "fence": local_duty.candidate.ballot.round,
+                "left_s": round(local_duty.candidate.held_until - now, 2),
+                "state": local_duty.candidate.state.value,
+                "acts": local_duty.act_count,
                 "known": "it is held here",
             }
         elif duty_state is not None and now < duty_state.granted_until:
@@ -88,13 +88,16 @@
                 "state": "granted",
                 "known": "this instance's own vote",
             }
-        elif holding is not None and holding.candidate.known_holder != NO_PROCESS:
-            row |= {"holder": holding.candidate.known_holder.name, "known": "a voter told it at the last try"}
+        elif local_duty is not None and local_duty.candidate.known_holder != NO_PROCESS:
+            row |= {
+                "holder": local_duty.candidate.known_holder.name,
+                "known": "a voter told it at the last try",
+            }
         if duty_state is not None and now < duty_state.cooldown_until:
             row["cools_s"] = round(duty_state.cooldown_until - now, 1)
-        if holding is not None and holding.last:
-            row["last"] = holding.last
-        order = agent.duties.orders.get(name, [])
+        if local_duty is not None and local_duty.end_reason:
+            row["last"] = local_duty.end_reason
+        order = agent.duties.rankings.get(name, [])
         row["first_choice"] = order[0].name if order else ""
         rows.append(row)
     return {
@@ -110,14 +113,14 @@
     rows = []
     for name in agent.reconfiguration.config.voters:
         address = agent.address_of(name)
-        who = agent.met.get(address, NO_PROCESS)
+        who = agent.processes_by_address.get(address, NO_PROCESS)
         ours = name == agent.name
         silent = math.ceil(agent.duties.voter.voting_starts_at() - now) if ours and agent.duties.voter else 0
         rows.append(
             {
                 "name": name,
                 "address": address,
-                "boot": agent.me.boot if ours else who.boot,
+                "boot": agent.process_id.boot if ours else who.boot,
                 "seen": ours or name not in list_unseen_voters(agent),
                 "silent_s": max(0, silent),
             }
@@ -137,8 +140,8 @@
     found: dict[str, Any] = {"instance": agent.name, "unseen": []}
     if agent.rights is not None:
         found |= agent.rights.report()
-    if agent.counting is not None:
-        found["counting"] = agent.counting.report()
+    if agent.counters is not None:
+        found["counting"] = agent.counters.report()
     return found
 
 
--- a/roadpulley/fleet/settings.py
+++ b/roadpulley/fleet/settings.py
@@ -18,7 +18,7 @@
 from .counts.service import ReplicationSettings, read_replication_settings
 from .duties.terms import LeaseTimes
 from .duties.voter_config import MAX_VOTERS
-from .members.messages import SwimParameters as MemberTimes
+from .members.messages import SwimParameters
 from .orders.settings import OrderSettings, read_order_settings
 from .orders.work import DUTY as ORDERS
 from .peers.envelope import MAX_KEY_BYTES, MIN_KEY_BYTES
@@ -27,9 +27,9 @@
 from .verdicts.service import read_verdict_settings
 from .verdicts.state_machine import VerdictSettings
 
-NAME = re.compile(r"[a-z0-9][a-z0-9.-]{0,31}")
-MOST_DUTIES = 512  # bits of one claim; more would not fit into a datagram with others
-WORKS = ("probe", "usage-push", "usage-close", "plans-publish", "store-care")
+NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9.-]{0,31}")
+MAX_DUTIES = 512  # bits of one claim; more would not fit into a datagram with others
+WORK_KINDS = ("probe", "usage-push", "usage-close", "plans-publish", "store-care")
 
 
 @dataclass(frozen=True)
@@ -55,16 +55,17 @@
     others: Mapping[str, str]
     seeds: tuple[str, ...]
     times: LeaseTimes
-    members: MemberTimes
+    members: SwimParameters
     duties: Mapping[str, DutySettings]
-    settle_s: float  # for which another instance has to be the better one before a duty is handed to it
+    # A duty is handed over once another instance has been the better choice for this long.
+    hand_over_delay_s: float
     counts: ReplicationSettings | None = None  # numbers that all add to, in place of a counter
     rights: RightsSettings | None = None  # to spend of the limits that hold over all gateways
     orders: OrderSettings | None = None  # of operators, followed by all
     verdicts: VerdictSettings | None = None  # of backends, by what all find out
 
     @property
-    def static(self) -> dict[str, str]:
+    def known_addresses(self) -> dict[str, str]:
         return {**self.voters, **self.others}
 
 
@@ -72,26 +73,26 @@
     """Paths are relative to the file. Raises ValidationError with the file and the key."""
 
     def read(raw: dict[str, Any]) -> FleetSettings:
-        return fleet(Table(raw), path.parent)
+        return parse_fleet_settings(Table(raw), path.parent)
 
     return read_toml(path, read)
 
 
-def fleet(table: Table, folder: Path) -> FleetSettings:
-    installation = named(table.read_text("installation"), "installation")
+def parse_fleet_settings(table: Table, folder: Path) -> FleetSettings:
+    installation = check_name(table.read_text("installation"), "installation")
     key = read_key(table.read_text("key", ""), folder)
     control, state = table.read_text("control"), table.read_text("state", "")
     seeds = table.read_value("seeds", [], "give a list of addresses")
     if not isinstance(seeds, list):
         raise ValidationError("seeds", f"is {seeds!r}", "give a list of addresses, as 127.0.0.1:7401")
-    voters = addresses(table.read_table("voters"), key)
-    others = addresses(table.read_table("others"), key)
+    voters = read_addresses(table.read_table("voters"), key)
+    others = read_addresses(table.read_table("others"), key)
     if len(voters) < 3 or len(voters) % 2 == 0 or len(voters) > MAX_VOTERS:
         # Of an even number one more may fail than of one less, and no more; of one, none.
         right = f"name an odd number from 3 to {MAX_VOTERS}: three bear the loss of one, five of two"
         raise ValidationError("voters", f"are {len(voters)}", right)
-    apart(voters, others)
-    times = lease(table.read_table("lease"))
+    check_distinct_addresses(voters, others)
+    times = read_lease_times(table.read_table("lease"))
     rights = read_rights_settings(table.read_table("rights"), times.drift) if table.has("rights") else None
     orders = read_order_settings(table.read_table("orders"), times.drift) if table.has("orders") else None
     found = FleetSettings(
@@ -101,10 +102,13 @@
         folder / state if state else None,
         voters,
         others,
-        tuple(address(s, f"seeds[{n}]", key) for n, s in enumerate(seeds)),
+        tuple(check_address(s, f"seeds[{n}]", key) for n, s in enumerate(seeds)),
         times,
-        member_times(table.read_table("members")),
-        {**duties(table.read_table("duties"), folder, {*voters, *others}), **own(rights, orders)},
+        read_swim_parameters(table.read_table("members")),
+        {
+            **read_duties(table.read_table("duties"), folder, {*voters, *others}),
+            **define_internal_duties(rights, orders),
+        },
         table.read_number("settle_s", 10.0, 0.1, 3600),
         read_replication_settings(table.read_table("counts")) if table.has("counts") else None,
         rights,
@@ -115,8 +119,8 @@
     return found
 
 
-def named(text: str, path: str) -> str:
-    if not NAME.fullmatch(text):
+def check_name(text: str, path: str) -> str:
+    if not NAME_PATTERN.fullmatch(text):
         raise ValidationError(
             path, f"is {text!r}", "give 1 to 32 of a-z, 0-9, '.' and '-', a letter or digit first"
         )
@@ -141,7 +145,7 @@
     return found
 
 
-def address(text: object, path: str, key: bytes | None) -> str:
+def check_address(text: object, path: str, key: bytes | None) -> str:
     """HOST:PORT with a number for a host: nothing here waits for a name. Raises ValidationError."""
     right = "give an address of one machine with its port, as 127.0.0.1:7401"
     if not isinstance(text, str):
@@ -162,16 +166,16 @@
     return f"{ip}:{int(port)}"
 
 
-def addresses(table: Table, key: bytes | None) -> dict[str, str]:
+def read_addresses(table: Table, key: bytes | None) -> dict[str, str]:
     found = {}
     for name in table.raw:
-        found[named(name, table.path_of(name))] = address(
+        found[check_name(name, table.path_of(name))] = check_address(
             table.read_value(name, ..., ""), table.path_of(name), key
         )
     return found
 
 
-def apart(voters: Mapping[str, str], others: Mapping[str, str]) -> None:
+def check_distinct_addresses(voters: Mapping[str, str], others: Mapping[str, str]) -> None:
     seen: dict[str, str] = {}
     for part, table in (("voters", voters), ("others", others)):
         for name, where in table.items():
@@ -185,7 +189,7 @@
             seen[where] = name
 
 
-def lease(table: Table) -> LeaseTimes:
+def read_lease_times(table: Table) -> LeaseTimes:
     times = {
         "lease": table.read_number("seconds", 4.0, 0.2, 3600),
         "silence": table.read_number("silence_s", 0.0, 0.0, 3600),
@@ -202,23 +206,23 @@
         raise ValidationError(table.path_of("seconds"), wrong, right) from error
 
 
-def member_times(table: Table) -> MemberTimes:
+def read_swim_parameters(table: Table) -> SwimParameters:
     period = table.read_number("period_s", 0.5, 0.02, 60)
     answer = table.read_number("answer_s", period * 0.4, 0.005, 60)
     table.reject_unknown_keys()
     if answer * 2.2 > period:
         right = f"leave time for a second way within a period: at most {period / 2.2:.3f}"
         raise ValidationError(table.path_of("answer_s"), f"is {answer:g}", right)
-    return MemberTimes(period=period, answer=answer, exchange=period * 10)
+    return SwimParameters(period=period, answer=answer, exchange=period * 10)
 
 
-def duties(table: Table, folder: Path, known: set[str]) -> dict[str, DutySettings]:
+def read_duties(table: Table, folder: Path, known: set[str]) -> dict[str, DutySettings]:
     found = {}
     for name in table.raw:
-        one = table.read_table(named(name, table.path_of(name)))
+        one = table.read_table(check_name(name, table.path_of(name)))
         if name.startswith("fleet."):
             raise ValidationError(one.path, "is a name of the fleet's own", "begin it otherwise")
-        work = one.read_text("work", choices=WORKS)
+        work = one.read_text("work", choices=WORK_KINDS)
         settings, where = one.read_text("settings", ""), one.read_text("address", "")
         if work == "probe" and not where:
             raise ValidationError(
@@ -229,8 +233,8 @@
                 one.path_of("settings"), "is missing", f"name the file with the settings of {work}"
             )
         every = one.read_number("every_s", 60.0, 0.005, 86_400)
-        prefer = instances(one, "prefer", known)
-        among = instances(one, "among", known)
+        prefer = read_instance_names(one, "prefer", known)
+        among = read_instance_names(one, "among", known)
         if among and (strange := [n for n in prefer if n not in among]):
             raise ValidationError(
                 one.path_of("prefer"), f"names {strange[0]}", "it may not hold this duty: add it to among"
@@ -239,19 +243,21 @@
         found[name] = DutySettings(
             name, work, folder / settings if settings else None, where, every, prefer, among
         )
-    if len(found) > MOST_DUTIES:
-        raise ValidationError(table.path, f"are {len(found)}", f"name at most {MOST_DUTIES}")
+    if len(found) > MAX_DUTIES:
+        raise ValidationError(table.path, f"are {len(found)}", f"name at most {MAX_DUTIES}")
     return found
 
 
-def own(rights: RightsSettings | None, orders: OrderSettings | None) -> dict[str, DutySettings]:
+def define_internal_duties(
+    rights: RightsSettings | None, orders: OrderSettings | None
+) -> dict[str, DutySettings]:
     """Duties of the fleet's own: one for each part of the limits, one for orders."""
     works = {f"{RIGHTS}{part}": "rights" for part in range(rights.parts if rights is not None else 0)}
     works |= {ORDERS: "orders"} if orders is not None else {}
     return {name: DutySettings(name, work, None, "", 60.0, (), ()) for name, work in works.items()}
 
 
-def instances(table: Table, key: str, known: set[str]) -> tuple[str, ...]:
+def read_instance_names(table: Table, key: str, known: set[str]) -> tuple[str, ...]:
     if not table.has(key):
         return ()
     names = table.read_texts(key)
