--- a/mintford/attempts.py
+++ b/mintford/attempts.py
@@ -45,7 +45,7 @@
     def __init__(self, settings: api.Settings) -> None:
         self.settings = settings
         self.requests: dict[str, Request] = {}
-        self.open_attempts: dict[tuple[str, int], Attempt] = {}  # the oldest first
+        self.in_flight: dict[tuple[str, int], Attempt] = {}  # the oldest first
         self.not_yet_lost: deque[Attempt] = deque()  # likewise, not yet known to be lost; some are over
         self.lost_count = 0  # attempts out that are
         self.timer_wheel: dict[int, list[Request]] = {}  # requests to look at, by the tick of their timer
@@ -70,7 +70,7 @@
     def send(self, now: float, request: Request, b: Backend, out: api.Actions) -> Attempt:
         b.open_attempts += 1
         request.customer.open_attempts += 1
-        attempt = self.open_attempts[request.id, request.attempts] = Attempt(request, b, now)
+        attempt = self.in_flight[request.id, request.attempts] = Attempt(request, b, now)
         self.not_yet_lost.append(attempt)
         latest = (
             get_repeat_deadline(request.kind, request.possibly_run[0].sent_at)
@@ -85,7 +85,7 @@
         return attempt
 
     def remove_attempt(self, event: api.AttemptEnded) -> Attempt | None:
-        attempt = self.open_attempts.pop((event.request, event.attempt), None)
+        attempt = self.in_flight.pop((event.request, event.attempt), None)
         if attempt is not None:
             attempt.has_ended, self.lost_count = True, self.lost_count - attempt.is_lost
             attempt.backend.open_attempts -= 1
@@ -100,7 +100,7 @@
             attempt = young.popleft()
             if not attempt.has_ended:
                 attempt.is_lost, self.lost_count = True, self.lost_count + 1
-        return len(self.open_attempts) - self.lost_count
+        return len(self.in_flight) - self.lost_count
 
     def schedule_check(self, now: float, request: Request, at: float, out: api.Actions) -> None:
         request.check_at = min(at, request.expires - EXPIRY_MARGIN_MS)
--- a/mintford/rules.py
+++ b/mintford/rules.py
@@ -141,7 +141,7 @@
     def on_response_started(self, now: float, event: api.ResponseStarted, out: api.Actions) -> None:
         """The first bytes of a value are on their way: no other attempt, and no other end of the request."""
         # Danger: how long the rest takes is also the client's doing, and says nothing of the backend.
-        attempt = self.attempts.open_attempts.get((event.request, event.attempt))
+        attempt = self.attempts.in_flight.get((event.request, event.attempt))
         if attempt is None or attempt.response_started:
             return
         attempt.response_started, request = True, attempt.request
--- a/mintford/shedding.py
+++ b/mintford/shedding.py
@@ -169,7 +169,7 @@
             prior = LATENCY_PRIOR_ANSWERS if fleet.recent_latency else 0.0
             return (waiting + prior) * 1000 / max(rate + prior * 1000 / max(1.0, fleet.recent_latency), 1e-9)
         answer = max(1.0, fleet.recent_latency * math.exp((fleet.recent_latency_at - now) / MARK_DECAY_MS))
-        for attempt in self.attempts.open_attempts.values():
+        for attempt in self.attempts.in_flight.values():
             age = now - attempt.sent_at
             if age <= answer:
                 break  # those sent later raise it no more
--- a/tests/decisions/test_flat.py
+++ b/tests/decisions/test_flat.py
@@ -21,7 +21,7 @@
 def walked(gateway: Gateway, now: float) -> float:
     """What is out over the rate of answers, told by looking at every attempt."""
     limit = max(MAX_LATENCY_RATIO * max(gateway.fleet.typical_latency, gateway.fleet.recent_latency), 1.0)
-    waiting = 1 + sum(now - a.sent_at < limit for a in gateway.attempts.open_attempts.values())
+    waiting = 1 + sum(now - a.sent_at < limit for a in gateway.attempts.in_flight.values())
     if waiting <= gateway.fleet.free_attempts:
         return 0.0
     fleet = gateway.fleet
--- a/tests/decisions/test_settlement.py
+++ b/tests/decisions/test_settlement.py
@@ -56,7 +56,7 @@
         before = self.charged(place)
         if outcome is api.Outcome.OK and cost > 0:
             self.ledger += min(cost, MOST) - guess
-        attempt = world.gateway.attempts.open_attempts.get((send.request, 0)) and 0
+        attempt = world.gateway.attempts.in_flight.get((send.request, 0)) and 0
         event = api.AttemptEnded(send.request, attempt or 0, send.backend, outcome, 20.0, True, cost)
         self.counter.play(world, world.give(event))
         settled = self.charged(place) - before
--- a/tests/edges/test_client_disconnects.py
+++ b/tests/edges/test_client_disconnects.py
@@ -54,14 +54,14 @@
 
     def nothing_is_held(self) -> bool:
         attempts, held = self.driver.gateway.attempts, self.server.body_budget.held
-        out = [b.out for b in self.driver.gateway.fleet.backends.values()]
-        customers = [c.out for c in self.driver.gateway.quotas.customers.values()]
+        out = [b.open_attempts for b in self.driver.gateway.fleet.backends.values()]
+        customers = [c.open_attempts for c in self.driver.gateway.quotas.customers.values()]
         return not (
             self.server.connections
             or self.driver.requests
             or self.driver.attempts
             or attempts.requests
-            or attempts.open_attempts
+            or attempts.in_flight
             or any(out)
             or any(customers)
             or held
--- a/tests/operations/test_retuning.py
+++ b/tests/operations/test_retuning.py
@@ -198,9 +198,9 @@
     quotas = world.gateway.quotas
     world.ask()
     before = quotas.customers["c"].store
-    out = dict(world.gateway.attempts.open_attempts)
+    out = dict(world.gateway.attempts.in_flight)
     world.give(api.SettingsChanged(settings(classes=(SAFE,), max_attempts=1)))
-    assert quotas.customers["c"].store == before and world.gateway.attempts.open_attempts == out
+    assert quotas.customers["c"].store == before and world.gateway.attempts.in_flight == out
     assert world.gateway.fleet.settings.max_attempts == 1 == world.gateway.settings.max_attempts
 
 
@@ -230,8 +230,8 @@
         world.give(api.SettingsChanged(settings(max_attempts=now, has_counter=False)))
         assert min(request.attempt_limit, world.gateway.settings.max_attempts) == most
         number = 0
-        while (request_id, number) in world.gateway.attempts.open_attempts:
-            attempt = world.gateway.attempts.open_attempts[request_id, number]
+        while (request_id, number) in world.gateway.attempts.in_flight:
+            attempt = world.gateway.attempts.in_flight[request_id, number]
             world.give(
                 api.AttemptEnded(request_id, number, attempt.backend.id, api.Outcome.FAILED, 5.0, False)
             )
