--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -148,7 +148,7 @@
         self.allocator = Allocator(1, -100.0, {"paid": rest}, times, random.Random(1))
         self.holders = [Holder(n + 1, 1, times) for n in range(gateways)]
         for holder in self.holders:
-            holder.serving(0.0, 0, 1, 1e9)
+            holder.handle_announcement(0.0, 0, 1, 1e9)
         self.due: list[tuple[float, int]] = []
         self.messages = self.size = 0
 
@@ -157,12 +157,12 @@
         if self.floor is not None and self.floor.take(one):
             return True
         holder = self.holders[one.gateway]
-        paid = holder.take(one.at, KEY, one.units)
-        ask = holder.ask_now(one.at, KEY)
+        paid = holder.try_spend(one.at, KEY, one.units)
+        ask = holder.prepare_request(one.at, KEY)
         if ask is not None:
             self.exchange(one.at, holder, ask)
-            paid = paid or holder.take(one.at + 2 * TRIP_S, KEY, one.units, anew=False)
-        heapq.heappush(self.due, (holder.next_at(), one.gateway))
+            paid = paid or holder.try_spend(one.at + 2 * TRIP_S, KEY, one.units, anew=False)
+        heapq.heappush(self.due, (holder.next_check_at(), one.gateway))
         return paid
 
     def pass_time(self, now: float) -> None:
@@ -171,13 +171,13 @@
             holder = self.holders[place]
             for ask in holder.tick(at):
                 self.exchange(at, holder, ask)
-            if (again := holder.next_at()) < float("inf"):
+            if (again := holder.next_check_at()) < float("inf"):
                 heapq.heappush(self.due, (max(again, at + 0.005), place))
 
     def exchange(self, now: float, holder: Holder, ask: RightsRequest) -> None:
-        given: RightsReply | None = self.allocator.asked(now + TRIP_S, ask)
+        given: RightsReply | None = self.allocator.handle_request(now + TRIP_S, ask)
         assert given is not None
-        holder.heard(now + 2 * TRIP_S, given)
+        holder.handle_reply(now + 2 * TRIP_S, given)
         self.messages += 2
         self.size += 2 * HEAD_BYTES + len(msgspec.msgpack.encode(ask)) + len(msgspec.msgpack.encode(given))
 
--- a/roadpulley/cli/fleet.py
+++ b/roadpulley/cli/fleet.py
@@ -102,10 +102,10 @@
     if agent.settings.rights is not None:
         rights(agent, settings)
     if (verdicts := agent.settings.verdicts) is not None:
-        os.environ[VERDICTS] = str(verdicts.say)
+        os.environ[VERDICTS] = str(verdicts.report_interval_s)
     if (orders := agent.settings.orders) is not None:
-        os.environ[ORDERS] = json.dumps(asdict(orders.terms))
-        lasts(settings, orders.open_lease)
+        os.environ[ORDERS] = json.dumps(asdict(orders.follower))
+        lasts(settings, orders.open_lease_s)
 
 
 def lasts(settings: dict[str, Any], lease: float) -> None:
@@ -125,7 +125,10 @@
 
     found = agent.settings.rights
     assert found is not None
-    told = {"part": found.ceilings, "limits": {n: [one.rate, one.burst] for n, one in found.limits.items()}}
+    told = {
+        "part": found.ceiling_ratio,
+        "limits": {n: [one.rate, one.burst] for n, one in found.limits.items()},
+    }
     try:
         with_rights(settings, told)
     except ValueError as error:
--- a/roadpulley/fleet/agent.py
+++ b/roadpulley/fleet/agent.py
@@ -355,16 +355,16 @@
     def _dispatch(self, who: ProcessId, address: str, body: Any) -> DropReason | None:
         if isinstance(body, RightsMessage):
             if self.rights is not None:
-                self.rights.heard((address, who.boot), body)
+                self.rights.handle_message((address, who.boot), body)
         elif isinstance(body, PartBatch | Digest):
             if self.counters is not None:
                 self.counters.handle_message((address, who.boot), body)
         elif isinstance(body, OrderMessage):
             if self.orders is not None:
-                self.orders.heard((address, who.boot), who.name, body)
+                self.orders.handle_message((address, who.boot), who.name, body)
         elif isinstance(body, HealthReportBatch):
             if self.verdicts is not None:
-                self.verdicts.heard(who, body)
+                self.verdicts.handle_message(who, body)
         elif isinstance(body, Offer):
             self.duties.handle_offer(body.duty, body.rank, body.fence)
         elif isinstance(body, VoterConfigQuery):
@@ -403,12 +403,12 @@
                 self.counters.handle_add(body)
         elif isinstance(body, ObservationBatch):
             if self.verdicts is not None:
-                self.verdicts.beside_said(body)
+                self.verdicts.handle_observations(body)
         elif isinstance(body, Poll):
             if self.orders is not None:
-                self.orders.beside_said(body)
+                self.orders.handle_local_poll(body)
         elif self.rights is not None:
-            self.rights.beside_said(body)
+            self.rights.handle_local_message(body)
 
     def _send_to_route(self, route: Route, body: Any) -> None:
         self.endpoint.send(*route, body)
@@ -432,9 +432,9 @@
     def _apply_ordered_limits(self) -> None:
         """Other limits of operators hold here."""
         if self.rights is not None and self.orders is not None and self.settings.orders is not None:
-            part, lease = self.rights.settings.ceilings, self.settings.orders.open_lease
-            found = {o.limit_name: o.limit(part, lease) for o in self.orders.standing if o.limits}
-            self.rights.ordered(found)
+            part, lease = self.rights.settings.ceiling_ratio, self.settings.orders.open_lease_s
+            found = {o.limit_name: o.to_limit(part, lease) for o in self.orders.active_orders if o.is_limit}
+            self.rights.set_order_limits(found)
 
     def _send_request(self, voter: str, question: VoterRequest) -> None:
         if voter == self.name and self.duties.voter is not None:
@@ -524,7 +524,7 @@
             return
         if member := self.members.table.get(who):
             part = int(duty.removeprefix(RIGHTS))
-            await self.rights.handing(part, (self.members.address_of(member), who.boot))
+            await self.rights.hand_over(part, (self.members.address_of(member), who.boot))
 
     def _send_offer(self, who: ProcessId, duty: str, fence: int) -> None:
         assert self.members is not None
@@ -585,6 +585,6 @@
             order = msgspec.convert(args.get("order"), Order)
         except msgspec.ValidationError as error:
             return {"error": f"no order: {error}"}
-        if order.limits and self.rights is None:
+        if order.is_limit and self.rights is None:
             return {"error": "limits need [rights] in the fleet's settings"}
-        return self.orders.call(order, bool(args.get("lift")))
+        return self.orders.submit(order, bool(args.get("lift")))
--- a/roadpulley/fleet/orders/client.py
+++ b/roadpulley/fleet/orders/client.py
@@ -28,7 +28,7 @@
     """As the decision module takes them."""
     limited: dict[tuple[str, str], tuple[str, ...]] = {}
     for order in orders:
-        if order.limits:
+        if order.is_limit:
             of = order.scope, order.subject
             limited[of] = (*limited.get(of, ()), order.limit_name)
 
@@ -47,14 +47,14 @@
         self,
         line: AgentLink,
         terms: FollowerSettings,
-        changed: Callable[[tuple[Order, ...]], None],
+        on_change: Callable[[tuple[Order, ...]], None],
         clock: Clock | None = None,
     ) -> None:
-        self.line, self.changed, self.clock = line, changed, clock or from_environment()
+        self.line, self.on_change, self.clock = line, on_change, clock or from_environment()
         self.follower = Follower(terms, line.worker_id)
-        self.standing: tuple[Order, ...] = ()
-        self.fresh = False
-        line.listeners.append(self._heard)
+        self.active_orders: tuple[Order, ...] = ()
+        self.was_fresh = False
+        line.listeners.append(self._handle_message)
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def close(self) -> None:
@@ -64,41 +64,41 @@
         while True:
             if poll := self.follower.tick(self.clock.now()):
                 self.line.send(poll)
-            self._look()
+            self._update_active_orders()
             await asyncio.sleep(TICK_INTERVAL_S)
 
-    def _heard(self, body: Any) -> None:
+    def _handle_message(self, body: Any) -> None:
         now = self.clock.now()
         if isinstance(body, PollReply) and body.holder == self.line.worker_id:
-            self.follower.standing(now, body)
+            self.follower.handle_reply(now, body)
         elif isinstance(body, BookPage):
-            self.follower.sheet(now, body)
+            self.follower.handle_page(now, body)
         else:
             return
-        self._look()
+        self._update_active_orders()
 
-    def _look(self) -> None:
+    def _update_active_orders(self) -> None:
         now = self.clock.now()
         self.follower.ages.clear()
-        if self.fresh != self.follower.fresh(now):
-            self.fresh = not self.fresh
-            if self.fresh or self.follower.book.orders:
-                kept = "kept" if self.follower.terms.keep else "let go"
-                log.info("orders are followed" if self.fresh else f"no orders are heard: they are {kept}")
-        standing = self.follower.goes_by(now).followed(wall_ms())
-        if standing != self.standing:
-            self.standing = standing
-            self.changed(standing)
+        if self.was_fresh != self.follower.is_fresh(now):
+            self.was_fresh = not self.was_fresh
+            if self.was_fresh or self.follower.book.orders:
+                kept = "kept" if self.follower.settings.keep else "let go"
+                log.info("orders are followed" if self.was_fresh else f"no orders are heard: they are {kept}")
+        standing = self.follower.current_book(now).orders_for_follower(wall_ms())
+        if standing != self.active_orders:
+            self.active_orders = standing
+            self.on_change(standing)
 
 
 class LimitSpender:
     """Rights of a gateway's requests: to ceilings, and to limits of operators. See `core.driver.Rights`."""
 
-    def __init__(self, purses: RightsClient, even: EvenShares) -> None:
-        self.purses, self.even = purses, even
+    def __init__(self, rights: RightsClient, even_shares: EvenShares) -> None:
+        self.rights, self.even_shares = rights, even_shares
 
-    def ordered(self, orders: tuple[Order, ...]) -> None:
-        self.even.ordered(self.purses.clock.now(), orders)
+    def set_orders(self, orders: tuple[Order, ...]) -> None:
+        self.even_shares.set_orders(self.rights.clock.now(), orders)
 
     def spend(
         self,
@@ -107,18 +107,18 @@
         within: float,
         done: Callable[[bool, Ended | None], None],
     ) -> None:
-        now = self.purses.clock.now()
-        ours = [limit for limit in asked.limits if self.even.take(now, limit, 1.0)]
+        now = self.rights.clock.now()
+        ours = [limit for limit in asked.limits if self.even_shares.try_take(now, limit, 1.0)]
         needs = tuple(UnitCost(limit, 1.0, lasting) for limit in asked.limits if limit not in ours)
         if asked.plan:
             needs = (UnitCost(customer_limit_name(asked.plan, asked.customer), asked.units), *needs)
 
         def known(paid: bool, ended: Ended | None) -> None:
             for limit in () if paid else ours:
-                self.even.give_back(limit, 1.0)
+                self.even_shares.put_back(limit, 1.0)
             done(paid, ended)
 
         if needs:
-            self.purses.wish_all(needs, within, known)
+            self.rights.spend_all(needs, within, known)
         else:
             known(True, None)
--- a/roadpulley/fleet/orders/even_shares.py
+++ b/roadpulley/fleet/orders/even_shares.py
@@ -21,21 +21,21 @@
     rate: float
     burst: float
     level: float
-    at: MonotonicTime
+    filled_at: MonotonicTime
 
     def fill(self, now: MonotonicTime) -> None:
-        self.level = min(self.burst, self.level + max(0.0, now - self.at) * self.rate)
-        self.at = max(now, self.at)
+        self.level = min(self.burst, self.level + max(0.0, now - self.filled_at) * self.rate)
+        self.filled_at = max(now, self.filled_at)
 
 
 class EvenShares:
     """`part`: of each rate that is split evenly, among so many processes."""
 
-    def __init__(self, part: float, among: int) -> None:
-        self.part = part / max(1, among)
+    def __init__(self, share_ratio: float, among: int) -> None:
+        self.part = share_ratio / max(1, among)
         self.buckets: dict[str, TokenBucket] = {}
 
-    def ordered(self, now: MonotonicTime, orders: Iterable[Order]) -> None:
+    def set_orders(self, now: MonotonicTime, orders: Iterable[Order]) -> None:
         """Other orders: what is spent of a limit stays spent, also where it is lifted and ordered again."""
         for order in orders:
             if order.kind != "rate":
@@ -46,7 +46,7 @@
             bucket.level += burst - bucket.burst if burst < bucket.burst else 0.0
             bucket.rate, bucket.burst = rate, burst
 
-    def take(self, now: MonotonicTime, limit: str, units: float) -> bool:
+    def try_take(self, now: MonotonicTime, limit: str, units: float) -> bool:
         bucket = self.buckets.get(limit)
         if bucket is None:
             return False
@@ -56,7 +56,7 @@
         bucket.level -= units
         return True
 
-    def give_back(self, limit: str, units: float) -> None:
+    def put_back(self, limit: str, units: float) -> None:
         """What was taken for a request that another limit refused."""
         bucket = self.buckets[limit]
         bucket.level = min(bucket.burst, bucket.level + units)
--- a/roadpulley/fleet/orders/follower.py
+++ b/roadpulley/fleet/orders/follower.py
@@ -22,7 +22,7 @@
     drift: float = 0.02
 
     @property
-    def most(self) -> float:
+    def max_lease_s(self) -> float:
         """For which an answer counts by our own clock, whatever it is told: a slow one must not go beyond."""
         return self.holds * (1 - self.drift)
 
@@ -30,82 +30,90 @@
 class Follower:
     """`holder`: of a process beside an instance, 0 for an instance."""
 
-    def __init__(self, terms: FollowerSettings, holder: int = 0) -> None:
-        self.terms, self.holder = terms, holder
+    def __init__(self, settings: FollowerSettings, holder: int = 0) -> None:
+        self.settings, self.holder = settings, holder
         self.book = OrderBook()
-        self.until: MonotonicTime = -math.inf  # for which the book is known to be the newest, or nearly
-        self.asked_at: MonotonicTime = -math.inf  # when what we go by was asked for
-        self.fence = 0  # the highest that was heard to publish
-        self.number = 0
-        self.open: dict[int, MonotonicTime] = {}  # asks that may still be answered, and when they were made
-        self.answered: PollReply | None = None  # whose book has not come whole yet
-        self.gathering = PageAssembler()
-        self.due: MonotonicTime = 0.0
-        self.stale_said = False
+        self.fresh_until: MonotonicTime = -math.inf  # for which the book is known to be the newest, or nearly
+        self.requested_at: MonotonicTime = -math.inf  # when what we go by was asked for
+        self.highest_fence = 0  # the highest that was heard to publish
+        self.poll_number = 0
+        self.open_polls: dict[
+            int, MonotonicTime
+        ] = {}  # asks that may still be answered, and when they were made
+        self.pending_reply: PollReply | None = None  # whose book has not come whole yet
+        self.assembler = PageAssembler()
+        self.poll_at: MonotonicTime = 0.0
+        self.stale_reported = False
         self.ages: list[float] = []  # of what was gone by, when it was superseded or confirmed
 
     # ---- to ask ----
 
     def tick(self, now: MonotonicTime) -> Poll | None:
-        if now < self.due:
+        if now < self.poll_at:
             return None
-        self.due = now + self.terms.poll
-        self.number += 1
-        since = now - REPLY_TIMEOUT_POLLS * self.terms.poll
-        self.open = {n: at for n, at in self.open.items() if at >= since} | {self.number: now}
-        return Poll(self.holder, self.number, self.book.id)
-
-    def news(self, now: MonotonicTime, fence: int, id: Version) -> bool:
+        self.poll_at = now + self.settings.poll
+        self.poll_number += 1
+        since = now - REPLY_TIMEOUT_POLLS * self.settings.poll
+        self.open_polls = {n: at for n, at in self.open_polls.items() if at >= since} | {
+            self.poll_number: now
+        }
+        return Poll(self.holder, self.poll_number, self.book.version)
+
+    def handle_announcement(self, now: MonotonicTime, fence: int, id: Version) -> bool:
         """Somebody says that it publishes; whether it is to be asked."""
-        if fence < self.fence:
+        if fence < self.highest_fence:
             return False
-        self.fence = fence
-        if id > self.book.id:
-            self.due = min(self.due, now)
+        self.highest_fence = fence
+        if id > self.book.version:
+            self.poll_at = min(self.poll_at, now)
         return True
 
     # ---- answers ----
 
-    def standing(self, now: MonotonicTime, said: PollReply) -> bool:
+    def handle_reply(self, now: MonotonicTime, said: PollReply) -> bool:
         """Whether we go by another book now, or again by ours."""
         # Danger: an answer that was long on its way would make an old book count from now.
-        if said.number not in self.open or said.fence < self.fence or said.id < self.book.id:
+        if (
+            said.number not in self.open_polls
+            or said.fence < self.highest_fence
+            or said.version < self.book.version
+        ):
             return False
-        self.fence = said.fence
-        self.answered = said
-        return self._go_by(now)
-
-    def sheet(self, now: MonotonicTime, sheet: BookPage) -> bool:
-        book = self.gathering.add(sheet)
-        if book is not None and self.answered is not None and book.id == self.answered.id:
-            return self._go_by(now, book)
+        self.highest_fence = said.fence
+        self.pending_reply = said
+        return self._adopt(now)
+
+    def handle_page(self, now: MonotonicTime, sheet: BookPage) -> bool:
+        book = self.assembler.add(sheet)
+        if book is not None and self.pending_reply is not None and book.version == self.pending_reply.version:
+            return self._adopt(now, book)
         return False
 
-    def _go_by(self, now: MonotonicTime, book: OrderBook | None = None) -> bool:
-        said = self.answered
-        if said is None or said.number not in self.open:
+    def _adopt(self, now: MonotonicTime, book: OrderBook | None = None) -> bool:
+        said = self.pending_reply
+        if said is None or said.number not in self.open_polls:
             return False
         book = book or self.book
-        if book.id != said.id:
+        if book.version != said.version:
             return False  # its sheets are on their way
-        asked_at = self.open.pop(said.number)
-        self.answered = None
-        before, was_fresh = self.book.id, self.fresh(now)
-        if self.asked_at > -math.inf:
-            self.ages.append(now - self.asked_at)
-        self.book, self.asked_at = book, asked_at
-        self.until = max(self.until, asked_at + min(said.holds, self.terms.most))
-        return before != book.id or not was_fresh
+        asked_at = self.open_polls.pop(said.number)
+        self.pending_reply = None
+        before, was_fresh = self.book.version, self.is_fresh(now)
+        if self.requested_at > -math.inf:
+            self.ages.append(now - self.requested_at)
+        self.book, self.requested_at = book, asked_at
+        self.fresh_until = max(self.fresh_until, asked_at + min(said.lease_s, self.settings.max_lease_s))
+        return before != book.version or not was_fresh
 
     # ---- what holds ----
 
-    def fresh(self, now: MonotonicTime) -> bool:
-        return now < self.until
+    def is_fresh(self, now: MonotonicTime) -> bool:
+        return now < self.fresh_until
 
-    def goes_by(self, now: MonotonicTime) -> OrderBook:
+    def current_book(self, now: MonotonicTime) -> OrderBook:
         """The book that holds here, now."""
-        return self.book if self.fresh(now) or self.terms.keep else OrderBook(NO_VERSION)
+        return self.book if self.is_fresh(now) or self.settings.keep else OrderBook(NO_VERSION)
 
-    def left(self, now: MonotonicTime) -> float:
+    def remaining_lease(self, now: MonotonicTime) -> float:
         """For which an answer to a process beside may say that it holds."""
-        return max(0.0, self.until - now)
+        return max(0.0, self.fresh_until - now)
--- a/roadpulley/fleet/orders/messages.py
+++ b/roadpulley/fleet/orders/messages.py
@@ -87,7 +87,7 @@
         return self.kind, self.scope, self.subject
 
     @property
-    def limits(self) -> bool:
+    def is_limit(self) -> bool:
         return self.kind in ("rate", "open")
 
     @property
@@ -98,7 +98,7 @@
             return name
         return f"{name[:12]}{hashlib.blake2b(name.encode(), digest_size=16).hexdigest()}"
 
-    def limit(self, part: float, open_lease: float) -> Limit:
+    def to_limit(self, part: float, open_lease: float) -> Limit:
         """What allocators give out: `part` of a rate, all that may be open at once."""
         if self.kind == "open":
             return Limit(0.0, float(self.most), open_lease)
@@ -123,18 +123,18 @@
 
 
 class OrderBook(msgspec.Struct, array_like=True, frozen=True):
-    id: Version = NO_VERSION
+    version: Version = NO_VERSION
     orders: tuple[Order, ...] = ()
 
-    def followed(self, wall_ms: int) -> tuple[Order, ...]:
+    def orders_for_follower(self, wall_ms: int) -> tuple[Order, ...]:
         """Those that hold at a follower.
 
         Danger: by its own clock it would end them sooner than others. The publisher ends them, by a book
         without them; this is for who hears none.
         """
-        return self.standing(wall_ms - MAX_CLOCK_SKEW_MS)
+        return self.unexpired_orders(wall_ms - MAX_CLOCK_SKEW_MS)
 
-    def standing(self, wall_ms: int) -> tuple[Order, ...]:
+    def unexpired_orders(self, wall_ms: int) -> tuple[Order, ...]:
         """Those that have not ended, by the publisher's clock."""
         return tuple(o for o in self.orders if not o.ends_ms or o.ends_ms > wall_ms)
 
@@ -155,25 +155,25 @@
     """
 
     promised: int
-    id: Version
+    version: Version
     whole: bool
 
 
 class BookPage(msgspec.Struct, tag="o-sheet", array_like=True, frozen=True):
     """A part of a book. `take`: from the publisher to a keeper, which is to take it up."""
 
-    id: Version
-    sheets: int
+    version: Version
+    page_count: int
     index: int
     orders: tuple[Order, ...]
-    take: bool = False
+    store: bool = False
 
 
 class PublisherAnnouncement(msgspec.Struct, tag="o-news", array_like=True, frozen=True):
     """I publish under this fence; the newest book is this one."""
 
     fence: int
-    id: Version
+    version: Version
 
 
 class Poll(msgspec.Struct, tag="o-poll", array_like=True, frozen=True):
@@ -181,7 +181,7 @@
 
     holder: int
     number: int
-    id: Version
+    version: Version
 
 
 class PollReply(msgspec.Struct, tag="o-standing", array_like=True, frozen=True):
@@ -190,8 +190,8 @@
     holder: int
     number: int
     fence: int
-    id: Version
-    holds: float
+    version: Version
+    lease_s: float
 
 
 class ChangeRequest(msgspec.Struct, tag="o-wish", array_like=True, frozen=True):
@@ -206,8 +206,8 @@
     """What came of it: `id` of the acknowledged book with it, or why not."""
 
     ticket: str
-    id: Version
-    why: str
+    version: Version
+    error: str
 
 
 Body: TypeAlias = (
@@ -226,24 +226,26 @@
     parts = [
         book.orders[n : n + MAX_ORDERS_PER_PAGE] for n in range(0, len(book.orders), MAX_ORDERS_PER_PAGE)
     ] or [()]
-    return [BookPage(book.id, len(parts), n, part, take) for n, part in enumerate(parts)]
+    return [BookPage(book.version, len(parts), n, part, take) for n, part in enumerate(parts)]
 
 
 class PageAssembler:
     """Sheets of one sender, until a book is whole; of several books, the highest."""
 
     def __init__(self) -> None:
-        self.id = NO_VERSION
-        self.found: dict[int, BookPage] = {}
+        self.version = NO_VERSION
+        self.pages: dict[int, BookPage] = {}
 
     def add(self, sheet: BookPage) -> OrderBook | None:
         """The book that this one makes whole."""
         most = math.ceil(MAX_ORDERS / MAX_ORDERS_PER_PAGE)
-        if sheet.id < self.id or not 0 <= sheet.index < sheet.sheets <= most:
+        if sheet.version < self.version or not 0 <= sheet.index < sheet.page_count <= most:
             return None
-        if sheet.id > self.id:
-            self.id, self.found = sheet.id, {}
-        self.found[sheet.index] = sheet
-        if len(self.found) < sheet.sheets:
+        if sheet.version > self.version:
+            self.version, self.pages = sheet.version, {}
+        self.pages[sheet.index] = sheet
+        if len(self.pages) < sheet.page_count:
             return None
-        return OrderBook(self.id, tuple(o for n in range(sheet.sheets) for o in self.found[n].orders))
+        return OrderBook(
+            self.version, tuple(o for n in range(sheet.page_count) for o in self.pages[n].orders)
+        )
--- a/roadpulley/fleet/orders/publisher.py
+++ b/roadpulley/fleet/orders/publisher.py
@@ -32,180 +32,191 @@
 
 class PublisherState(Enum):
     READING = "reading"  # what a majority keeps
-    TAKING = "having it taken"  # the last book made, by a majority
+    REPLICATING = "having it taken"  # the last book made, by a majority
     READY = "ready"
-    OVERTAKEN = "overtaken"  # a higher fence was seen
+    SUPERSEDED = "overtaken"  # a higher fence was seen
 
 
 @dataclass(slots=True)
 class FollowerStatus:
     """A follower, as it polled last."""
 
-    id: Version
-    at: MonotonicTime
+    version: Version
+    polled_at: MonotonicTime
 
 
 class Publisher:
     """`ours`: the highest book known here. `answer`: seconds until a voter is asked again."""
 
-    def __init__(self, fence: int, roll: VoterConfig, ours: OrderBook, answer: float) -> None:
-        self.fence, self.roll, self.book, self.answer = fence, roll, ours, answer
-        self.step = PublisherState.READING
-        self.heard: dict[str, bool] = {}  # voters that were read, and whether their memory is whole
-        self.took: set[str] = set()  # of `book`
-        self.due: dict[str, MonotonicTime] = {}
-        self.patient_until: MonotonicTime | None = None  # since the first look at the time
-        self.waited = False  # long enough for those who follow to have answered
+    def __init__(
+        self, fence: int, roll: VoterConfig, highest_known: OrderBook, retry_interval_s: float
+    ) -> None:
+        self.fence, self.roll, self.book, self.retry_interval_s = fence, roll, highest_known, retry_interval_s
+        self.state = PublisherState.READING
+        self.read_voters: dict[str, bool] = {}  # voters that were read, and whether their memory is whole
+        self.accepted_by: set[str] = set()  # of `book`
+        self.retry_at: dict[str, MonotonicTime] = {}
+        self.full_read_until: MonotonicTime | None = None  # since the first look at the time
+        self.is_full_read_over = False  # long enough for those who follow to have answered
         self.forced = False  # an operator has said to go on with whom there is
-        self.making: ChangeRequest | None = None
-        self.wishes: deque[ChangeRequest] = deque()
-        self.done: dict[str, ChangeOutcome] = {}
+        self.current_change: ChangeRequest | None = None
+        self.queued_changes: deque[ChangeRequest] = deque()
+        self.outcomes: dict[str, ChangeOutcome] = {}
         self.followers: dict[str, FollowerStatus] = {}
-        self.overtaken_by = 0  # a higher fence
+        self.higher_fence = 0  # a higher fence
         self.published: OrderBook | None = None  # the last that was acknowledged under this fence
-        self.recovered = 0  # voters that had lost their memory when a book was read without enough whole ones
+        self.lost_memory_count = (
+            0  # voters that had lost their memory when a book was read without enough whole ones
+        )
 
     # ---- voters ----
 
-    def adopt(self, roll: VoterConfig) -> None:
+    def set_roll(self, roll: VoterConfig) -> None:
         """Other voters count from now on; the new one has nothing yet."""
         self.roll = roll
-        if self.step is PublisherState.READY:
+        if self.state is PublisherState.READY:
             # Danger: the majority that has the book may be none of these voters.
-            self._make(self.book.orders)
+            self._propose(self.book.orders)
 
-    def kept(self, voter: str, keeps: VoterReply, book: OrderBook | None) -> None:
+    def handle_voter_reply(self, voter: str, keeps: VoterReply, book: OrderBook | None) -> None:
         """A voter's answer, or what one that does not vote follows. `book`: where that has come whole."""
-        if keeps.promised > self.fence or keeps.id.fence > self.fence:
-            self.step, self.overtaken_by = PublisherState.OVERTAKEN, max(keeps.promised, keeps.id.fence)
+        if keeps.promised > self.fence or keeps.version.fence > self.fence:
+            self.state, self.higher_fence = (
+                PublisherState.SUPERSEDED,
+                max(keeps.promised, keeps.version.fence),
+            )
             return
-        if self.step is PublisherState.READING:
-            if keeps.id > self.book.id:
-                if book is None or book.id != keeps.id:
+        if self.state is PublisherState.READING:
+            if keeps.version > self.book.version:
+                if book is None or book.version != keeps.version:
                     return  # Danger: read without its book, a newer one than ours would be undone
                 self.book = book
             if keeps.promised == self.fence:
-                self.heard[voter] = keeps.whole
-        elif keeps.id == self.book.id and keeps.whole:
-            self.took.add(voter)
-        self._look()
-
-    def _look(self) -> None:
-        if self.step is PublisherState.READING and self._read():
-            self.recovered = 0 if self._enough(self._whole()) else self._blank()
-            self._make(self.book.orders)
-        elif self.step is PublisherState.TAKING and self._enough(self.took):
-            self.step, self.published = PublisherState.READY, self.book
-            if self.making is not None:
-                self.recovered = 0
-                self._end(self.making, "")
-            self._next()
-
-    def _read(self) -> bool:
-        if self._enough(self._whole()):
+                self.read_voters[voter] = keeps.whole
+        elif keeps.version == self.book.version and keeps.whole:
+            self.accepted_by.add(voter)
+        self._advance()
+
+    def _advance(self) -> None:
+        if self.state is PublisherState.READING and self._has_read_enough():
+            self.lost_memory_count = (
+                0 if self._has_majority(self._voters_with_memory()) else self._count_lost_memory()
+            )
+            self._propose(self.book.orders)
+        elif self.state is PublisherState.REPLICATING and self._has_majority(self.accepted_by):
+            self.state, self.published = PublisherState.READY, self.book
+            if self.current_change is not None:
+                self.lost_memory_count = 0
+                self._finish_change(self.current_change, "")
+            self._start_next_change()
+
+    def _has_read_enough(self) -> bool:
+        if self._has_majority(self._voters_with_memory()):
             return True
         # Danger: with some that lost their memory, one that is out of reach may alone know the newest book.
         # So all voters are waited for, and for who follows: they show what was acknowledged.
-        return self.waited and (self.everyone() <= set(self.heard) or self._forced())
+        return self.is_full_read_over and (self.all_voters() <= set(self.read_voters) or self._can_force())
 
-    def _forced(self) -> bool:
-        return self.forced and self._enough(set(self.heard))
+    def _can_force(self) -> bool:
+        return self.forced and self._has_majority(set(self.read_voters))
 
-    def _whole(self) -> set[str]:
-        return {voter for voter, whole in self.heard.items() if whole}
+    def _voters_with_memory(self) -> set[str]:
+        return {voter for voter, whole in self.read_voters.items() if whole}
 
-    def _blank(self) -> int:
-        return len(self.everyone() & set(self.heard) - self._whole())
+    def _count_lost_memory(self) -> int:
+        return len(self.all_voters() & set(self.read_voters) - self._voters_with_memory())
 
-    def _enough(self, names: set[str]) -> bool:
+    def _has_majority(self, names: set[str]) -> bool:
         rolls: tuple[Mapping[str, str], ...] = (self.roll.before, self.roll.voters)
         return all(len(names & set(voters)) >= majority_size(voters) for voters in rolls)
 
-    def everyone(self) -> set[str]:
+    def all_voters(self) -> set[str]:
         return {*self.roll.before, *self.roll.voters}
 
     def force(self) -> None:
         """Go on although too few voters have their memory: what only others knew is lost."""
         self.forced = True
-        self._look()
+        self._advance()
 
     # ---- books ----
 
-    def _make(self, orders: tuple[Order, ...]) -> None:
+    def _propose(self, orders: tuple[Order, ...]) -> None:
         # Danger: numbers go on from the book before, so that no two books have one version.
-        self.book = OrderBook(Version(self.fence, self.book.id.number + 1), orders)
-        self.step, self.took, self.due = PublisherState.TAKING, set(), {}
+        self.book = OrderBook(Version(self.fence, self.book.version.number + 1), orders)
+        self.state, self.accepted_by, self.retry_at = PublisherState.REPLICATING, set(), {}
 
-    def wish(self, wish: ChangeRequest) -> ChangeOutcome | None:
+    def submit(self, wish: ChangeRequest) -> ChangeOutcome | None:
         """An operator's call; its outcome where that is known."""
-        if known := self.done.get(wish.ticket):
+        if known := self.outcomes.get(wish.ticket):
             return known
         if not wish.lift and (why := validate_order(wish.order)):
-            return self._end(wish, why)
-        if len(self.wishes) >= MAX_QUEUED_CHANGES:
-            return ChangeOutcome(wish.ticket, self.book.id, "too many calls wait; try again")
-        waiting = [*self.wishes, *([self.making] if self.making else [])]
+            return self._finish_change(wish, why)
+        if len(self.queued_changes) >= MAX_QUEUED_CHANGES:
+            return ChangeOutcome(wish.ticket, self.book.version, "too many calls wait; try again")
+        waiting = [*self.queued_changes, *([self.current_change] if self.current_change else [])]
         if all(wish.ticket != other.ticket for other in waiting):
-            self.wishes.append(wish)
-        self._next()
-        return self.done.get(wish.ticket)
+            self.queued_changes.append(wish)
+        self._start_next_change()
+        return self.outcomes.get(wish.ticket)
 
-    def _next(self) -> None:
-        while self.wishes and self.step is PublisherState.READY:
-            self.making = wish = self.wishes.popleft()
+    def _start_next_change(self) -> None:
+        while self.queued_changes and self.state is PublisherState.READY:
+            self.current_change = wish = self.queued_changes.popleft()
             others = tuple(o for o in self.book.orders if o.key != wish.order.key)
             if any(o.ticket == wish.ticket for o in self.book.orders):
-                self._end(wish, "")  # the publisher before had it taken, and could not say so
+                self._finish_change(wish, "")  # the publisher before had it taken, and could not say so
             elif wish.lift and len(others) == len(self.book.orders):
-                self._end(wish, "there is no such order")
+                self._finish_change(wish, "there is no such order")
             elif not wish.lift and len(others) >= MAX_ORDERS:
-                self._end(wish, f"there are {MAX_ORDERS} orders already; lift one")
+                self._finish_change(wish, f"there are {MAX_ORDERS} orders already; lift one")
             else:
-                self._make(others if wish.lift else (*others, wish.order))
-
-    def _end(self, wish: ChangeRequest, why: str) -> ChangeOutcome:
-        if self.making is wish:
-            self.making = None
-        outcome = self.done[wish.ticket] = ChangeOutcome(wish.ticket, self.book.id, why)
-        while len(self.done) > MAX_REMEMBERED_OUTCOMES:
-            del self.done[next(iter(self.done))]
+                self._propose(others if wish.lift else (*others, wish.order))
+
+    def _finish_change(self, wish: ChangeRequest, why: str) -> ChangeOutcome:
+        if self.current_change is wish:
+            self.current_change = None
+        outcome = self.outcomes[wish.ticket] = ChangeOutcome(wish.ticket, self.book.version, why)
+        while len(self.outcomes) > MAX_REMEMBERED_OUTCOMES:
+            del self.outcomes[next(iter(self.outcomes))]
         return outcome
 
     # ---- followers ----
 
-    def polled(self, now: MonotonicTime, name: str, id: Version) -> None:
+    def record_poll(self, now: MonotonicTime, name: str, id: Version) -> None:
         self.followers[name] = FollowerStatus(id, now)
 
-    def following(self, now: MonotonicTime) -> tuple[int, int]:
+    def count_followers(self, now: MonotonicTime) -> tuple[int, int]:
         """Instances that go by the newest book, and those that polled lately."""
-        there = [seen for seen in self.followers.values() if now - seen.at < FOLLOWER_TIMEOUT_S]
-        return sum(seen.id == self.book.id for seen in there), len(there)
+        there = [seen for seen in self.followers.values() if now - seen.polled_at < FOLLOWER_TIMEOUT_S]
+        return sum(seen.version == self.book.version for seen in there), len(there)
 
     # ---- time ----
 
     def tick(self, now: MonotonicTime, wall_ms: int) -> list[str]:
         """Voters to be looked at, while it reads; else those that are to take the book."""
-        if self.step is PublisherState.OVERTAKEN:
+        if self.state is PublisherState.SUPERSEDED:
             return []
-        if not self.waited:
-            self.patient_until = self.patient_until or now + FULL_READ_TIMEOUT_RATIO * self.answer
-            self.waited = now >= self.patient_until
-            self._look()
-        if self.step is PublisherState.READY:
-            standing = self.book.standing(wall_ms)
+        if not self.is_full_read_over:
+            self.full_read_until = (
+                self.full_read_until or now + FULL_READ_TIMEOUT_RATIO * self.retry_interval_s
+            )
+            self.is_full_read_over = now >= self.full_read_until
+            self._advance()
+        if self.state is PublisherState.READY:
+            standing = self.book.unexpired_orders(wall_ms)
             if len(standing) < len(self.book.orders):
-                self._make(standing)
-        over = set(self.heard) if self.step is PublisherState.READING else self.took
-        again = self.answer * (READY_RETRY_RATIO if self.step is PublisherState.READY else 1.0)
-        due = [v for v in sorted(self.everyone() - over) if now >= self.due.get(v, 0.0)]
-        self.due |= dict.fromkeys(due, now + again)
+                self._propose(standing)
+        over = set(self.read_voters) if self.state is PublisherState.READING else self.accepted_by
+        again = self.retry_interval_s * (READY_RETRY_RATIO if self.state is PublisherState.READY else 1.0)
+        due = [v for v in sorted(self.all_voters() - over) if now >= self.retry_at.get(v, 0.0)]
+        self.retry_at |= dict.fromkeys(due, now + again)
         return due
 
-    def missing(self) -> str:
+    def describe_wait(self) -> str:
         """What it waits for, for people."""
-        if self.step is not PublisherState.READING:
+        if self.state is not PublisherState.READING:
             return ""
-        silent, blank = sorted(self.everyone() - set(self.heard)), self._blank()
+        silent, blank = sorted(self.all_voters() - set(self.read_voters)), self._count_lost_memory()
         if not blank:
-            return f"a majority of {', '.join(sorted(self.everyone()))}"
+            return f"a majority of {', '.join(sorted(self.all_voters()))}"
         return f"{', '.join(silent)}: {blank} voters have lost their memory, and these may know a newer book"
--- a/roadpulley/fleet/orders/service.py
+++ b/roadpulley/fleet/orders/service.py
@@ -53,8 +53,8 @@
 class OperatorCall:
     """One call of an operator at this instance, until its outcome is known."""
 
-    def __init__(self, wish: ChangeRequest, now: MonotonicTime) -> None:
-        self.wish, self.began, self.due = wish, now, now
+    def __init__(self, change: ChangeRequest, now: MonotonicTime) -> None:
+        self.change, self.started_at, self.retry_at = change, now, now
         self.outcome: ChangeOutcome | None = None
 
 
@@ -64,44 +64,56 @@
     def __init__(
         self,
         settings: OrderSettings,
-        keeper: Voter,
+        voter: Voter,
         name: str,
-        beside: WorkerSocket,
+        local_processes: WorkerSocket,
         works: Mapping[str, Any],
         clock: Clock,
-        answer: float,
-        tell: Callable[[Route, Any], None],
-        to: Callable[[str], Route | None],
-        everybody: Callable[[], Iterable[Route]],
-        roll: Callable[[], VoterConfig],
-        soon: Callable[[Callable[[], None]], None],
-        changed: Callable[[], None],
+        retry_interval_s: float,
+        send: Callable[[Route, Any], None],
+        route_to_voter: Callable[[str], Route | None],
+        peer_routes: Callable[[], Iterable[Route]],
+        get_roll: Callable[[], VoterConfig],
+        call_in_loop: Callable[[Callable[[], None]], None],
+        on_change: Callable[[], None],
     ) -> None:
-        self.settings, self.keeper, self.name, self.beside = settings, keeper, name, beside
-        self.clock, self.answer, self.tell, self.to = clock, answer, tell, to
-        self.everybody, self.roll, self.soon, self.changed = everybody, roll, soon, changed
-        self.follower = Follower(settings.terms)
+        self.settings, self.voter, self.name, self.local_processes = settings, voter, name, local_processes
+        self.clock, self.answer, self.send, self.route_to_voter = (
+            clock,
+            retry_interval_s,
+            send,
+            route_to_voter,
+        )
+        self.peer_routes, self.get_roll, self.call_in_loop, self.on_change = (
+            peer_routes,
+            get_roll,
+            call_in_loop,
+            on_change,
+        )
+        self.follower = Follower(settings.follower)
         self.duty: HeldDuty | None = None
         self.publisher: Publisher | None = None
         # The publisher that was heard last. Danger: it may take this instance for dead and tell it nothing.
         # It is asked all the same, until a later one is heard of.
-        self.where: Route | None = None
-        self.keeping: dict[Route, PageAssembler] = {}  # sheets that this keeper is to take
-        self.shown: dict[str, PageAssembler] = {}  # sheets that voters show
-        self.said: dict[str, tuple[VoterReply, OrderBook | None]] = {}
+        self.publisher_route: Route | None = None
+        self.incoming_books: dict[Route, PageAssembler] = {}  # sheets that this keeper is to take
+        self.voter_pages: dict[str, PageAssembler] = {}  # sheets that voters show
+        self.voter_replies: dict[str, tuple[VoterReply, OrderBook | None]] = {}
         self.calls: dict[str, OperatorCall] = {}
-        self.askers: dict[str, Route] = {}  # by ticket, who waits for an outcome of this publisher
+        self.outcome_routes: dict[str, Route] = {}  # by ticket, who waits for an outcome of this publisher
         self.ages: deque[float] = deque(maxlen=MAX_AGE_SAMPLES)
         self.counts: Counter[str] = Counter()
-        self.fresh = False
-        self.standing: tuple[Order, ...] = ()  # the orders that hold here
-        self.news_at: MonotonicTime = 0.0
-        self.ask_all_at: MonotonicTime = 0.0  # those who don't vote, too: while it reads
+        self.was_fresh = False
+        self.active_orders: tuple[Order, ...] = ()  # the orders that hold here
+        self.announce_at: MonotonicTime = 0.0
+        self.query_all_at: MonotonicTime = 0.0  # those who don't vote, too: while it reads
         self.task: asyncio.Task[None] | None = None
         self.work = next((work for work in works.values() if isinstance(work, PublisherWork)), None)
         if self.work is not None:
-            self.work.begins = self._begins
-            self.work.highest = lambda: max(self.follower.book.id.fence, self.follower.fence)
+            self.work.on_start = self._on_duty_started
+            self.work.highest_fence = lambda: max(
+                self.follower.book.version.fence, self.follower.highest_fence
+            )
 
     # ---- life ----
 
@@ -119,43 +131,45 @@
 
     def _tick(self) -> None:
         now = self.clock.now()
-        if publisher := self._publishing():
-            self._publish(now, publisher)
+        if publisher := self._active_publisher():
+            self._run_publisher(now, publisher)
         if poll := self.follower.tick(now):
-            self._poll(now, poll)
+            self._send_poll(now, poll)
         for call in list(self.calls.values()):
-            self._try(now, call)
-        self._look(now)
+            self._try_call(now, call)
+        self._update_active_orders(now)
 
-    def _look(self, now: MonotonicTime) -> None:
+    def _update_active_orders(self, now: MonotonicTime) -> None:
         """Whether other orders hold here now, also as some have ended or none are heard any more."""
-        fresh, book = self.follower.fresh(now), self.follower.goes_by(now)
-        standing = book.followed(wall_ms())
-        if fresh != self.fresh and self.follower.book.id != NO_VERSION:
+        fresh, book = self.follower.is_fresh(now), self.follower.current_book(now)
+        standing = book.orders_for_follower(wall_ms())
+        if fresh != self.was_fresh and self.follower.book.version != NO_VERSION:
             words = "orders are followed" if fresh else "no publisher of orders is heard"
-            kept = "kept" if self.settings.terms.keep else "let go"
-            log.info(words, id=list(book.id), orders=len(standing), **({} if fresh else {"they_are": kept}))
+            kept = "kept" if self.settings.follower.keep else "let go"
+            log.info(
+                words, id=list(book.version), orders=len(standing), **({} if fresh else {"they_are": kept})
+            )
         self.ages.extend(self.follower.ages)
         self.follower.ages.clear()
-        self.fresh = fresh
-        if standing != self.standing:
-            self.standing = standing
-            log.info("orders", id=list(book.id), orders=len(standing))
-            self.changed()
+        self.was_fresh = fresh
+        if standing != self.active_orders:
+            self.active_orders = standing
+            log.info("orders", id=list(book.version), orders=len(standing))
+            self.on_change()
 
     # ---- to publish ----
 
-    def _begins(self, duty: HeldDuty) -> None:
+    def _on_duty_started(self, duty: HeldDuty) -> None:
         """From the thread of the work."""
-        self.soon(lambda: self._begin(duty))
+        self.call_in_loop(lambda: self._start_publisher(duty))
 
-    def _begin(self, duty: HeldDuty) -> None:
-        ours = max(self.follower.book, self.keeper.kept.book, key=lambda b: b.id)
-        self.duty, self.publisher = duty, Publisher(duty.fence, self.roll(), ours, self.answer)
-        self.shown, self.said, self.askers = {}, {}, {}
-        log.info("publishes orders", fence=duty.fence, knows=list(ours.id))
+    def _start_publisher(self, duty: HeldDuty) -> None:
+        ours = max(self.follower.book, self.voter.state.book, key=lambda b: b.version)
+        self.duty, self.publisher = duty, Publisher(duty.fence, self.get_roll(), ours, self.answer)
+        self.voter_pages, self.voter_replies, self.outcome_routes = {}, {}, {}
+        log.info("publishes orders", fence=duty.fence, knows=list(ours.version))
 
-    def _publishing(self) -> Publisher | None:
+    def _active_publisher(self) -> Publisher | None:
         """While the duty is ours.
 
         Danger: this may be out of date the moment after. What is sent then goes under our fence: voters that
@@ -166,180 +180,182 @@
             return None
         return self.publisher
 
-    def _publish(self, now: MonotonicTime, publisher: Publisher) -> None:
-        if publisher.roll.id != self.roll().id:
-            publisher.adopt(self.roll())
+    def _run_publisher(self, now: MonotonicTime, publisher: Publisher) -> None:
+        if publisher.roll.id != self.get_roll().id:
+            publisher.set_roll(self.get_roll())
         for voter in publisher.tick(now, wall_ms()):
-            for body in self._asks(publisher):
-                self._to_voter(voter, body)
-        if publisher.step is PublisherState.READING and now >= self.ask_all_at:
-            self.ask_all_at = now + self.answer
-            for route in self.everybody():
-                self.tell(route, PrepareRequest(publisher.fence))
-        if publisher.published is not None and now >= self.news_at:
-            self.news_at = now + ANNOUNCE_INTERVAL_S
-            self._news(publisher, publisher.published.id)
-
-    def _asks(self, publisher: Publisher) -> list[PrepareRequest | BookPage]:
-        if publisher.step is PublisherState.READING:
+            for body in self._voter_requests(publisher):
+                self._send_to_voter(voter, body)
+        if publisher.state is PublisherState.READING and now >= self.query_all_at:
+            self.query_all_at = now + self.answer
+            for route in self.peer_routes():
+                self.send(route, PrepareRequest(publisher.fence))
+        if publisher.published is not None and now >= self.announce_at:
+            self.announce_at = now + ANNOUNCE_INTERVAL_S
+            self._announce(publisher, publisher.published.version)
+
+    def _voter_requests(self, publisher: Publisher) -> list[PrepareRequest | BookPage]:
+        if publisher.state is PublisherState.READING:
             return [PrepareRequest(publisher.fence)]
         return list(split_into_pages(publisher.book, take=True))
 
-    def _news(self, publisher: Publisher, id: Version) -> None:
-        for route in self.everybody():
-            self.tell(route, PublisherAnnouncement(publisher.fence, id))
+    def _announce(self, publisher: Publisher, id: Version) -> None:
+        for route in self.peer_routes():
+            self.send(route, PublisherAnnouncement(publisher.fence, id))
 
-    def _to_voter(self, voter: str, body: PrepareRequest | BookPage) -> None:
+    def _send_to_voter(self, voter: str, body: PrepareRequest | BookPage) -> None:
         if voter == self.name:
-            asyncio.get_running_loop().call_soon(self._ourselves, body)
-        elif route := self.to(voter):
-            self.tell(route, body)
+            asyncio.get_running_loop().call_soon(self._handle_own_request, body)
+        elif route := self.route_to_voter(voter):
+            self.send(route, body)
 
-    def _ourselves(self, body: PrepareRequest | BookPage) -> None:
-        for answer in self._kept(("", 0), body):
-            self._answered(self.name, answer)
+    def _handle_own_request(self, body: PrepareRequest | BookPage) -> None:
+        for retry_interval_s in self._handle_publisher_request(("", 0), body):
+            self._handle_voter_message(self.name, retry_interval_s)
 
-    def _answered(self, voter: str, body: VoterReply | BookPage) -> None:
+    def _handle_voter_message(self, voter: str, body: VoterReply | BookPage) -> None:
         """What a voter keeps; the last of its sheets may come after the word."""
-        publisher = self._publishing()
+        publisher = self._active_publisher()
         if publisher is None:
             return
         if isinstance(body, BookPage):
-            book = self.shown.setdefault(voter, PageAssembler()).add(body)
-            keeps = self.said[voter][0] if voter in self.said else None
+            book = self.voter_pages.setdefault(voter, PageAssembler()).add(body)
+            keeps = self.voter_replies[voter][0] if voter in self.voter_replies else None
             if book is None or keeps is None:
                 return
-            self.said[voter] = keeps, book
+            self.voter_replies[voter] = keeps, book
         else:
-            book = self.said[voter][1] if voter in self.said else None
-            self.said[voter] = body, book
+            book = self.voter_replies[voter][1] if voter in self.voter_replies else None
+            self.voter_replies[voter] = body, book
         before = publisher.published
-        publisher.kept(voter, *self.said[voter])
-        if publisher.step is PublisherState.OVERTAKEN:
+        publisher.handle_voter_reply(voter, *self.voter_replies[voter])
+        if publisher.state is PublisherState.SUPERSEDED:
             log.warning("a higher fence publishes orders", fence=publisher.fence, voter=voter)
             if self.work is not None:
-                self.work.low = publisher.overtaken_by
+                self.work.higher_fence = publisher.higher_fence
         elif publisher.published is not None and publisher.published is not before:
-            self._published(publisher, publisher.published)
+            self._handle_published(publisher, publisher.published)
 
-    def _published(self, publisher: Publisher, book: OrderBook) -> None:
-        lost = publisher.recovered  # voters without a memory, where too few had theirs
-        log.info("orders are acknowledged", id=list(book.id), orders=len(book.orders), lost=lost)
-        self.follower.news(self.clock.now(), publisher.fence, book.id)
-        self._news(publisher, book.id)
+    def _handle_published(self, publisher: Publisher, book: OrderBook) -> None:
+        lost = publisher.lost_memory_count  # voters without a memory, where too few had theirs
+        log.info("orders are acknowledged", id=list(book.version), orders=len(book.orders), lost=lost)
+        self.follower.handle_announcement(self.clock.now(), publisher.fence, book.version)
+        self._announce(publisher, book.version)
         for ticket in list(self.calls):
-            if outcome := publisher.done.get(ticket):
-                self._known(outcome)
-        for ticket, route in list(self.askers.items()):
-            if outcome := publisher.done.get(ticket):
-                del self.askers[ticket]
-                self.tell(route, outcome)  # lost, it is asked for again
+            if outcome := publisher.outcomes.get(ticket):
+                self._record_outcome(outcome)
+        for ticket, route in list(self.outcome_routes.items()):
+            if outcome := publisher.outcomes.get(ticket):
+                del self.outcome_routes[ticket]
+                self.send(route, outcome)  # lost, it is asked for again
 
     # ---- a voter ----
 
-    def _kept(self, route: Route, body: PrepareRequest | BookPage) -> list[VoterReply | BookPage]:
+    def _handle_publisher_request(
+        self, route: Route, body: PrepareRequest | BookPage
+    ) -> list[VoterReply | BookPage]:
         if isinstance(body, PrepareRequest):
-            keeps = self.keeper.looked(body.fence)
+            keeps = self.voter.prepare(body.fence)
             if keeps is None:
                 return []
             # What this instance follows is acknowledged: it counts where voters have lost their memory.
-            best = max(self.keeper.kept.book, self.follower.book, key=lambda b: b.id)
-            return [VoterReply(keeps.promised, best.id, keeps.whole), *split_into_pages(best)]
-        book = self.keeping.setdefault(route, PageAssembler()).add(body)
+            best = max(self.voter.state.book, self.follower.book, key=lambda b: b.version)
+            return [VoterReply(keeps.promised, best.version, keeps.whole), *split_into_pages(best)]
+        book = self.incoming_books.setdefault(route, PageAssembler()).add(body)
         if book is None:
             return []
-        del self.keeping[route]
-        keeps = self.keeper.told(book)
+        del self.incoming_books[route]
+        keeps = self.voter.accept(book)
         return [keeps] if keeps else []
 
     # ---- to follow ----
 
-    def _poll(self, now: MonotonicTime, poll: Poll) -> None:
-        if self._publishing() is not None:
-            self._standing(now, poll, self.name, lambda body: self._heard_standing(body))
-        elif self.where is not None:
-            self.tell(self.where, poll)
+    def _send_poll(self, now: MonotonicTime, poll: Poll) -> None:
+        if self._active_publisher() is not None:
+            self._answer_poll(now, poll, self.name, lambda body: self._handle_poll_message(body))
+        elif self.publisher_route is not None:
+            self.send(self.publisher_route, poll)
 
-    def _standing(
+    def _answer_poll(
         self, now: MonotonicTime, poll: Poll, name: str, say: Callable[[PollReply | BookPage], None]
     ) -> None:
         """Answer one who follows, as the publisher."""
-        publisher = self._publishing()
+        publisher = self._active_publisher()
         if publisher is None or publisher.published is None:
             return
-        publisher.polled(now, name, poll.id)
+        publisher.record_poll(now, name, poll.version)
         book = publisher.published
-        say(PollReply(poll.holder, poll.number, publisher.fence, book.id, self.settings.terms.holds))
-        if poll.id != book.id:
+        say(PollReply(poll.holder, poll.number, publisher.fence, book.version, self.settings.follower.holds))
+        if poll.version != book.version:
             for sheet in split_into_pages(book):
                 say(sheet)
 
-    def _heard_standing(self, body: PollReply | BookPage) -> None:
+    def _handle_poll_message(self, body: PollReply | BookPage) -> None:
         now = self.clock.now()
         if isinstance(body, PollReply):
-            changed = self.follower.standing(now, body)
+            changed = self.follower.handle_reply(now, body)
         else:
-            changed = self.follower.sheet(now, body)
+            changed = self.follower.handle_page(now, body)
         if changed:
-            self._look(now)
+            self._update_active_orders(now)
 
     # ---- between instances ----
 
-    def heard(self, route: Route, name: str, body: Body) -> None:
+    def handle_message(self, route: Route, name: str, body: Body) -> None:
         """A body of another instance; `name` says which."""
         now = self.clock.now()
         match body:
             case PublisherAnnouncement():
-                if self.follower.news(now, body.fence, body.id):
-                    self.where = route
+                if self.follower.handle_announcement(now, body.fence, body.version):
+                    self.publisher_route = route
                 else:
                     self.counts["words of an earlier publisher"] += 1
             case Poll():
-                self._standing(now, body, name, lambda answer: self.tell(route, answer))
+                self._answer_poll(now, body, name, lambda answer: self.send(route, answer))
             case PollReply():
-                self._heard_standing(body)
+                self._handle_poll_message(body)
             case ChangeRequest():
-                if outcome := self._wished(body):
-                    self.tell(route, outcome)
+                if outcome := self._submit_to_publisher(body):
+                    self.send(route, outcome)
                 else:
-                    self.askers[body.ticket] = route
+                    self.outcome_routes[body.ticket] = route
             case ChangeOutcome():
-                self._known(body)
+                self._record_outcome(body)
             case VoterReply():
-                self._answered(name, body)
+                self._handle_voter_message(name, body)
             case PrepareRequest():
-                for answer in self._kept(route, body):
-                    self.tell(route, answer)
+                for answer in self._handle_publisher_request(route, body):
+                    self.send(route, answer)
             case BookPage():
-                self._sheet(route, name, body)
+                self._handle_page(route, name, body)
 
-    def _sheet(self, route: Route, name: str, sheet: BookPage) -> None:
-        if sheet.take:
-            for answer in self._kept(route, sheet):
-                self.tell(route, answer)
+    def _handle_page(self, route: Route, name: str, sheet: BookPage) -> None:
+        if sheet.store:
+            for answer in self._handle_publisher_request(route, sheet):
+                self.send(route, answer)
             return
         if self.publisher is not None:
-            self._answered(name, sheet)
-        self._heard_standing(sheet)
+            self._handle_voter_message(name, sheet)
+        self._handle_poll_message(sheet)
 
     # ---- the processes beside ----
 
-    def beside_said(self, poll: Poll) -> None:
+    def handle_local_poll(self, poll: Poll) -> None:
         """A process beside follows this instance, for no longer than this instance itself may."""
-        now, book = self.clock.now(), self.follower.goes_by(self.clock.now())
-        holds = self.follower.left(now)
-        said = PollReply(poll.holder, poll.number, book.id.fence, book.id, holds)
-        self.beside.send_to(poll.holder, said)
-        if poll.id != book.id:
+        now, book = self.clock.now(), self.follower.current_book(self.clock.now())
+        holds = self.follower.remaining_lease(now)
+        said = PollReply(poll.holder, poll.number, book.version.fence, book.version, holds)
+        self.local_processes.send_to(poll.holder, said)
+        if poll.version != book.version:
             for sheet in split_into_pages(book):
-                self.beside.send_to(poll.holder, sheet)
+                self.local_processes.send_to(poll.holder, sheet)
 
     # ---- operators ----
 
-    def call(self, order: Order, lift: bool) -> dict[str, Any]:
+    def submit(self, order: Order, lift: bool) -> dict[str, Any]:
         """Begin an operator's call; `status` tells what came of it."""
         now, ticket = self.clock.now(), secrets.token_hex(8)
-        self.calls = {t: c for t, c in self.calls.items() if now - c.began < 2 * CALL_TIMEOUT_S}
+        self.calls = {t: c for t, c in self.calls.items() if now - c.started_at < 2 * CALL_TIMEOUT_S}
         if len(self.calls) >= MAX_CALLS:
             return {"error": "too many calls at once: try again"}
         fields = {name: getattr(order, name) for name in order.__struct_fields__}
@@ -354,65 +370,67 @@
         if call is None:
             return {"step": "unknown", "ticket": ticket, "why": "it is not known here any more"}
         if call.outcome is None:
-            over = self.clock.now() - call.began > CALL_TIMEOUT_S
-            why = "no publisher answers; whether it is ordered is not known" if over else self._waits()
+            over = self.clock.now() - call.started_at > CALL_TIMEOUT_S
+            why = (
+                "no publisher answers; whether it is ordered is not known" if over else self._describe_wait()
+            )
             return {"step": "failed" if over else "waiting", "ticket": ticket, "why": why}
         outcome = call.outcome
-        step = "failed" if outcome.why else "done"
-        return {"step": step, "ticket": ticket, "why": outcome.why, "id": list(outcome.id)}
+        step = "failed" if outcome.error else "done"
+        return {"step": step, "ticket": ticket, "why": outcome.error, "id": list(outcome.version)}
 
-    def _waits(self) -> str:
+    def _describe_wait(self) -> str:
         if self.publisher is not None:
-            return f"{self.publisher.step.value} {self.publisher.missing()}".strip()
-        return "for the publisher" if self.where else "for a publisher: none was heard"
+            return f"{self.publisher.state.value} {self.publisher.describe_wait()}".strip()
+        return "for the publisher" if self.publisher_route else "for a publisher: none was heard"
 
-    def _try(self, now: MonotonicTime, call: OperatorCall) -> None:
-        if call.outcome is not None or now < call.due or now - call.began > CALL_TIMEOUT_S:
+    def _try_call(self, now: MonotonicTime, call: OperatorCall) -> None:
+        if call.outcome is not None or now < call.retry_at or now - call.started_at > CALL_TIMEOUT_S:
             return
-        call.due = now + CALL_RETRY_INTERVAL_S
-        if self._publishing() is not None:
-            if outcome := self._wished(call.wish):
-                self._known(outcome)
-        elif self.where is not None:
-            self.tell(self.where, call.wish)
-
-    def _wished(self, wish: ChangeRequest) -> ChangeOutcome | None:
-        publisher = self._publishing()
+        call.retry_at = now + CALL_RETRY_INTERVAL_S
+        if self._active_publisher() is not None:
+            if outcome := self._submit_to_publisher(call.change):
+                self._record_outcome(outcome)
+        elif self.publisher_route is not None:
+            self.send(self.publisher_route, call.change)
+
+    def _submit_to_publisher(self, wish: ChangeRequest) -> ChangeOutcome | None:
+        publisher = self._active_publisher()
         if publisher is None:
             return None
-        outcome = publisher.wish(wish)
-        self._publish(self.clock.now(), publisher)
+        outcome = publisher.submit(wish)
+        self._run_publisher(self.clock.now(), publisher)
         return outcome
 
-    def _known(self, outcome: ChangeOutcome) -> None:
+    def _record_outcome(self, outcome: ChangeOutcome) -> None:
         if call := self.calls.get(outcome.ticket):
             call.outcome = call.outcome or outcome
 
     def force(self) -> dict[str, Any]:
         """Have the publisher, if it is here, go on without the voters whose memory it waits for."""
-        publisher = self._publishing()
+        publisher = self._active_publisher()
         if publisher is not None:
             publisher.force()
         return {"done": publisher is not None, "instance": self.name}
 
     def report(self) -> dict[str, Any]:
         now, follower = self.clock.now(), self.follower
-        book, wall = follower.goes_by(now), wall_ms()
+        book, wall = follower.current_book(now), wall_ms()
         found: dict[str, Any] = {
-            "id": list(book.id),
-            "known": "newest" if follower.fresh(now) else "not heard lately",
-            "age_s": round(now - follower.asked_at, 2) if follower.asked_at > 0 else None,
-            "cut_off": "keep" if self.settings.terms.keep else "let-go",
-            "orders": [format_order(order, wall) for order in book.followed(wall)],
+            "id": list(book.version),
+            "known": "newest" if follower.is_fresh(now) else "not heard lately",
+            "age_s": round(now - follower.requested_at, 2) if follower.requested_at > 0 else None,
+            "cut_off": "keep" if self.settings.follower.keep else "let-go",
+            "orders": [format_order(order, wall) for order in book.orders_for_follower(wall)],
             "counts": dict(self.counts),
         }
-        if publisher := self._publishing():
-            same, there = publisher.following(now)
+        if publisher := self._active_publisher():
+            same, there = publisher.count_followers(now)
             found["publishes"] = {
                 "fence": publisher.fence,
-                "step": publisher.step.value,
-                "waits_for": publisher.missing(),
-                "id": list(publisher.book.id),
+                "step": publisher.state.value,
+                "waits_for": publisher.describe_wait(),
+                "id": list(publisher.book.version),
                 "follow_it": same,
                 "polled_lately": there,
             }
--- a/roadpulley/fleet/orders/settings.py
+++ b/roadpulley/fleet/orders/settings.py
@@ -15,8 +15,8 @@
 class OrderSettings:
     """`open_lease`: seconds that a right to have something open lasts; requests have to end within it."""
 
-    terms: FollowerSettings
-    open_lease: float
+    follower: FollowerSettings
+    open_lease_s: float
 
 
 def read_order_settings(table: Table, drift: float) -> OrderSettings:
--- a/roadpulley/fleet/orders/work.py
+++ b/roadpulley/fleet/orders/work.py
@@ -14,21 +14,21 @@
     """`begins` and `highest` are the instance's own: the loop of the instance does all else."""
 
     def __init__(self) -> None:
-        self.begins: Callable[[HeldDuty], None] | None = None
-        self.highest: Callable[[], int] = lambda: 0
+        self.on_start: Callable[[HeldDuty], None] | None = None
+        self.highest_fence: Callable[[], int] = lambda: 0
         self.duty: HeldDuty | None = None
-        self.low = 0  # a higher fence that voters have promised
+        self.higher_fence = 0  # a higher fence that voters have promised
 
     def claim(self, fence: int, owner: str) -> int | None:
         """Voters refuse a fence below one that they promised; what is known of that here is told at once."""
-        highest = self.highest()
+        highest = self.highest_fence()
         return highest if highest >= fence else None
 
     def act(self, duty: HeldDuty) -> float | None:
-        if duty is not self.duty and self.begins is not None:
+        if duty is not self.duty and self.on_start is not None:
             self.duty = duty
-            self.begins(duty)
-        if self.low > duty.fence:
+            self.on_start(duty)
+        if self.higher_fence > duty.fence:
             # Danger: a fence that voters refuse would be held, and renewed, while nobody publishes.
-            raise StaleFenceError(self.low)
+            raise StaleFenceError(self.higher_fence)
         return FENCE_CHECK_INTERVAL_S
--- a/roadpulley/fleet/rights/client.py
+++ b/roadpulley/fleet/rights/client.py
@@ -30,15 +30,15 @@
 
     limit: str
     units: float
-    lasting: float = 0.0
+    use_duration_s: float = 0.0
 
 
 @dataclass(eq=False)
 class PendingSpend:
     """One act that waits until all its needs can be paid at once, or its time is up."""
 
-    needs: tuple[UnitCost, ...]
-    done: Callable[[bool, Ended | None], None]
+    costs: tuple[UnitCost, ...]
+    on_done: Callable[[bool, Ended | None], None]
     timer: asyncio.TimerHandle | None = None
 
 
@@ -47,42 +47,42 @@
 
     def __init__(self, line: AgentLink, clock: Clock | None = None) -> None:
         self.line, self.clock = line, clock or from_environment()
-        self.machine: Holder | None = None  # until an instance has told the settings
-        self.waiting: dict[str, list[PendingSpend]] = {}
+        self.holder: Holder | None = None  # until an instance has told the settings
+        self.pending: dict[str, list[PendingSpend]] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = NEVER_DUE  # by our clock
-        self.paid_at = 0.0  # by our clock: the last look at it before an act
-        line.listeners.append(self._heard)
+        self.spent_at = 0.0  # by our clock: the last look at it before an act
+        line.listeners.append(self._handle_message)
 
     def close(self) -> None:
         """Wishes that wait are not paid; rights that are held end by themselves."""
         if self.timer is not None:
             self.timer.cancel()
-        for limit in list(self.waiting):
-            for wish in self.waiting.pop(limit):
-                self._end(wish, False)
+        for limit in list(self.pending):
+            for wish in self.pending.pop(limit):
+                self._finish(wish, False)
 
     # ---- to spend ----
 
-    def take(self, limit: str, units: float) -> bool:
+    def try_spend(self, limit: str, units: float) -> bool:
         """Spend so much now, if it is held."""
-        if self.machine is None:
+        if self.holder is None:
             return False
         now = self.clock.now()
-        taken = self.machine.take(now, limit, units)
-        self.paid_at = now
-        if ask := self.machine.ask_now(now, limit):
+        taken = self.holder.try_spend(now, limit, units)
+        self.spent_at = now
+        if ask := self.holder.prepare_request(now, limit):
             self.line.send(ask)
-        self._set()
+        self._reset_timer()
         return taken
 
-    def wish(self, plan: str, customer: str, units: float, within: float, done: Done) -> None:
+    def spend(self, plan: str, customer: str, units: float, within: float, done: Done) -> None:
         """Spend so much of a customer's limit as soon as it is held, as `wish_all` does."""
-        self.wish_all(
+        self.spend_all(
             (UnitCost(customer_limit_name(plan, customer), units),), within, lambda paid, _: done(paid)
         )
 
-    def wish_all(
+    def spend_all(
         self, needs: tuple[UnitCost, ...], within: float, done: Callable[[bool, Ended | None], None]
     ) -> None:
         """Pay all needs at once, as soon as that can be; none of them before.
@@ -90,109 +90,115 @@
         `done` is called once, at once or within so many seconds: whether they are paid, and what to call when
         the act has ended, where units come back then.
         """
-        if self.machine is None:
+        if self.holder is None:
             return done(False, None)
         now = self.clock.now()
         for need in needs:
-            self.machine.want(now, need.limit, need.units)
+            self.holder.record_demand(now, need.limit, need.units)
         wish = PendingSpend(needs, done)
-        lacking = self._pay(now, wish)
-        self._set()
-        if lacking is not None and self._wait(lacking, wish):
+        lacking = self._spend_if_possible(now, wish)
+        self._reset_timer()
+        if lacking is not None and self._enqueue(lacking, wish):
             wish.timer = asyncio.get_running_loop().call_later(within, self._expire, wish)
 
-    def _pay(self, now: float, wish: PendingSpend) -> str | None:
+    def _spend_if_possible(self, now: float, wish: PendingSpend) -> str | None:
         """Pay it, if all its needs can be; gives a limit that can't."""
-        machine = self.machine
+        machine = self.holder
         assert machine is not None
-        lacking = [n.limit for n in wish.needs if not machine.can(now, n.limit, n.units, n.lasting)]
+        lacking = [
+            n.limit for n in wish.costs if not machine.can_spend(now, n.limit, n.units, n.use_duration_s)
+        ]
         if not lacking:
-            self.paid_at = now
-            paid = [(need.limit, machine.pay(now, need.limit, need.units)) for need in wish.needs]
+            self.spent_at = now
+            paid = [(need.limit, machine.spend(now, need.limit, need.units)) for need in wish.costs]
             back = [(limit, lots) for limit, lots in paid if is_concurrency_limit(limit)]
-            self._end(wish, True, partial(self._ended, back) if back else None)
-        for need in wish.needs:
-            if ask := machine.ask_now(now, need.limit):
+            self._finish(wish, True, partial(self._release, back) if back else None)
+        for need in wish.costs:
+            if ask := machine.prepare_request(now, need.limit):
                 self.line.send(ask)
-        return next((limit for limit in lacking if not self._asks(limit)), lacking[0]) if lacking else None
+        return (
+            next((limit for limit in lacking if not self._has_open_request(limit)), lacking[0])
+            if lacking
+            else None
+        )
 
-    def _wait(self, limit: str, wish: PendingSpend) -> bool:
+    def _enqueue(self, limit: str, wish: PendingSpend) -> bool:
         """For an answer about a limit, if one may come: else it is told so at once."""
-        if not self._asks(limit):
-            self._end(wish, False)  # nobody is there to ask, or it was told to wait for longer
+        if not self._has_open_request(limit):
+            self._finish(wish, False)  # nobody is there to ask, or it was told to wait for longer
             return False
-        self.waiting.setdefault(limit, []).append(wish)
+        self.pending.setdefault(limit, []).append(wish)
         return True
 
-    def _asks(self, limit: str) -> bool:
-        purse = self.machine.purses.get(limit) if self.machine is not None else None
-        return purse is not None and purse.open is not None
+    def _has_open_request(self, limit: str) -> bool:
+        purse = self.holder.holdings.get(limit) if self.holder is not None else None
+        return purse is not None and purse.pending is not None
 
-    def _ended(self, back: list[tuple[str, Payment]]) -> None:
-        assert self.machine is not None
+    def _release(self, back: list[tuple[str, Payment]]) -> None:
+        assert self.holder is not None
         for limit, lots in back:
-            self.machine.ended(self.clock.now(), limit, lots)
-            if self.waiting.get(limit):
-                self._answered(limit)
-        self._set()
+            self.holder.release(self.clock.now(), limit, lots)
+            if self.pending.get(limit):
+                self._retry_pending(limit)
+        self._reset_timer()
 
     def _expire(self, wish: PendingSpend) -> None:
-        for rows in self.waiting.values():
+        for rows in self.pending.values():
             if wish in rows:
                 rows.remove(wish)
-                return self._end(wish, False)
+                return self._finish(wish, False)
 
-    def _end(self, wish: PendingSpend, paid: bool, ended: Ended | None = None) -> None:
+    def _finish(self, wish: PendingSpend, paid: bool, ended: Ended | None = None) -> None:
         if wish.timer is not None:
             wish.timer.cancel()
-        wish.done(paid, ended)
+        wish.on_done(paid, ended)
 
-    def _answered(self, limit: str) -> None:
+    def _retry_pending(self, limit: str) -> None:
         """There may be more of a limit: those that wait for it are paid in their order, or wait on."""
         now = self.clock.now()
-        for wish in self.waiting.pop(limit, []):
-            if (lacking := self._pay(now, wish)) is not None:
-                self._wait(lacking, wish)
+        for wish in self.pending.pop(limit, []):
+            if (lacking := self._spend_if_possible(now, wish)) is not None:
+                self._enqueue(lacking, wish)
 
     # ---- messages ----
 
-    def _heard(self, body: Any) -> None:
+    def _handle_message(self, body: Any) -> None:
         if not isinstance(body, Welcome | AllocatorAnnouncement | RightsReply):
             return
         now = self.clock.now()
         if isinstance(body, Welcome):
-            if self.machine is None or self.machine.parts != body.parts:
-                self.machine = Holder(self.line.worker_id, body.parts, body.times)
+            if self.holder is None or self.holder.partitions != body.partitions:
+                self.holder = Holder(self.line.worker_id, body.partitions, body.times)
                 self.line.send(
                     Hello(self.line.worker_id)
                 )  # who serves is told again, now that it can be kept
-        elif self.machine is None:
+        elif self.holder is None:
             return
         elif isinstance(body, AllocatorAnnouncement):
-            self.machine.serving(now, body.part, body.fence, body.left_ms / 1000)
+            self.holder.handle_announcement(now, body.partition, body.fence, body.lifetime_ms / 1000)
         elif body.holder == self.line.worker_id:
-            limit, waited = body.limit, self._asks(body.limit)
-            self.machine.heard(now, body)
-            if waited and not self._asks(limit):
-                self._answered(limit)
-        self._set()
+            limit, waited = body.limit, self._has_open_request(body.limit)
+            self.holder.handle_reply(now, body)
+            if waited and not self._has_open_request(limit):
+                self._retry_pending(limit)
+        self._reset_timer()
 
     # ---- time ----
 
-    def _set(self) -> None:
-        if self.machine is None or self.machine.next_at() >= self.timer_at:
+    def _reset_timer(self) -> None:
+        if self.holder is None or self.holder.next_check_at() >= self.timer_at:
             return  # the timer comes first
         if self.timer is not None:
             self.timer.cancel()
-        self.timer_at = self.machine.next_at()
+        self.timer_at = self.holder.next_check_at()
         wait = max(0.0, (self.timer_at - self.clock.now()) / self.clock.rate)
         self.timer = asyncio.get_running_loop().call_later(wait + MIN_TIMER_DELAY_S, self._tick)
 
     def _tick(self) -> None:
-        assert self.machine is not None
+        assert self.holder is not None
         self.timer_at = NEVER_DUE
-        for ask in self.machine.tick(self.clock.now()):
+        for ask in self.holder.tick(self.clock.now()):
             self.line.send(ask)
-        for limit in [name for name in self.waiting if not self._asks(name)]:
-            self._answered(limit)
-        self._set()
+        for limit in [name for name in self.pending if not self._has_open_request(name)]:
+            self._retry_pending(limit)
+        self._reset_timer()
--- a/roadpulley/fleet/rights/messages.py
+++ b/roadpulley/fleet/rights/messages.py
@@ -93,30 +93,30 @@
             msgspec.structs.force_setattr(self, "clear", self.lease)
         if self.clear < self.lease:
             raise ValueError(f"clear is {self.clear:g}; give the longest lease in use, from {self.lease:g}")
-        if self.holds < 4 * self.answer:
+        if self.holder_lease_s < 4 * self.answer:
             least = 4 * self.answer * (1 + self.drift) / (1 - self.drift)
             raise ValueError(f"lease is {self.lease:g}; with this drift and answer give {least:.2f} or more")
 
     @property
-    def holds(self) -> float:
+    def holder_lease_s(self) -> float:
         """For which a holder may spend a right, from when it first asked for it, by its own clock.
 
         Danger: a slow holder beside a fast allocator would spend what has been given to another.
         """
-        return self.held(self.lease)
+        return self.holder_lease_for(self.lease)
 
-    def held(self, lease: float) -> float:
+    def holder_lease_for(self, lease: float) -> float:
         return lease * (1 - self.drift) / (1 + self.drift)
 
     @property
-    def waits(self) -> float:
+    def reply_timeout_s(self) -> float:
         """For which an answer is waited for: what comes later could hardly be spent."""
-        return self.holds / 2
+        return self.holder_lease_s / 2
 
     @property
-    def keeps(self) -> float:
+    def return_after_s(self) -> float:
         """After this what is left of a right is given up, as somebody else may want it."""
-        return self.holds * self.keep
+        return self.holder_lease_s * self.keep
 
 
 class RightId(msgspec.Struct, array_like=True, frozen=True):
@@ -129,8 +129,8 @@
 class ReturnedRight(msgspec.Struct, array_like=True, frozen=True):
     """A right that its holder has written off; `unused` units of it were not spent."""
 
-    right: RightId
-    unused: float
+    right_id: RightId
+    unused_units: float
 
 
 # ---- messages ----
@@ -139,9 +139,9 @@
 class AllocatorAnnouncement(msgspec.Struct, tag="r-serve", array_like=True, frozen=True):
     """I give out the rights of this part of all limits. `left_ms`: for how long, unless I say so again."""
 
-    part: int
+    partition: int
     fence: int
-    left_ms: int
+    lifetime_ms: int
 
 
 class RightsRequest(msgspec.Struct, tag="r-ask", array_like=True, frozen=True):
@@ -150,26 +150,26 @@
     `holder`: one process that spends, by a number that it drew; `number`: of its asks.
     """
 
-    part: int
+    partition: int
     fence: int
     holder: int
-    number: int
+    request_number: int
     limit: str
-    want: float
-    least: float
-    closed: tuple[ReturnedRight, ...] = ()
+    wanted_units: float
+    min_units: float
+    returned: tuple[ReturnedRight, ...] = ()
 
 
 class RightsReply(msgspec.Struct, tag="r-given", array_like=True, frozen=True):
     """The answer: units of a right, or none and when to ask again."""
 
     holder: int
-    number: int
+    request_number: int
     limit: str
-    right: RightId
+    right_id: RightId
     units: float
-    holds: float  # seconds from the first ask, by the holder's clock, by what the allocator goes by
-    wait_ms: int = 0
+    holder_lease_s: float  # seconds from the first ask, by the holder's clock, by what the allocator goes by
+    retry_after_ms: int = 0
 
 
 # ---- between an allocator that hands its duty over and the next ----
@@ -178,25 +178,25 @@
 class HandoverOffer(msgspec.Struct, tag="r-heir", array_like=True, frozen=True):
     """I hand this part over, and you may be next: ask for my books."""
 
-    part: int
+    partition: int
     fence: int
 
 
 class HandoverRequest(msgspec.Struct, tag="r-hask", array_like=True, frozen=True):
     """Seal your books, and show me them."""
 
-    part: int
+    partition: int
     fence: int
 
 
 class LedgerSnapshot(msgspec.Struct, tag="r-legacy", array_like=True, frozen=True):
     """One sealed book: what was left, and rights that are out (units, and seconds until they have ended)."""
 
-    part: int
+    partition: int
     fence: int
     limit: str
     level: float
-    out: tuple[tuple[float, float], ...]
+    outstanding: tuple[tuple[float, float], ...]
 
 
 Body: TypeAlias = (
@@ -216,7 +216,7 @@
 class Welcome(msgspec.Struct, tag="r-welcome", array_like=True, frozen=True):
     """By what settings rights are asked for."""
 
-    parts: int
+    partitions: int
     times: Times
 
 
--- a/roadpulley/fleet/rights/settings.py
+++ b/roadpulley/fleet/rights/settings.py
@@ -16,15 +16,15 @@
 class RightsSettings:
     """`limits` by name of a plan: each of its customers has one, `PLAN/CUSTOMER`."""
 
-    parts: int
-    ceilings: float  # the part of hard ceilings that is spent by rights; the rest is split evenly
+    partitions: int
+    ceiling_ratio: float  # the part of hard ceilings that is spent by rights; the rest is split evenly
     times: Times
     limits: Mapping[str, Limit]
 
     @property
-    def given_out(self) -> dict[str, Limit]:
+    def allocated_limits(self) -> dict[str, Limit]:
         """What an allocator has of each limit; the rest every gateway has a part of without asking."""
-        part = self.ceilings
+        part = self.ceiling_ratio
         return {name: Limit(part * one.rate, part * one.burst) for name, one in self.limits.items()}
 
 
--- a/roadpulley/fleet/rights/work.py
+++ b/roadpulley/fleet/rights/work.py
@@ -14,9 +14,9 @@
 class AllocatorWork:
     """It has no registers: what acts under its fence are its answers, and holders refuse lower ones."""
 
-    def __init__(self, part: int) -> None:
-        self.part = part
-        self.begins: Begins | None = None  # of the instance, called from a thread
+    def __init__(self, partition: int) -> None:
+        self.partition = partition
+        self.on_start: Begins | None = None  # of the instance, called from a thread
         self.duty: HeldDuty | None = None
 
     def claim(self, fence: int, owner: str) -> int | None:
@@ -24,7 +24,7 @@
 
     def act(self, duty: HeldDuty) -> float | None:
         """The first round of a holding makes an allocator; the loop of the instance does all else."""
-        if duty is not self.duty and self.begins is not None:
+        if duty is not self.duty and self.on_start is not None:
             self.duty = duty
-            self.begins(self.part, duty)
+            self.on_start(self.partition, duty)
         return None
--- a/roadpulley/fleet/settings.py
+++ b/roadpulley/fleet/settings.py
@@ -252,7 +252,7 @@
     rights: RightsSettings | None, orders: OrderSettings | None
 ) -> dict[str, DutySettings]:
     """Duties of the fleet's own: one for each part of the limits, one for orders."""
-    works = {f"{RIGHTS}{part}": "rights" for part in range(rights.parts if rights is not None else 0)}
+    works = {f"{RIGHTS}{part}": "rights" for part in range(rights.partitions if rights is not None else 0)}
     works |= {ORDERS: "orders"} if orders is not None else {}
     return {name: DutySettings(name, work, None, "", 60.0, (), ()) for name, work in works.items()}
 
--- a/roadpulley/fleet/verdicts/client.py
+++ b/roadpulley/fleet/verdicts/client.py
@@ -29,7 +29,7 @@
         self.evidence = BackendObservations()
         self.reported_at = 0.0  # by our clock
         self.snapshot_at = 0.0  # by our clock; 0: nothing holds
-        line.listeners.append(self._heard)
+        line.listeners.append(self._handle_message)
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def close(self) -> None:
@@ -42,9 +42,9 @@
         now = self.clock.now()
         self.evidence.record(now, backend, known.started, outcome)
         if outcome in FAILURES and now - self.reported_at >= MIN_REPORT_INTERVAL_S:
-            self._tell(now)
+            self._report(now)
 
-    def _tell(self, now: float) -> None:
+    def _report(self, now: float) -> None:
         self.reported_at = now
         ready = sum(b.ready for b in self.driver.gateway.fleet.backends.values())
         self.line.send(ObservationBatch(self.line.worker_id, ready, tuple(self.evidence.rows(now))))
@@ -53,16 +53,16 @@
         while True:
             await asyncio.sleep(self.report_interval_s)
             now = self.clock.now()
-            self._tell(now)
+            self._report(now)
             # Danger: an instance that is gone would leave its last verdicts here for good.
             if self.snapshot_at and now - self.snapshot_at > MAX_MISSED_SNAPSHOTS * self.report_interval_s:
-                self._give({})
+                self._apply_verdicts({})
 
-    def _heard(self, body: Any) -> None:
+    def _handle_message(self, body: Any) -> None:
         if isinstance(body, VerdictSnapshot) and (body.verdicts or self.snapshot_at):
             now = now_ms()
-            self._give({v.backend: (v.started, v.level, now - v.age_ms) for v in body.verdicts})
+            self._apply_verdicts({v.backend: (v.started, v.level, now - v.age_ms) for v in body.verdicts})
 
-    def _give(self, found: dict[int, tuple[float, float, float]]) -> None:
+    def _apply_verdicts(self, found: dict[int, tuple[float, float, float]]) -> None:
         self.snapshot_at = self.clock.now() if found else 0.0
         self.driver.give(PeerVerdictsChanged(found))
--- a/roadpulley/fleet/verdicts/evidence.py
+++ b/roadpulley/fleet/verdicts/evidence.py
@@ -22,11 +22,11 @@
     started: float
     tries: float
     failures: float
-    at: MonotonicTime
-    run: float = 0.0  # consecutive failures up to now
+    tried_at: MonotonicTime
+    failure_run: float = 0.0  # consecutive failures up to now
 
     def fade(self, now: MonotonicTime) -> float:
-        return math.exp((self.at - now) / WINDOW_S)
+        return math.exp((self.tried_at - now) / WINDOW_S)
 
 
 class BackendObservations:
@@ -42,8 +42,8 @@
         fade = known.fade(now) * CARRY_RATIO
         known.tries = known.tries * fade + 1
         known.failures = known.failures * fade + (outcome is not Outcome.OK)
-        known.run = 0.0 if outcome is Outcome.OK else known.run + 1
-        known.at = now
+        known.failure_run = 0.0 if outcome is Outcome.OK else known.failure_run + 1
+        known.tried_at = now
 
     def rows(self, now: MonotonicTime) -> list[ObservationRow]:
         """Of what was observation lately, the ones that fail most first."""
@@ -53,7 +53,7 @@
             if observation.tries * fade < MIN_TRIES:
                 del self.observations[backend]
                 continue
-            age = int(1000 * (now - observation.at))
+            age = int(1000 * (now - observation.tried_at))
             found.append(
                 ObservationRow(
                     backend,
@@ -61,7 +61,7 @@
                     observation.tries * fade,
                     observation.failures * fade,
                     age,
-                    observation.run,
+                    observation.failure_run,
                 )
             )
         return sorted(found, key=lambda row: -row.failures)[:MAX_ROWS]
--- a/roadpulley/fleet/verdicts/messages.py
+++ b/roadpulley/fleet/verdicts/messages.py
@@ -44,7 +44,7 @@
     tries: float
     failures: float
     seen_ms: int
-    run: float = 0.0
+    failure_run: float = 0.0
 
 
 class HealthReportBatch(msgspec.Struct, tag="v-claims", array_like=True, frozen=True):
@@ -66,7 +66,7 @@
     tries: float
     failures: float
     age_ms: int  # of the last try
-    run: float = 0.0  # consecutive failures up to it
+    failure_run: float = 0.0  # consecutive failures up to it
 
 
 class ObservationBatch(msgspec.Struct, tag="v-saw", array_like=True, frozen=True):
--- a/roadpulley/fleet/verdicts/service.py
+++ b/roadpulley/fleet/verdicts/service.py
@@ -40,7 +40,7 @@
 def merge_observations(one: ObservationRow, other: ObservationRow) -> ObservationRow:
     """What two processes of one instance saw of one backend; the run is of who tried it last."""
     last, before = (one, other) if one.age_ms <= other.age_ms else (other, one)
-    run = last.run + before.run if last.run else 0.0
+    run = last.failure_run + before.failure_run if last.failure_run else 0.0
     tries, failures = one.tries + other.tries, one.failures + other.failures
     return ObservationRow(one.backend, one.started, tries, failures, last.age_ms, run)
 
@@ -49,22 +49,27 @@
     def __init__(
         self,
         settings: VerdictSettings,
-        me: ProcessId,
-        beside: WorkerSocket,
+        identity: ProcessId,
+        local_processes: WorkerSocket,
         clock: Clock,
-        tell: Callable[[Route, Body], None],
-        everybody: Callable[[], list[Route]],
+        send: Callable[[Route, Body], None],
+        peer_routes: Callable[[], list[Route]],
     ) -> None:
-        self.settings, self.me, self.beside, self.clock = settings, me, beside, clock
-        self.tell, self.everybody = tell, everybody
-        self.table = HealthReportTable(me, settings)
-        self.said: dict[int, tuple[MonotonicTime, ObservationBatch]] = {}  # by process beside
-        self.holding: list[Verdict] = []
-        self.ages: deque[int] = deque(maxlen=MAX_AGES)
-        self.foreign = 0  # reports in another's name
+        self.settings, self.identity, self.local_processes, self.clock = (
+            settings,
+            identity,
+            local_processes,
+            clock,
+        )
+        self.send, self.peer_routes = send, peer_routes
+        self.table = HealthReportTable(identity, settings)
+        self.observations: dict[int, tuple[MonotonicTime, ObservationBatch]] = {}  # by process beside
+        self.verdicts: list[Verdict] = []
+        self.age_samples_ms: deque[int] = deque(maxlen=MAX_AGES)
+        self.foreign_reports = 0  # reports in another's name
         self.ticked_at: MonotonicTime = 0.0
-        self.gap = MIN_JUDGE_INTERVAL_S
-        self.soon: asyncio.TimerHandle | None = None
+        self.judge_interval_s = MIN_JUDGE_INTERVAL_S
+        self.judge_timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task[None] | None = None
 
     # ---- life ----
@@ -75,57 +80,59 @@
     def close(self) -> None:
         if self.task is not None:
             self.task.cancel()
-        if self.soon is not None:
-            self.soon.cancel()
+        if self.judge_timer is not None:
+            self.judge_timer.cancel()
 
     async def _run(self) -> None:
         while True:
             self._tick()
-            self.gap = max(MIN_JUDGE_INTERVAL_S, self.gap / 2)
-            await asyncio.sleep(self.settings.say)
+            self.judge_interval_s = max(MIN_JUDGE_INTERVAL_S, self.judge_interval_s / 2)
+            await asyncio.sleep(self.settings.report_interval_s)
 
-    def _soon(self) -> None:
+    def _schedule_tick(self) -> None:
         """Look at once, if the last look is not just over: a failing backend is met again every moment."""
-        if self.soon is None:
+        if self.judge_timer is None:
             # Danger: where many backends fail at once, words at each failure would be a storm to all others.
-            wait = max(0.0, self.ticked_at + self.gap - self.clock.now())
-            self.gap = min(self.settings.say, 2 * self.gap)
-            self.soon = asyncio.get_running_loop().call_later(wait, self._tick)
+            wait = max(0.0, self.ticked_at + self.judge_interval_s - self.clock.now())
+            self.judge_interval_s = min(self.settings.report_interval_s, 2 * self.judge_interval_s)
+            self.judge_timer = asyncio.get_running_loop().call_later(wait, self._tick)
 
     def _tick(self) -> None:
-        if self.soon is not None:
-            self.soon.cancel()
-            self.soon = None
+        if self.judge_timer is not None:
+            self.judge_timer.cancel()
+            self.judge_timer = None
         self.ticked_at = self.clock.now()
-        now, wall, routes = self.clock.now(), wall_ms(), self.everybody()
-        ready, rows = self._seen(now)
+        now, wall, routes = self.clock.now(), wall_ms(), self.peer_routes()
+        ready, rows = self._merge_observations(now)
         for reports in self.table.record_local(now, wall, ready, rows):
             for route in routes:
-                self.tell(route, reports)
-        self.table.forget(now)
-        before, self.holding = self.holding, self.table.judge(now, wall, len(routes) + 1)
-        self._log(before)
-        if self.holding or before:
-            self.ages.extend(verdict.age_ms for verdict in self.holding)
-            self.beside.send_to_all(VerdictSnapshot(tuple(self.holding)))
-
-    def _seen(self, now: MonotonicTime) -> tuple[int, Iterable[ObservationRow]]:
+                self.send(route, reports)
+        self.table.expire(now)
+        before, self.verdicts = self.verdicts, self.table.judge(now, wall, len(routes) + 1)
+        self._log_changes(before)
+        if self.verdicts or before:
+            self.age_samples_ms.extend(verdict.age_ms for verdict in self.verdicts)
+            self.local_processes.send_to_all(VerdictSnapshot(tuple(self.verdicts)))
+
+    def _merge_observations(self, now: MonotonicTime) -> tuple[int, Iterable[ObservationRow]]:
         """What the processes beside saw, together."""
-        self.said = {
-            holder: (at, saw) for holder, (at, saw) in self.said.items() if now - at < OBSERVATION_LIFETIME_S
+        self.observations = {
+            holder: (at, saw)
+            for holder, (at, saw) in self.observations.items()
+            if now - at < OBSERVATION_LIFETIME_S
         }
         found: dict[int, ObservationRow] = {}
-        for _, saw in self.said.values():
+        for _, saw in self.observations.values():
             for row in saw.rows:
                 known = found.get(row.backend)
                 if known is None or known.started < row.started:
                     found[row.backend] = row
                 elif known.started == row.started:
                     found[row.backend] = merge_observations(known, row)
-        return max((saw.ready for _, saw in self.said.values()), default=0), found.values()
+        return max((saw.ready for _, saw in self.observations.values()), default=0), found.values()
 
-    def _log(self, before: list[Verdict]) -> None:
-        was, now = {v.backend for v in before}, {v.backend: v for v in self.holding}
+    def _log_changes(self, before: list[Verdict]) -> None:
+        was, now = {v.backend for v in before}, {v.backend: v for v in self.verdicts}
         for backend in sorted(was - set(now)):
             log.info("a verdict ends", backend=backend)
         for backend in sorted(set(now) - was):
@@ -133,31 +140,31 @@
 
     # ---- messages ----
 
-    def heard(self, who: ProcessId, body: Body) -> None:
+    def handle_message(self, who: ProcessId, body: Body) -> None:
         if body.owner != who:
             # Danger: what one says of another's evidence could outlive it, or be made up.
-            self.foreign += 1
+            self.foreign_reports += 1
             return
         self.table.merge_remote(self.clock.now(), wall_ms(), body)
         if any(report.failures for report in body.reports):
-            self._soon()
+            self._schedule_tick()
 
-    def beside_said(self, saw: ObservationBatch) -> None:
-        _, before = self.said.get(saw.holder, (0.0, None))
-        self.said[saw.holder] = self.clock.now(), saw
+    def handle_observations(self, saw: ObservationBatch) -> None:
+        _, before = self.observations.get(saw.holder, (0.0, None))
+        self.observations[saw.holder] = self.clock.now(), saw
         if total_failures(saw) > (total_failures(before) if before is not None else 0.0):
-            self._soon()
+            self._schedule_tick()
 
     # ---- people ----
 
     def report(self) -> dict[str, Any]:
         now, wall = self.clock.now(), wall_ms()
         reports: dict[int, list[str]] = {}
-        for owner, report in self.table.fresh(now, wall):
+        for owner, report in self.table.iter_fresh(now, wall):
             words = f"{owner.name}: {report.failures:.1f} of {report.tries:.1f}"
             reports.setdefault(report.backend, []).append(words)
-        levels = {v.backend: v for v in self.holding}
-        ages = sorted(self.ages)
+        levels = {v.backend: v for v in self.verdicts}
+        ages = sorted(self.age_samples_ms)
         return {
             "verdicts": [
                 {
@@ -168,11 +175,11 @@
                 }
                 for backend, words in sorted(reports.items())
             ],
-            "most_of_its_own_fails": self.table.broken(),
+            "most_of_its_own_fails": self.table.is_self_suspect(),
             "ages_ms": {q: ages[int(share * (len(ages) - 1))] for q, share in (("p50", 0.5), ("p99", 0.99))}
             if ages
             else {},
-            "claims": self.table.number,
-            "not_taken": self.table.not_taken,
-            "foreign": self.foreign,
+            "claims": self.table.report_count,
+            "not_taken": self.table.rejected_count,
+            "foreign": self.foreign_reports,
         }
--- a/roadpulley/fleet/verdicts/state_machine.py
+++ b/roadpulley/fleet/verdicts/state_machine.py
@@ -35,7 +35,7 @@
     A failure that nothing has followed is enough. Danger: an observer keeps off a backend from its first
     failure on, so that a second one, which would outweigh what was served before, may never come.
     """
-    return evidence.run > 0 or evidence.failures >= FAILING_RATIO * evidence.tries
+    return evidence.failure_run > 0 or evidence.failures >= FAILING_RATIO * evidence.tries
 
 
 def capped_counts(report: HealthReport) -> tuple[float, float]:
@@ -45,8 +45,8 @@
     was served before says nothing any more.
     """
     tries, failures = report.tries, report.failures
-    if report.run > 0:
-        tries, failures = min(tries, report.run), min(failures, report.run)
+    if report.failure_run > 0:
+        tries, failures = min(tries, report.failure_run), min(failures, report.failure_run)
     part = min(1.0, MAX_TRIES_PER_OBSERVER / max(tries, 1e-9))
     return part * tries, part * failures
 
@@ -55,30 +55,32 @@
 class VerdictSettings:
     """Seconds. `share`: of the backends, that verdicts take at most."""
 
-    say: float = 0.25
-    life: float = 3.0
-    share: float = 0.3
+    report_interval_s: float = 0.25
+    report_lifetime_s: float = 3.0
+    max_share: float = 0.3
 
 
 @dataclass(slots=True)
 class StoredReport:
     report: HealthReport
-    came: MonotonicTime
+    received_at: MonotonicTime
 
 
 @dataclass
 class HealthReportTable:
     """All reports that are known, by observer and backend."""
 
-    me: ProcessId
+    identity: ProcessId
     settings: VerdictSettings
     version: int = 0
-    kept: dict[ProcessId, dict[int, StoredReport]] = field(default_factory=dict)
-    mine: dict[int, ObservationRow] = field(default_factory=dict)  # own evidence, as it was last told here
+    reports: dict[ProcessId, dict[int, StoredReport]] = field(default_factory=dict)
+    own_rows: dict[int, ObservationRow] = field(
+        default_factory=dict
+    )  # own evidence, as it was last told here
     ready: int = 0
-    standing: dict[int, float] = field(default_factory=dict)  # verdicts of the last look, by backend
-    number: int = 0
-    not_taken: int = 0
+    active_levels: dict[int, float] = field(default_factory=dict)  # verdicts of the last look, by backend
+    report_count: int = 0
+    rejected_count: int = 0
 
     # ---- own evidence ----
 
@@ -86,16 +88,16 @@
         self, now: MonotonicTime, wall_ms: int, ready: int, rows: Iterable[ObservationRow]
     ) -> list[HealthReportBatch]:
         """What the processes beside saw lately; gives what to tell all others."""
-        self.ready, self.mine = ready, {row.backend: row for row in rows}
+        self.ready, self.own_rows = ready, {row.backend: row for row in rows}
         disputed = {
-            b for reports in self.kept.values() for b, kept in reports.items() if kept.report.failures
+            b for reports in self.reports.values() for b, kept in reports.items() if kept.report.failures
         }
-        failing = {b for b, row in self.mine.items() if is_failing(row)}
-        told = {b: self.mine[b] for b in sorted(failing | (disputed & set(self.mine)))}
-        if self.broken():
+        failing = {b for b, row in self.own_rows.items() if is_failing(row)}
+        told = {b: self.own_rows[b] for b in sorted(failing | (disputed & set(self.own_rows)))}
+        if self.is_self_suspect():
             # Danger: a gateway with a broken card finds all backends failing, and would take them from all
             # others. It takes back what it has said.
-            mine = self.kept.get(self.me, {}).values()
+            mine = self.reports.get(self.identity, {}).values()
             told = {
                 k.report.backend: ObservationRow(k.report.backend, k.report.started, 0.0, 0.0, 0)
                 for k in mine
@@ -105,57 +107,59 @@
             self.version += 1
             seen = wall_ms - row.age_ms
             reports.append(
-                HealthReport(backend, row.started, self.version, row.tries, row.failures, seen, row.run)
+                HealthReport(
+                    backend, row.started, self.version, row.tries, row.failures, seen, row.failure_run
+                )
             )
         for report in reports:
-            self._keep(now, self.me, report)
+            self._store(now, self.identity, report)
         return [
-            HealthReportBatch(self.me, tuple(reports[n : n + MAX_REPORTS_PER_BATCH]))
+            HealthReportBatch(self.identity, tuple(reports[n : n + MAX_REPORTS_PER_BATCH]))
             for n in range(0, len(reports), MAX_REPORTS_PER_BATCH)
         ]
 
-    def broken(self) -> bool:
+    def is_self_suspect(self) -> bool:
         """Whether most of what is met from here fails, so that the fault is likely here."""
-        failing = sum(is_failing(row) for row in self.mine.values())
-        return len(self.mine) >= MIN_OWN_BACKENDS and failing > MAX_OWN_FAILING_RATIO * len(self.mine)
+        failing = sum(is_failing(row) for row in self.own_rows.values())
+        return len(self.own_rows) >= MIN_OWN_BACKENDS and failing > MAX_OWN_FAILING_RATIO * len(self.own_rows)
 
     # ---- reports ----
 
     def merge_remote(self, now: MonotonicTime, wall_ms: int, reports: HealthReportBatch) -> None:
         for report in reports.reports:
-            if self._valid(report) and wall_ms - report.seen_ms <= 1000 * self.settings.life:
-                self._keep(now, reports.owner, report)
+            if self._is_valid(report) and wall_ms - report.seen_ms <= 1000 * self.settings.report_lifetime_s:
+                self._store(now, reports.owner, report)
 
-    def _valid(self, report: HealthReport) -> bool:
+    def _is_valid(self, report: HealthReport) -> bool:
         sound = 0 <= report.failures <= report.tries + 1e-6 and report.tries < math.inf
-        return sound and report.version > 0 and report.run >= 0
+        return sound and report.version > 0 and report.failure_run >= 0
 
-    def _keep(self, now: MonotonicTime, owner: ProcessId, report: HealthReport) -> None:
-        known = self.kept.setdefault(owner, {})
+    def _store(self, now: MonotonicTime, owner: ProcessId, report: HealthReport) -> None:
+        known = self.reports.setdefault(owner, {})
         before = known.get(report.backend)
         if before is not None and before.report.version >= report.version:
             return
-        if before is None and self.number >= MAX_REPORTS:
-            self.not_taken += 1
+        if before is None and self.report_count >= MAX_REPORTS:
+            self.rejected_count += 1
             return
-        self.number += before is None
+        self.report_count += before is None
         known[report.backend] = StoredReport(report, now)
 
-    def forget(self, now: MonotonicTime) -> None:
+    def expire(self, now: MonotonicTime) -> None:
         """What has ended so long ago that nothing older can come any more."""
-        for owner, reports in list(self.kept.items()):
+        for owner, reports in list(self.reports.items()):
             for backend, kept in list(reports.items()):
-                if now - kept.came > RETENTION_LIFETIMES * self.settings.life:
+                if now - kept.received_at > RETENTION_LIFETIMES * self.settings.report_lifetime_s:
                     del reports[backend]
-                    self.number -= 1
+                    self.report_count -= 1
             if not reports:
-                del self.kept[owner]
+                del self.reports[owner]
 
-    def fresh(self, now: MonotonicTime, wall_ms: int) -> Iterator[tuple[ProcessId, HealthReport]]:
-        life = self.settings.life
-        for owner, reports in self.kept.items():
+    def iter_fresh(self, now: MonotonicTime, wall_ms: int) -> Iterator[tuple[ProcessId, HealthReport]]:
+        life = self.settings.report_lifetime_s
+        for owner, reports in self.reports.items():
             for kept in reports.values():
-                if now - kept.came < life and wall_ms - kept.report.seen_ms < 1000 * life:
+                if now - kept.received_at < life and wall_ms - kept.report.seen_ms < 1000 * life:
                     yield owner, kept.report
 
     # ---- to judge ----
@@ -163,25 +167,25 @@
     def judge(self, now: MonotonicTime, wall_ms: int, instances: int) -> list[Verdict]:
         """What holds now, for a fleet of so many instances that are seen."""
         by_backend: dict[int, list[HealthReport]] = {}
-        for _, report in self.fresh(now, wall_ms):
+        for _, report in self.iter_fresh(now, wall_ms):
             by_backend.setdefault(report.backend, []).append(report)
         found = []
         for backend, reports in by_backend.items():
             # Danger: reports on an earlier process at this address say nothing of the one that is there now.
             started = max(report.started for report in reports)
             of_it = [report for report in reports if report.started == started]
-            verdict = self._one(wall_ms, backend, started, of_it, instances)
+            verdict = self._judge_backend(wall_ms, backend, started, of_it, instances)
             if verdict is not None:
                 found.append(verdict)
         found.sort(key=lambda v: (-v.level, v.backend))
         # Danger: verdicts that took most of the capacity would do more harm than the backends.
         if len(found) > PANIC_RATIO * self.ready:
             found = []
-        found = found[: max(1, int(self.settings.share * self.ready))]
-        self.standing = {verdict.backend: verdict.level for verdict in found}
+        found = found[: max(1, int(self.settings.max_share * self.ready))]
+        self.active_levels = {verdict.backend: verdict.level for verdict in found}
         return found
 
-    def _one(
+    def _judge_backend(
         self, wall_ms: int, backend: int, started: float, reports: list[HealthReport], instances: int
     ) -> Verdict | None:
         tries = failures = 0.0
@@ -195,9 +199,9 @@
             tries, failures = tries + more_tries, failures + more_failures
             agree += failing
         level = failures / (tries + PRIOR_TRIES)
-        least = LEAVE_RATIO if backend in self.standing else ENTER_RATIO
+        least = LEAVE_RATIO if backend in self.active_levels else ENTER_RATIO
         # Danger: one observer alone may have a fault of its own. It is enough where there is no third to ask.
         enough = agree >= 2 or (agree == 1 and instances <= 2 and failures >= MIN_FAILURES_ALONE)
-        if level < least or not (enough or (agree and backend in self.standing)):
+        if level < least or not (enough or (agree and backend in self.active_levels)):
             return None
         return Verdict(backend, started, min(1.0, level), max(0, wall_ms - seen))
--- a/roadpulley/testbed/open_world.py
+++ b/roadpulley/testbed/open_world.py
@@ -56,10 +56,10 @@
         longest = self.plan.limit.lease * 1.5 if self.rng.random() < 0.3 else self.plan.limit.lease / 2
         lasting = self.rng.uniform(0.05, longest)
         if anew:
-            machine.want(now, self.key, 1.0)
-        if not machine.can(now, self.key, 1.0, lasting):
+            machine.record_demand(now, self.key, 1.0)
+        if not machine.can_spend(now, self.key, 1.0, lasting):
             return False
-        paid = machine.pay(now, self.key, 1.0)
+        paid = machine.spend(now, self.key, 1.0)
         work = self.rng.choice((0.01, 0.1, 0.5, 2.0)) * self.plan.limit.lease * self.rng.random()
         until = self.now + min(work, lasting / process.rate)
         self.open.append((self.now, until))
@@ -70,7 +70,7 @@
         if self.now < process.stopped_until:  # it hears of it when it wakes
             self.at(process.stopped_until + 1e-6, lambda: self._ended(process, machine, paid))
         elif process.machine is machine:
-            machine.ended(process.clock(self.now), self.key, paid)
+            machine.release(process.clock(self.now), self.key, paid)
 
     def _limits(self) -> dict[str, Limit]:
         return {self.key: self.limit}
--- a/roadpulley/testbed/orders_world.py
+++ b/roadpulley/testbed/orders_world.py
@@ -132,7 +132,7 @@
             self.holder = ""
 
     def _hold(self, node: Instance) -> None:
-        ours = max(node.follower.book, node.kept.book, key=lambda b: b.id)
+        ours = max(node.follower.book, node.kept.book, key=lambda b: b.version)
         node.publisher, node.said = Publisher(self.fence, self.roll, ours, ANSWER_S), {}
         self.holdings += 1
 
@@ -165,10 +165,10 @@
     def _tick(self, node: Instance) -> None:
         now = self.now * node.rate
         if publisher := self._publishing(node):
-            if publisher.step is PublisherState.READY and self.rng.random() < self.draw.wishes * STEP_S:
+            if publisher.state is PublisherState.READY and self.rng.random() < self.draw.wishes * STEP_S:
                 self._wish(publisher)
             for voter in publisher.tick(now, 0):
-                looks = publisher.step is PublisherState.READING
+                looks = publisher.state is PublisherState.READING
                 self.send(
                     voter, PrepareRequest(publisher.fence) if looks else ("take", publisher.book), node.name
                 )
@@ -181,55 +181,55 @@
         subject, lift = self.rng.choice(SUBJECTS), self.rng.random() < 0.3
         ticket = f"{next(self.counter)}"
         wish = ChangeRequest(ticket, Order("block", "customer", subject, ticket=ticket), lift)
-        if publisher.wish(wish) is None:
+        if publisher.submit(wish) is None:
             self.pending.append(wish)
 
     def _heard(self, node: Instance, body: Any, sender: str) -> None:
         now = self.now * node.rate
         match body:
             case PrepareRequest():
-                node.kept = node.kept.looked(body.fence)
-                self.send(sender, (node.kept.says(), node.kept.book), node.name)
+                node.kept = node.kept.prepare(body.fence)
+                self.send(sender, (node.kept.make_reply(), node.kept.book), node.name)
             case ("take", OrderBook() as book):
-                node.kept = node.kept.told(book)
-                self.send(sender, (node.kept.says(), None), node.name)
+                node.kept = node.kept.accept(book)
+                self.send(sender, (node.kept.make_reply(), None), node.name)
             case (VoterReply() as keeps, book):
                 if publisher := self._publishing(node):
-                    publisher.kept(sender, keeps, book)
+                    publisher.handle_voter_reply(sender, keeps, book)
                     self._seen(publisher)
             case PublisherAnnouncement():
-                node.follower.news(now, body.fence, body.id)
+                node.follower.handle_announcement(now, body.fence, body.version)
             case Poll():
                 publisher = self._publishing(node)
                 if publisher is not None and (book := publisher.published) is not None:
-                    said = PollReply(0, body.number, publisher.fence, book.id, self.draw.holds)
+                    said = PollReply(0, body.number, publisher.fence, book.version, self.draw.holds)
                     self.send(sender, (said, book), node.name)
             case (PollReply() as said, OrderBook() as book):
-                last = node.follower.book.id
-                node.follower.standing(now, said)
+                last = node.follower.book.version
+                node.follower.handle_reply(now, said)
                 for sheet in split_into_pages(book):
-                    node.follower.sheet(now, sheet)
-                if node.follower.book.id < last:
-                    self.broken.append(f"{node.name} goes back from {last} to {node.follower.book.id}")
+                    node.follower.handle_page(now, sheet)
+                if node.follower.book.version < last:
+                    self.broken.append(f"{node.name} goes back from {last} to {node.follower.book.version}")
 
     # ---- exact books ----
 
     def _seen(self, publisher: Publisher) -> None:
         book = publisher.published
-        if book is None or (self.acknowledged and book.id <= self.acknowledged[-1][1].id):
+        if book is None or (self.acknowledged and book.version <= self.acknowledged[-1][1].version):
             return
-        self.read_blank += publisher.recovered > 0
+        self.read_blank += publisher.lost_memory_count > 0
         found = {order.key: order for order in book.orders}
         if found != self.model and not any(found == made for made in self._possible()):
-            self.broken.append(f"{book.id} has {sorted(found)}, after {sorted(self.model)}")
+            self.broken.append(f"{book.version} has {sorted(found)}, after {sorted(self.model)}")
         self.model = found
         for wish in list(self.pending):
-            if wish.ticket in publisher.done:
+            if wish.ticket in publisher.outcomes:
                 self.outcomes += 1
                 self.pending.remove(wish)
         self.acknowledged.append((self.now, book))
         for name in self.nodes:
-            self.send(name, PublisherAnnouncement(publisher.fence, book.id), self.holder)
+            self.send(name, PublisherAnnouncement(publisher.fence, book.version), self.holder)
 
     def _possible(self) -> list[dict[tuple[str, str, str], Order]]:
         """The last book with one of the calls that are not known to be acknowledged."""
@@ -241,10 +241,10 @@
 
     def _judge_follower(self, node: Instance) -> None:
         """Who goes by a book as the newest knows all that was acknowledged before it asked for it."""
-        if not node.follower.fresh(self.now * node.rate):
+        if not node.follower.is_fresh(self.now * node.rate):
             return
         self.reached.add(node.name)
         since = self.now - self.draw.holds
-        known = [book.id for at, book in self.acknowledged if at < since - STEP_S]
-        if known and node.follower.book.id < known[-1]:
-            self.broken.append(f"{node.name} goes by {node.follower.book.id}, not by {known[-1]}")
+        known = [book.version for at, book in self.acknowledged if at < since - STEP_S]
+        if known and node.follower.book.version < known[-1]:
+            self.broken.append(f"{node.name} goes by {node.follower.book.version}, not by {known[-1]}")
--- a/roadpulley/testbed/rights_world.py
+++ b/roadpulley/testbed/rights_world.py
@@ -190,12 +190,12 @@
         self.wished += units
         if self.now >= process.stopped_until:
             self._spend(process, units, True)
-            ask = process.machine.ask_now(process.clock(self.now), self.key)
+            ask = process.machine.prepare_request(process.clock(self.now), self.key)
             if ask is not None:
                 self._send(process, ask)
 
     def _spend(self, process: Process, units: float, anew: bool) -> bool:
-        paid = process.machine.take(process.clock(self.now), KEY, units, anew)
+        paid = process.machine.try_spend(process.clock(self.now), KEY, units, anew)
         if paid:
             self.spends.append(Spent(self.now, KEY, units, str(process.machine.number)))
         return paid
@@ -227,7 +227,7 @@
     def _asked(self, process: Process, ask: RightsRequest) -> None:
         if self.allocator is None or self.now < process.cut_until:
             return
-        given = self.allocator.asked(self._server_clock(), ask)
+        given = self.allocator.handle_request(self._server_clock(), ask)
         if given is not None:
             self._fate(lambda: self._arrive(process, given))
 
@@ -242,12 +242,14 @@
     def _heard(self, process: Process, message: RightsReply | AllocatorAnnouncement) -> None:
         now = process.clock(self.now)
         if isinstance(message, AllocatorAnnouncement):
-            process.machine.serving(now, message.part, message.fence, message.left_ms / 1000)
+            process.machine.handle_announcement(
+                now, message.partition, message.fence, message.lifetime_ms / 1000
+            )
         elif message.holder == process.machine.number:
-            if process.machine.heard(now, message):
+            if process.machine.handle_reply(now, message):
                 while self._spend(process, 1.0, False) and self.plan.flood:
                     pass  # many wait
-            if ask := process.machine.ask_now(now, self.key):
+            if ask := process.machine.prepare_request(now, self.key):
                 self._send(process, ask)
 
     def _say(self) -> None:
@@ -283,7 +285,7 @@
         left = InheritedLedgers(self.fence, asked_at * rate + offset)
         came = (self.now + rng.uniform(0, 0.1)) * rate + offset
         for legacy in self.allocator.seal(self._server_clock(), 0):
-            left.take(came, legacy)
+            left.add(came, legacy)
         if rng.random() < 0.3:
             self._succeed()  # which gives out, if its time comes, until the heir begins
         self.at(self.now + max(gap, 0.1), lambda: self._succeed(heir, left))
@@ -297,7 +299,7 @@
         self.fence += 1
         self.server = heir or self._clock()
         now, times = self._server_clock(), self.plan.times
-        books = left.books_for(now, self.fence, times) if left is not None else None
+        books = left.usable_snapshots(now, self.fence, times) if left is not None else None
         self.inherited += bool(books)
         self.allocator = self.kinds[1](self.fence, now, self._limits(), times, self.rng, books)
 
@@ -318,7 +320,7 @@
         old, rng = self.limit, self.rng
         self.limit = replace_limit(old, rng.choice((0.3, 0.7, 1.5)))
         if self.allocator is not None:
-            self.allocator.retune(self._server_clock(), self._limits())
+            self.allocator.set_limits(self._server_clock(), self._limits())
         self.terms += self._changed(old)
 
     def _changed(self, old: Limit) -> list[Holds]:
--- a/roadpulley/testbed/spender.py
+++ b/roadpulley/testbed/spender.py
@@ -33,16 +33,16 @@
     def wish(self) -> None:
         began = self.purses.clock.unscaled_now()
         plan, _, customer = self.limit.partition("/")
-        self.purses.wish(plan, customer, self.units, self.within, partial(self.done, began))
+        self.purses.spend(plan, customer, self.units, self.within, partial(self.done, began))
 
     def hold(self) -> None:
         """Have so much given out, and keep it until it is given up or a wish comes."""
-        if self.purses.take(self.limit, self.units):
+        if self.purses.try_spend(self.limit, self.units):
             self.done(self.purses.clock.unscaled_now(), True)  # it was there already
 
     def done(self, began: float, paid: bool) -> None:
         clock = self.purses.clock
-        at = self.purses.paid_at / clock.rate if paid else clock.unscaled_now()
+        at = self.purses.spent_at / clock.rate if paid else clock.unscaled_now()
         line = f"{at:.6f} {self.limit} {self.units:g} {int(paid)} {clock.unscaled_now() - began:.6f}\n"
         os.write(sys.stdout.fileno(), line.encode())  # one call: a kill leaves whole lines
 
--- a/roadpulley/workers/worker.py
+++ b/roadpulley/workers/worker.py
@@ -158,7 +158,7 @@
 
     def changed(orders: tuple[Order, ...]) -> None:
         if isinstance(driver.rights, LimitSpender):
-            driver.rights.ordered(orders)
+            driver.rights.set_orders(orders)
         driver.give(to_orders_changed(orders))
 
     OrderClient(line, FollowerSettings(**terms), changed)
--- a/tests/decisions/test_ceiling_rights.py
+++ b/tests/decisions/test_ceiling_rights.py
@@ -123,7 +123,7 @@
         self.allocator = Allocator(1, self.now, limits, TIMES, random.Random(1))
         self.holders = [Holder(n + 1, 1, TIMES) for n in range(size)]
         for holder in self.holders:
-            holder.serving(self.now, 0, 1, 1e9)
+            holder.handle_announcement(self.now, 0, 1, 1e9)
         self.silent: set[int] = set()
         self.level = self.lowest = BURST
         self.sent = 0
@@ -146,22 +146,27 @@
 
     def paid(self, n: int, units: float) -> bool:
         holder = self.holders[n]
-        if holder.take(self.now, KEY, units):
+        if holder.try_spend(self.now, KEY, units):
             return True
-        asked = holder.ask_now(self.now, KEY)
+        asked = holder.prepare_request(self.now, KEY)
         if asked is None or n in self.silent:
             return False
-        answer = self.allocator.asked(self.now, asked)
+        answer = self.allocator.handle_request(self.now, asked)
         return (
-            answer is not None and holder.heard(self.now, answer) and holder.take(self.now, KEY, units, False)
+            answer is not None
+            and holder.handle_reply(self.now, answer)
+            and holder.try_spend(self.now, KEY, units, False)
         )
 
     def pass_time(self, ms: float) -> None:
         for n, world in enumerate(self.worlds):
             world.pass_time(ms)
             for asked in self.holders[n].tick(self.now):
-                if n not in self.silent and (answer := self.allocator.asked(self.now, asked)) is not None:
-                    self.holders[n].heard(self.now, answer)
+                if (
+                    n not in self.silent
+                    and (answer := self.allocator.handle_request(self.now, asked)) is not None
+                ):
+                    self.holders[n].handle_reply(self.now, answer)
         self.level = min(BURST, self.level + ms / 1000 * RATE)
 
 
--- a/tests/fleet/test_orders_world.py
+++ b/tests/fleet/test_orders_world.py
@@ -39,36 +39,36 @@
 
 def lower_fence(patch: pytest.MonkeyPatch) -> None:
     def told(self: VoterState, book: OrderBook) -> VoterState:
-        return VoterState(book, max(self.promised, book.id.fence), True)
+        return VoterState(book, max(self.promised, book.version.fence), True)
 
-    patch.setattr(VoterState, "told", told)
+    patch.setattr(VoterState, "accept", told)
 
 
 def lost_and_counts(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(VoterState, "says", lambda self: VoterReply(self.promised, self.book.id, True))
+    patch.setattr(VoterState, "make_reply", lambda self: VoterReply(self.promised, self.book.version, True))
 
 
 def not_taken_anew(patch: pytest.MonkeyPatch) -> None:
-    real = Publisher._look
+    real = Publisher._advance
 
     def look(self: Publisher) -> None:
-        reading = self.step is PublisherState.READING
+        reading = self.state is PublisherState.READING
         real(self)
-        if reading and self.step is PublisherState.TAKING:
-            self.step, self.published = PublisherState.READY, self.book
+        if reading and self.state is PublisherState.REPLICATING:
+            self.state, self.published = PublisherState.READY, self.book
 
-    patch.setattr(Publisher, "_look", look)
+    patch.setattr(Publisher, "_advance", look)
 
 
 def without_its_book(patch: pytest.MonkeyPatch) -> None:
-    real = Publisher.kept
+    real = Publisher.handle_voter_reply
 
     def kept(self: Publisher, voter: str, keeps: VoterReply, book: OrderBook | None) -> None:
-        if self.step is PublisherState.READING and keeps.promised == self.fence:
-            keeps = VoterReply(keeps.promised, min(keeps.id, self.book.id), keeps.whole)
+        if self.state is PublisherState.READING and keeps.promised == self.fence:
+            keeps = VoterReply(keeps.promised, min(keeps.version, self.book.version), keeps.whole)
         real(self, voter, keeps, book)
 
-    patch.setattr(Publisher, "kept", kept)
+    patch.setattr(Publisher, "handle_voter_reply", kept)
 
 
 def one_is_enough(patch: pytest.MonkeyPatch) -> None:
@@ -76,29 +76,29 @@
 
 
 def back_to_a_lower_book(patch: pytest.MonkeyPatch) -> None:
-    real = Follower.standing
+    real = Follower.handle_reply
 
     def standing(self: Follower, now: float, said: PollReply) -> bool:
         before, self.book = self.book, OrderBook()
         changed = real(self, now, said)
-        self.book = self.book if changed or self.answered is said else before
+        self.book = self.book if changed or self.pending_reply is said else before
         return changed
 
-    patch.setattr(Follower, "standing", standing)
+    patch.setattr(Follower, "handle_reply", standing)
 
 
 def any_answer_counts(patch: pytest.MonkeyPatch) -> None:
-    real = Follower.standing
+    real = Follower.handle_reply
 
     def standing(self: Follower, now: float, said: PollReply) -> bool:
-        self.open.setdefault(said.number, now)
+        self.open_polls.setdefault(said.number, now)
         return real(self, now, said)
 
-    patch.setattr(Follower, "standing", standing)
+    patch.setattr(Follower, "handle_reply", standing)
 
 
 def holds_for_ever(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Follower, "fresh", lambda self, now: self.until > -math.inf)
+    patch.setattr(Follower, "is_fresh", lambda self, now: self.fresh_until > -math.inf)
 
 
 @pytest.mark.parametrize(
--- a/tests/fleet/test_rights_world.py
+++ b/tests/fleet/test_rights_world.py
@@ -38,94 +38,94 @@
 class FillsOver(Allocator):
     """What is out takes no room."""
 
-    def _rise(self, now: float, book: LimitLedger) -> None:
-        held, book.held = book.held, 0.0
-        super()._rise(now, book)
-        book.held = held
+    def _raise_level(self, now: float, book: LimitLedger) -> None:
+        held, book.outstanding_units = book.outstanding_units, 0.0
+        super()._raise_level(now, book)
+        book.outstanding_units = held
 
 
 class TakesBackTwice(Allocator):
     """A right given up stays known, so that it can be given up again."""
 
-    def close(self, book: LimitLedger, holder: int, right: RightId, unused: float) -> None:
-        before = dict(book.out)
-        super().close(book, holder, right, unused)
+    def return_right(self, book: LimitLedger, holder: int, right: RightId, unused: float) -> None:
+        before = dict(book.outstanding)
+        super().return_right(book, holder, right, unused)
         if (out := before.get(right.number)) is not None and right.fence == self.fence:
-            book.out[right.number] = OutstandingRight(out.holder, out.units, out.ends)
+            book.outstanding[right.number] = OutstandingRight(out.holder, out.units, out.expires_at)
 
 
 class TakesBackAll(Allocator):
     """All of a right that is given up comes back, also what was spent of it."""
 
-    def close(self, book: LimitLedger, holder: int, right: RightId, unused: float) -> None:
-        out = book.out.get(right.number)
-        super().close(book, holder, right, out.units if out is not None else unused)
+    def return_right(self, book: LimitLedger, holder: int, right: RightId, unused: float) -> None:
+        out = book.outstanding.get(right.number)
+        super().return_right(book, holder, right, out.units if out is not None else unused)
 
 
 class EndsEarly(Allocator):
     """A right counts as out for a part of its time."""
 
-    def _give(self, now: float, book: LimitLedger, ask: RightsRequest) -> RightsReply:
-        given = super()._give(now, book, ask)
+    def _grant(self, now: float, book: LimitLedger, ask: RightsRequest) -> RightsReply:
+        given = super()._grant(now, book, ask)
         if given.units:
-            out = book.out[given.right.number]
-            out.ends = now + self.times.lease / 2
-            book.ending[:] = sorted((o.ends, n) for n, o in book.out.items())
+            out = book.outstanding[given.right_id.number]
+            out.expires_at = now + self.times.lease / 2
+            book.expiry_heap[:] = sorted((o.expires_at, n) for n, o in book.outstanding.items())
         return given
 
 
 class FastClock(Allocator):
     """The rate by a clock that may be fast."""
 
-    def _rise(self, now: float, book: LimitLedger) -> None:
+    def _raise_level(self, now: float, book: LimitLedger) -> None:
         limit = book.limit
         book.limit = Limit(limit.rate * (1 + self.times.drift) ** 2, limit.burst)
-        super()._rise(now, book)
+        super()._raise_level(now, book)
         book.limit = limit
 
 
 class WholeBurst(Allocator):
     """New terms come with a whole burst."""
 
-    def retune(self, now: float, limits: Mapping[str, Limit]) -> None:
-        super().retune(now, limits)
-        for book in self.books.values():
+    def set_limits(self, now: float, limits: Mapping[str, Limit]) -> None:
+        super().set_limits(now, limits)
+        for book in self.ledgers.values():
             book.level = book.limit.burst
 
 
 class NoEnd(Holder):
     """A right that has ended is spent."""
 
-    def heard(self, now: float, given: RightsReply) -> bool:
-        more = super().heard(now, given)
-        for lot in self.purses[given.limit].lots if given.limit in self.purses else []:
-            lot.until = lot.keep = math.inf
+    def handle_reply(self, now: float, given: RightsReply) -> bool:
+        more = super().handle_reply(now, given)
+        for lot in self.holdings[given.limit].rights if given.limit in self.holdings else []:
+            lot.expires_at = lot.return_at = math.inf
         return more
 
 
 class AnyAnswer(Holder):
     """An answer that comes again counts again."""
 
-    def heard(self, now: float, given: RightsReply) -> bool:
-        more = super().heard(now, given)
-        if not more and given.units and given.limit in self.purses:
-            until = now + self.times.holds / 2
-            self.purses[given.limit].lots.append(HeldRight(given.right, given.units, until, until))
+    def handle_reply(self, now: float, given: RightsReply) -> bool:
+        more = super().handle_reply(now, given)
+        if not more and given.units and given.limit in self.holdings:
+            until = now + self.times.holder_lease_s / 2
+            self.holdings[given.limit].rights.append(HeldRight(given.right_id, given.units, until, until))
         return more
 
 
 class SpendsOn(Holder):
     """A right that was given up is spent on."""
 
-    def _close(self, now: float, purse: LimitHolding, lot: HeldRight) -> None:
-        super()._close(now, purse, lot)
+    def _return_right(self, now: float, purse: LimitHolding, lot: HeldRight) -> None:
+        super()._return_right(now, purse, lot)
         self.__dict__.setdefault("kept", []).append(lot)
 
-    def take(self, now: float, limit: str, units: float, anew: bool = True) -> bool:
-        if super().take(now, limit, units, anew):
+    def try_spend(self, now: float, limit: str, units: float, anew: bool = True) -> bool:
+        if super().try_spend(now, limit, units, anew):
             return True
         for lot in self.__dict__.get("kept", []):
-            if lot.units >= units and now < lot.until:
+            if lot.units >= units and now < lot.expires_at:
                 lot.units -= units
                 return True
         return False
@@ -170,42 +170,42 @@
 class Outlasts(Holder):
     """A right pays for what may be open for longer than it lasts."""
 
-    def can(self, now: float, limit: str, units: float, lasting: float = 0.0) -> bool:
-        return super().can(now, limit, units)
+    def can_spend(self, now: float, limit: str, units: float, lasting: float = 0.0) -> bool:
+        return super().can_spend(now, limit, units)
 
 
 class BackAndKept(Holder):
     """What has ended is given up and can be spent here, too."""
 
-    def _close(self, now: float, purse: LimitHolding, lot: HeldRight) -> None:
-        super()._close(now, purse, lot)
-        purse.lots.append(HeldRight(lot.right, lot.units, lot.until, lot.until))
+    def _return_right(self, now: float, purse: LimitHolding, lot: HeldRight) -> None:
+        super()._return_right(now, purse, lot)
+        purse.rights.append(HeldRight(lot.right_id, lot.units, lot.expires_at, lot.expires_at))
 
 
 class EndsTwice(Holder):
-    def ended(self, now: float, limit: str, paid: Payment) -> None:
-        super().ended(now, limit, paid)
-        super().ended(now, limit, paid)
+    def release(self, now: float, limit: str, paid: Payment) -> None:
+        super().release(now, limit, paid)
+        super().release(now, limit, paid)
 
 
 class FullAtOnce(Allocator):
     """What an allocator before gave out takes no room."""
 
-    def clears(self, limit: Limit) -> float:
-        return self.began
+    def ready_at_for(self, limit: Limit) -> float:
+        return self.started_at
 
 
 class ShortLease(Allocator):
     """Rights count as out for as long as those of a rate."""
 
-    def lease(self, limit: Limit) -> float:
+    def lease_for(self, limit: Limit) -> float:
         return self.times.lease
 
-    def _answer(
+    def _reply(
         self, ask: RightsRequest, number: int, units: float, wait_ms: int = 0, lease: float = 0.0
     ) -> RightsReply:
-        limit = self.limit(ask.limit)
-        return super()._answer(ask, number, units, wait_ms, limit.lease if limit else lease)
+        limit = self.find_limit(ask.limit)
+        return super()._reply(ask, number, units, wait_ms, limit.lease if limit else lease)
 
 
 class GivesOn(Allocator):
@@ -228,14 +228,14 @@
     """A book that was waiting itself is passed on as if it were known."""
 
     def seal(self, now: float, part: int) -> list[LedgerSnapshot]:
-        for book in self.books.values():
-            book.clear_at = min(book.clear_at, now)
+        for book in self.ledgers.values():
+            book.ready_at = min(book.ready_at, now)
         return super().seal(now, part)
 
 
 def replaced(left: LedgerSnapshot, out: tuple[tuple[float, float], ...]) -> LedgerSnapshot:
     return LedgerSnapshot(
-        left.part, left.fence, left.limit, left.level + sum(units for units, _ in left.out), out
+        left.partition, left.fence, left.limit, left.level + sum(units for units, _ in left.outstanding), out
     )
 
 
@@ -261,12 +261,12 @@
 def test_books_count_for_one_holding_that_begins_soon_and_under_a_higher_fence() -> None:
     left = InheritedLedgers(7, 10.0, {"p": (10.1, LedgerSnapshot(0, 7, "p", 5.0, ()))})
     times = Times(1.0, 0.1)
-    assert left.books_for(10.5, 8, times) == left.books
-    assert left.books_for(10.5, 7, times) == {}
-    assert left.books_for(10.0 + times.holds, 8, times) == {}
-    left.take(10.6, LedgerSnapshot(0, 7, "p", 9.0, ()))  # shown again, later: the first one stands
-    left.take(10.6, LedgerSnapshot(0, 6, "q", 9.0, ()))
-    assert left.books == {"p": (10.1, LedgerSnapshot(0, 7, "p", 5.0, ()))}
+    assert left.usable_snapshots(10.5, 8, times) == left.snapshots
+    assert left.usable_snapshots(10.5, 7, times) == {}
+    assert left.usable_snapshots(10.0 + times.holder_lease_s, 8, times) == {}
+    left.add(10.6, LedgerSnapshot(0, 7, "p", 9.0, ()))  # shown again, later: the first one stands
+    left.add(10.6, LedgerSnapshot(0, 6, "q", 9.0, ()))
+    assert left.snapshots == {"p": (10.1, LedgerSnapshot(0, 7, "p", 5.0, ()))}
 
 
 OPEN_FOUND = {Outlasts: 40, BackAndKept: 40, EndsTwice: 40, FullAtOnce: 40, ShortLease: 40}  # within so many
--- a/tests/fleet/test_verdicts.py
+++ b/tests/fleet/test_verdicts.py
@@ -17,7 +17,7 @@
 from roadpulley.fleet.verdicts.state_machine import HealthReportTable, VerdictSettings
 
 ME, A, B, C = (ProcessId(name, n) for n, name in enumerate(("me", "a", "b", "c"), 1))
-SETTINGS = VerdictSettings(life=3.0, share=0.3)
+SETTINGS = VerdictSettings(report_lifetime_s=3.0, max_share=0.3)
 WALL = 1_000_000
 
 
@@ -61,7 +61,9 @@
 
 
 def told(owner: ProcessId, row: ObservationRow, version: int = 1, seen: int = WALL) -> HealthReportBatch:
-    return HealthReportBatch(owner, (HealthReport(7, 5.0, version, row.tries, row.failures, seen, row.run),))
+    return HealthReportBatch(
+        owner, (HealthReport(7, 5.0, version, row.tries, row.failures, seen, row.failure_run),)
+    )
 
 
 @pytest.mark.parametrize("gap_s", [0.01, 0.1, 0.25, 1.0])
@@ -77,7 +79,7 @@
     row = seen_by_a_gateway("........x", gap_s)
     sender = book()
     (sent,) = sender.record_local(0.0, WALL, 10, [row])
-    assert sent.reports[0].run == 1
+    assert sent.reports[0].failure_run == 1
     made = book()
     made.merge_remote(0.0, WALL, told(A, row))
     assert level(made, 7) == 0  # one alone is not enough
@@ -111,7 +113,7 @@
     )
     later = ObservationRow(7, 5.0, 2.0, 0.0, 5, 0.0)
     assert merge_observations(later, failed) == ObservationRow(7, 5.0, 4.0, 1.0, 5, 0.0)
-    assert merge_observations(failed, failed).run == 2.0
+    assert merge_observations(failed, failed).failure_run == 2.0
 
 
 def test_one_that_saw_everything_fail_says_nothing_and_takes_back_what_it_said() -> None:
@@ -122,7 +124,7 @@
     broken = [ObservationRow(n, 5.0, 3.0, 3.0, 0) for n in range(1, 4)]
     (told,) = made.record_local(1.0, WALL, 10, broken)
     assert [(c.backend, c.failures) for c in told.reports] == [(1, 0.0)]
-    assert made.broken()
+    assert made.is_self_suspect()
 
 
 def test_who_is_served_outweighs_who_is_not_unless_that_was_before_it_began_to_fail() -> None:
@@ -182,12 +184,12 @@
     made.merge_remote(0.0, WALL, reports(A, 7, 3.0, version=5))
     made.merge_remote(0.1, WALL, reports(A, 7, 0.0, version=6))
     for at in (0.2, 9.0, 25.0):
-        made.forget(at)
+        made.expire(at)
         made.merge_remote(at, WALL, reports(A, 7, 3.0, version=5))  # its clock is behind: it looks fresh
         made.merge_remote(at, WALL, reports(B, 7, 3.0, version=1))
-        assert all(report.version == 6 for owner, report in made.fresh(at, WALL) if owner == A)
+        assert all(report.version == 6 for owner, report in made.iter_fresh(at, WALL) if owner == A)
     made.merge_remote(0.0, WALL, reports(C, 8, 3.0, seen=WALL - 3_001))
-    assert C not in made.kept
+    assert C not in made.reports
 
 
 def test_of_a_backend_that_restarted_only_what_was_seen_since_counts() -> None:
@@ -204,7 +206,7 @@
 def test_figures_that_cannot_be_are_passed_over(report: HealthReport) -> None:
     made = book()
     made.merge_remote(0.0, WALL, HealthReportBatch(A, (report, HealthReport(7, 5.0, 0, 1.0, 1.0, WALL))))
-    assert A not in made.kept or not made.kept[A]
+    assert A not in made.reports or not made.reports[A]
 
 
 drawn_claims = st.lists(
@@ -232,7 +234,7 @@
     rng.shuffle(again)
     for one in again:
         second.merge_remote(0.0, WALL, one)
-    assert set(first.fresh(0.0, WALL)) == set(second.fresh(0.0, WALL))
+    assert set(first.iter_fresh(0.0, WALL)) == set(second.iter_fresh(0.0, WALL))
     found = [
         [(v.backend, round(v.level, 6)) for v in sorted(made.judge(0.0, WALL, 5), key=lambda v: v.backend)]
         for made in (first, second)
