--- a/roadpulley/fleet/orders/service.py
+++ b/roadpulley/fleet/orders/service.py
@@ -78,7 +78,7 @@
         on_change: Callable[[], None],
     ) -> None:
         self.settings, self.voter, self.name, self.local_processes = settings, voter, name, local_processes
-        self.clock, self.answer, self.send, self.route_to_voter = (
+        self.clock, self.retry_interval_s, self.send, self.route_to_voter = (
             clock,
             retry_interval_s,
             send,
@@ -165,7 +165,7 @@
 
     def _start_publisher(self, duty: HeldDuty) -> None:
         ours = max(self.follower.book, self.voter.state.book, key=lambda b: b.version)
-        self.duty, self.publisher = duty, Publisher(duty.fence, self.get_roll(), ours, self.answer)
+        self.duty, self.publisher = duty, Publisher(duty.fence, self.get_roll(), ours, self.retry_interval_s)
         self.voter_pages, self.voter_replies, self.outcome_routes = {}, {}, {}
         log.info("publishes orders", fence=duty.fence, knows=list(ours.version))
 
@@ -187,7 +187,7 @@
             for body in self._voter_requests(publisher):
                 self._send_to_voter(voter, body)
         if publisher.state is PublisherState.READING and now >= self.query_all_at:
-            self.query_all_at = now + self.answer
+            self.query_all_at = now + self.retry_interval_s
             for route in self.peer_routes():
                 self.send(route, PrepareRequest(publisher.fence))
         if publisher.published is not None and now >= self.announce_at:
