--- a/roadpulley/cli/fleet.py
+++ b/roadpulley/cli/fleet.py
@@ -104,7 +104,7 @@
     if (verdicts := agent.settings.verdicts) is not None:
         os.environ[VERDICTS] = str(verdicts.report_interval_s)
     if (orders := agent.settings.orders) is not None:
-        os.environ[ORDERS] = json.dumps(asdict(orders.follower))
+        os.environ[ORDERS] = json.dumps(asdict(orders.follower_settings))
         lasts(settings, orders.open_lease_s)
 
 
--- a/roadpulley/cli/fleet_orders.py
+++ b/roadpulley/cli/fleet_orders.py
@@ -66,7 +66,7 @@
     if status["step"] != "done":
         click.echo(f"{status['step']}: {status['why']}", err=True)
         return 1
-    holds = found.orders.follower.holds if found.orders else 0.0
+    holds = found.orders.follower_settings.holds if found.orders else 0.0
     done, book = "lifted" if lift else "ordered", ".".join(map(str, status["id"]))
     click.echo(
         f"{done}, book {book}: every instance that is reached follows within a second; one that is cut off "
--- a/roadpulley/fleet/agent.py
+++ b/roadpulley/fleet/agent.py
@@ -355,16 +355,16 @@
     def _dispatch(self, who: ProcessId, address: str, body: Any) -> DropReason | None:
         if isinstance(body, RightsMessage):
             if self.rights is not None:
-                self.rights.handle_message((address, who.boot), body)
+                self.rights.handle_peer_message((address, who.boot), body)
         elif isinstance(body, PartBatch | Digest):
             if self.counters is not None:
                 self.counters.handle_message((address, who.boot), body)
         elif isinstance(body, OrderMessage):
             if self.orders is not None:
-                self.orders.handle_message((address, who.boot), who.name, body)
+                self.orders.handle_peer_message((address, who.boot), who.name, body)
         elif isinstance(body, HealthReportBatch):
             if self.verdicts is not None:
-                self.verdicts.handle_message(who, body)
+                self.verdicts.handle_peer_message(who, body)
         elif isinstance(body, Offer):
             self.duties.handle_offer(body.duty, body.rank, body.fence)
         elif isinstance(body, VoterConfigQuery):
--- a/roadpulley/fleet/orders/publisher.py
+++ b/roadpulley/fleet/orders/publisher.py
@@ -61,7 +61,7 @@
         self.forced = False  # an operator has said to go on with whom there is
         self.current_change: ChangeRequest | None = None
         self.queued_changes: deque[ChangeRequest] = deque()
-        self.outcomes: dict[str, ChangeOutcome] = {}
+        self.change_outcomes: dict[str, ChangeOutcome] = {}
         self.followers: dict[str, FollowerStatus] = {}
         self.higher_fence = 0  # a higher fence
         self.published: OrderBook | None = None  # the last that was acknowledged under this fence
@@ -147,7 +147,7 @@
 
     def submit(self, wish: ChangeRequest) -> ChangeOutcome | None:
         """An operator's call; its outcome where that is known."""
-        if known := self.outcomes.get(wish.ticket):
+        if known := self.change_outcomes.get(wish.ticket):
             return known
         if not wish.lift and (why := validate_order(wish.order)):
             return self._finish_change(wish, why)
@@ -157,7 +157,7 @@
         if all(wish.ticket != other.ticket for other in waiting):
             self.queued_changes.append(wish)
         self._start_next_change()
-        return self.outcomes.get(wish.ticket)
+        return self.change_outcomes.get(wish.ticket)
 
     def _start_next_change(self) -> None:
         while self.queued_changes and self.state is PublisherState.READY:
@@ -175,9 +175,9 @@
     def _finish_change(self, wish: ChangeRequest, why: str) -> ChangeOutcome:
         if self.current_change is wish:
             self.current_change = None
-        outcome = self.outcomes[wish.ticket] = ChangeOutcome(wish.ticket, self.book.version, why)
-        while len(self.outcomes) > MAX_REMEMBERED_OUTCOMES:
-            del self.outcomes[next(iter(self.outcomes))]
+        outcome = self.change_outcomes[wish.ticket] = ChangeOutcome(wish.ticket, self.book.version, why)
+        while len(self.change_outcomes) > MAX_REMEMBERED_OUTCOMES:
+            del self.change_outcomes[next(iter(self.change_outcomes))]
         return outcome
 
     # ---- followers ----
--- a/roadpulley/fleet/orders/service.py
+++ b/roadpulley/fleet/orders/service.py
@@ -90,7 +90,7 @@
             call_in_loop,
             on_change,
         )
-        self.follower = Follower(settings.follower)
+        self.follower = Follower(settings.follower_settings)
         self.duty: HeldDuty | None = None
         self.publisher: Publisher | None = None
         # The publisher that was heard last. Danger: it may take this instance for dead and tell it nothing.
@@ -145,7 +145,7 @@
         standing = book.orders_for_follower(wall_ms())
         if fresh != self.was_fresh and self.follower.book.version != NO_VERSION:
             words = "orders are followed" if fresh else "no publisher of orders is heard"
-            kept = "kept" if self.settings.follower.keep else "let go"
+            kept = "kept" if self.settings.follower_settings.keep else "let go"
             log.info(
                 words, id=list(book.version), orders=len(standing), **({} if fresh else {"they_are": kept})
             )
@@ -232,7 +232,7 @@
         if publisher.state is PublisherState.SUPERSEDED:
             log.warning("a higher fence publishes orders", fence=publisher.fence, voter=voter)
             if self.work is not None:
-                self.work.higher_fence = publisher.higher_fence
+                self.work.promised_fence = publisher.higher_fence
         elif publisher.published is not None and publisher.published is not before:
             self._handle_published(publisher, publisher.published)
 
@@ -242,10 +242,10 @@
         self.follower.handle_announcement(self.clock.now(), publisher.fence, book.version)
         self._announce(publisher, book.version)
         for ticket in list(self.calls):
-            if outcome := publisher.outcomes.get(ticket):
+            if outcome := publisher.change_outcomes.get(ticket):
                 self._record_outcome(outcome)
         for ticket, route in list(self.outcome_routes.items()):
-            if outcome := publisher.outcomes.get(ticket):
+            if outcome := publisher.change_outcomes.get(ticket):
                 del self.outcome_routes[ticket]
                 self.send(route, outcome)  # lost, it is asked for again
 
@@ -285,7 +285,11 @@
             return
         publisher.record_poll(now, name, poll.version)
         book = publisher.published
-        say(PollReply(poll.holder, poll.number, publisher.fence, book.version, self.settings.follower.holds))
+        say(
+            PollReply(
+                poll.holder, poll.number, publisher.fence, book.version, self.settings.follower_settings.holds
+            )
+        )
         if poll.version != book.version:
             for sheet in split_into_pages(book):
                 say(sheet)
@@ -301,7 +305,7 @@
 
     # ---- between instances ----
 
-    def handle_message(self, route: Route, name: str, body: Body) -> None:
+    def handle_peer_message(self, route: Route, name: str, body: Body) -> None:
         """A body of another instance; `name` says which."""
         now = self.clock.now()
         match body:
@@ -420,7 +424,7 @@
             "id": list(book.version),
             "known": "newest" if follower.is_fresh(now) else "not heard lately",
             "age_s": round(now - follower.requested_at, 2) if follower.requested_at > 0 else None,
-            "cut_off": "keep" if self.settings.follower.keep else "let-go",
+            "cut_off": "keep" if self.settings.follower_settings.keep else "let-go",
             "orders": [format_order(order, wall) for order in book.orders_for_follower(wall)],
             "counts": dict(self.counts),
         }
--- a/roadpulley/fleet/orders/settings.py
+++ b/roadpulley/fleet/orders/settings.py
@@ -15,7 +15,7 @@
 class OrderSettings:
     """`open_lease`: seconds that a right to have something open lasts; requests have to end within it."""
 
-    follower: FollowerSettings
+    follower_settings: FollowerSettings
     open_lease_s: float
 
 
--- a/roadpulley/fleet/orders/work.py
+++ b/roadpulley/fleet/orders/work.py
@@ -17,7 +17,7 @@
         self.on_start: Callable[[HeldDuty], None] | None = None
         self.highest_fence: Callable[[], int] = lambda: 0
         self.duty: HeldDuty | None = None
-        self.higher_fence = 0  # a higher fence that voters have promised
+        self.promised_fence = 0  # a higher fence that voters have promised
 
     def claim(self, fence: int, owner: str) -> int | None:
         """Voters refuse a fence below one that they promised; what is known of that here is told at once."""
@@ -28,7 +28,7 @@
         if duty is not self.duty and self.on_start is not None:
             self.duty = duty
             self.on_start(duty)
-        if self.higher_fence > duty.fence:
+        if self.promised_fence > duty.fence:
             # Danger: a fence that voters refuse would be held, and renewed, while nobody publishes.
-            raise StaleFenceError(self.higher_fence)
+            raise StaleFenceError(self.promised_fence)
         return FENCE_CHECK_INTERVAL_S
--- a/roadpulley/fleet/rights/client.py
+++ b/roadpulley/fleet/rights/client.py
@@ -47,7 +47,7 @@
 
     def __init__(self, line: AgentLink, clock: Clock | None = None) -> None:
         self.line, self.clock = line, clock or from_environment()
-        self.holder: Holder | None = None  # until an instance has told the settings
+        self.holder_state: Holder | None = None  # until an instance has told the settings
         self.pending: dict[str, list[PendingSpend]] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = NEVER_DUE  # by our clock
@@ -66,12 +66,12 @@
 
     def try_spend(self, limit: str, units: float) -> bool:
         """Spend so much now, if it is held."""
-        if self.holder is None:
+        if self.holder_state is None:
             return False
         now = self.clock.now()
-        taken = self.holder.try_spend(now, limit, units)
+        taken = self.holder_state.try_spend(now, limit, units)
         self.spent_at = now
-        if ask := self.holder.prepare_request(now, limit):
+        if ask := self.holder_state.prepare_request(now, limit):
             self.line.send(ask)
         self._reset_timer()
         return taken
@@ -90,11 +90,11 @@
         `done` is called once, at once or within so many seconds: whether they are paid, and what to call when
         the act has ended, where units come back then.
         """
-        if self.holder is None:
+        if self.holder_state is None:
             return done(False, None)
         now = self.clock.now()
         for need in needs:
-            self.holder.record_demand(now, need.limit, need.units)
+            self.holder_state.record_demand(now, need.limit, need.units)
         wish = PendingSpend(needs, done)
         lacking = self._spend_if_possible(now, wish)
         self._reset_timer()
@@ -103,7 +103,7 @@
 
     def _spend_if_possible(self, now: float, wish: PendingSpend) -> str | None:
         """Pay it, if all its needs can be; gives a limit that can't."""
-        machine = self.holder
+        machine = self.holder_state
         assert machine is not None
         lacking = [
             n.limit for n in wish.costs if not machine.can_spend(now, n.limit, n.units, n.use_duration_s)
@@ -131,13 +131,13 @@
         return True
 
     def _has_open_request(self, limit: str) -> bool:
-        purse = self.holder.holdings.get(limit) if self.holder is not None else None
+        purse = self.holder_state.holdings.get(limit) if self.holder_state is not None else None
         return purse is not None and purse.pending is not None
 
     def _release(self, back: list[tuple[str, Payment]]) -> None:
-        assert self.holder is not None
+        assert self.holder_state is not None
         for limit, lots in back:
-            self.holder.release(self.clock.now(), limit, lots)
+            self.holder_state.release(self.clock.now(), limit, lots)
             if self.pending.get(limit):
                 self._retry_pending(limit)
         self._reset_timer()
@@ -167,18 +167,18 @@
             return
         now = self.clock.now()
         if isinstance(body, Welcome):
-            if self.holder is None or self.holder.partitions != body.partitions:
-                self.holder = Holder(self.line.worker_id, body.partitions, body.times)
+            if self.holder_state is None or self.holder_state.partitions != body.partitions:
+                self.holder_state = Holder(self.line.worker_id, body.partitions, body.times)
                 self.line.send(
                     Hello(self.line.worker_id)
                 )  # who serves is told again, now that it can be kept
-        elif self.holder is None:
+        elif self.holder_state is None:
             return
         elif isinstance(body, AllocatorAnnouncement):
-            self.holder.handle_announcement(now, body.partition, body.fence, body.lifetime_ms / 1000)
+            self.holder_state.handle_announcement(now, body.partition, body.fence, body.lifetime_ms / 1000)
         elif body.holder == self.line.worker_id:
             limit, waited = body.limit, self._has_open_request(body.limit)
-            self.holder.handle_reply(now, body)
+            self.holder_state.handle_reply(now, body)
             if waited and not self._has_open_request(limit):
                 self._retry_pending(limit)
         self._reset_timer()
@@ -186,18 +186,18 @@
     # ---- time ----
 
     def _reset_timer(self) -> None:
-        if self.holder is None or self.holder.next_check_at() >= self.timer_at:
+        if self.holder_state is None or self.holder_state.next_check_at() >= self.timer_at:
             return  # the timer comes first
         if self.timer is not None:
             self.timer.cancel()
-        self.timer_at = self.holder.next_check_at()
+        self.timer_at = self.holder_state.next_check_at()
         wait = max(0.0, (self.timer_at - self.clock.now()) / self.clock.rate)
         self.timer = asyncio.get_running_loop().call_later(wait + MIN_TIMER_DELAY_S, self._tick)
 
     def _tick(self) -> None:
-        assert self.holder is not None
+        assert self.holder_state is not None
         self.timer_at = NEVER_DUE
-        for ask in self.holder.tick(self.clock.now()):
+        for ask in self.holder_state.tick(self.clock.now()):
             self.line.send(ask)
         for limit in [name for name in self.pending if not self._has_open_request(name)]:
             self._retry_pending(limit)
--- a/roadpulley/fleet/rights/holder.py
+++ b/roadpulley/fleet/rights/holder.py
@@ -81,7 +81,7 @@
     use_duration_s: float = 0.0  # of the wish looked at last: seconds for which its units may be in use
 
     @property
-    def is_concurrency_limit(self) -> bool:
+    def is_concurrency(self) -> bool:
         return is_concurrency_limit(self.limit)
 
     def spendable_units(self, now: MonotonicTime) -> float:
@@ -136,7 +136,7 @@
         """Whether rights that are held can pay; if not, `ask_now` asks for more."""
         purse = self._get_holding(now, limit)
         # Danger: of wishes that wait each has its own; by another's it could outlast the right that pays.
-        purse.use_duration_s = lasting if purse.is_concurrency_limit else 0.0
+        purse.use_duration_s = lasting if purse.is_concurrency else 0.0
         if purse.spendable_units(now) >= units - UNIT_EPSILON:
             return True
         purse.lacking_units = max(purse.lacking_units, units)
@@ -150,7 +150,7 @@
         for lot in purse.rights:
             if now + purse.use_duration_s < lot.expires_at and (paid := min(lot.units, left)) > 0:
                 lot.units, left = lot.units - paid, left - paid
-                lot.units_in_use += paid if purse.is_concurrency_limit else 0.0
+                lot.units_in_use += paid if purse.is_concurrency else 0.0
                 out.append((lot, paid))
         purse.lacking_units = 0.0
         return out
@@ -251,7 +251,7 @@
         ahead = (
             purse.demand * math.exp((purse.demand_at - now) / DEMAND_DECAY_S) / DEMAND_DECAY_S * PREFETCH_S
         )
-        if purse.is_concurrency_limit:  # what is in use comes back and is spent again
+        if purse.is_concurrency:  # what is in use comes back and is spent again
             ahead = min(ahead, SPARE_CONCURRENCY_RATIO * purse.count_units_in_use(now))
         ahead = ahead if ahead >= purse.largest_spend else 0.0  # so few wishes: each is asked for as it comes
         target, there = max(ahead, purse.lacking_units), purse.spendable_units(now)
@@ -275,7 +275,7 @@
         # Danger: an allocator that goes by a shorter lease takes a right for ended before this process does.
         holds = (
             given.holder_lease_s
-            if purse.is_concurrency_limit
+            if purse.is_concurrency
             else min(self.times.holder_lease_s, given.holder_lease_s)
         )
         if given.units > 0:
@@ -291,7 +291,7 @@
         for lot in purse.rights:
             if now >= lot.expires_at:
                 continue  # the allocator will find that it has ended
-            if purse.is_concurrency_limit:
+            if purse.is_concurrency:
                 if lot.units > UNIT_EPSILON and now >= lot.return_at:
                     self._return_right(now, purse, lot)
                     lot.units = 0.0
@@ -313,7 +313,7 @@
         # What was all spent is told with the next ask: until then the limit has a little less room.
         patience = 0.0 if lot.units > UNIT_EPSILON else MAX_RETURN_DELAY_RATIO * self.times.lease
         patience = (
-            self.times.answer if purse.is_concurrency_limit else patience
+            self.times.answer if purse.is_concurrency else patience
         )  # one message for what ends together
         purse.report_returns_at = min(purse.report_returns_at, now + patience)
 
@@ -341,7 +341,7 @@
                 yield purse.retry_at
         # Of a right that is all in use nothing is to be given up yet.
         yield from (
-            lot.expires_at if purse.is_concurrency_limit and lot.units <= UNIT_EPSILON else lot.return_at
+            lot.expires_at if purse.is_concurrency and lot.units <= UNIT_EPSILON else lot.return_at
             for lot in purse.rights
         )
 
--- a/roadpulley/fleet/rights/service.py
+++ b/roadpulley/fleet/rights/service.py
@@ -161,7 +161,7 @@
         duty, allocator = self.allocators.get(part, (None, None))
         if duty is None:
             return None
-        if not duty.still_mine():
+        if not duty.is_still_held():
             del self.allocators[part]
             return None
         return allocator
@@ -191,7 +191,7 @@
 
     # ---- between instances ----
 
-    def handle_message(self, route: Route, body: Body) -> None:
+    def handle_peer_message(self, route: Route, body: Body) -> None:
         """A body of another instance."""
         if isinstance(body, AllocatorAnnouncement):
             self._handle_announcement(route, body)
--- a/roadpulley/fleet/verdicts/service.py
+++ b/roadpulley/fleet/verdicts/service.py
@@ -140,7 +140,7 @@
 
     # ---- messages ----
 
-    def handle_message(self, who: ProcessId, body: Body) -> None:
+    def handle_peer_message(self, who: ProcessId, body: Body) -> None:
         if body.owner != who:
             # Danger: what one says of another's evidence could outlive it, or be made up.
             self.foreign_reports += 1
--- a/roadpulley/fleet/verdicts/state_machine.py
+++ b/roadpulley/fleet/verdicts/state_machine.py
@@ -73,7 +73,7 @@
     identity: ProcessId
     settings: VerdictSettings
     version: int = 0
-    reports: dict[ProcessId, dict[int, StoredReport]] = field(default_factory=dict)
+    reports_by_observer: dict[ProcessId, dict[int, StoredReport]] = field(default_factory=dict)
     own_rows: dict[int, ObservationRow] = field(
         default_factory=dict
     )  # own evidence, as it was last told here
@@ -90,14 +90,17 @@
         """What the processes beside saw lately; gives what to tell all others."""
         self.ready, self.own_rows = ready, {row.backend: row for row in rows}
         disputed = {
-            b for reports in self.reports.values() for b, kept in reports.items() if kept.report.failures
+            b
+            for reports in self.reports_by_observer.values()
+            for b, kept in reports.items()
+            if kept.report.failures
         }
         failing = {b for b, row in self.own_rows.items() if is_failing(row)}
         told = {b: self.own_rows[b] for b in sorted(failing | (disputed & set(self.own_rows)))}
         if self.is_self_suspect():
             # Danger: a gateway with a broken card finds all backends failing, and would take them from all
             # others. It takes back what it has said.
-            mine = self.reports.get(self.identity, {}).values()
+            mine = self.reports_by_observer.get(self.identity, {}).values()
             told = {
                 k.report.backend: ObservationRow(k.report.backend, k.report.started, 0.0, 0.0, 0)
                 for k in mine
@@ -135,7 +138,7 @@
         return sound and report.version > 0 and report.failure_run >= 0
 
     def _store(self, now: MonotonicTime, owner: ProcessId, report: HealthReport) -> None:
-        known = self.reports.setdefault(owner, {})
+        known = self.reports_by_observer.setdefault(owner, {})
         before = known.get(report.backend)
         if before is not None and before.report.version >= report.version:
             return
@@ -147,17 +150,17 @@
 
     def expire(self, now: MonotonicTime) -> None:
         """What has ended so long ago that nothing older can come any more."""
-        for owner, reports in list(self.reports.items()):
+        for owner, reports in list(self.reports_by_observer.items()):
             for backend, kept in list(reports.items()):
                 if now - kept.received_at > RETENTION_LIFETIMES * self.settings.report_lifetime_s:
                     del reports[backend]
                     self.report_count -= 1
             if not reports:
-                del self.reports[owner]
+                del self.reports_by_observer[owner]
 
     def iter_fresh(self, now: MonotonicTime, wall_ms: int) -> Iterator[tuple[ProcessId, HealthReport]]:
         life = self.settings.report_lifetime_s
-        for owner, reports in self.reports.items():
+        for owner, reports in self.reports_by_observer.items():
             for kept in reports.values():
                 if now - kept.received_at < life and wall_ms - kept.report.seen_ms < 1000 * life:
                     yield owner, kept.report
--- a/roadpulley/testbed/orders_world.py
+++ b/roadpulley/testbed/orders_world.py
@@ -224,7 +224,7 @@
             self.broken.append(f"{book.version} has {sorted(found)}, after {sorted(self.model)}")
         self.model = found
         for wish in list(self.pending):
-            if wish.ticket in publisher.outcomes:
+            if wish.ticket in publisher.change_outcomes:
                 self.outcomes += 1
                 self.pending.remove(wish)
         self.acknowledged.append((self.now, book))
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -63,7 +63,7 @@
     took(made, "v2")
     assert made.published is not None and made.published.orders == (BLOCK,)
     number = made.book.version.number
-    assert made.submit(wish) == made.outcomes["t1"]  # it comes again
+    assert made.submit(wish) == made.change_outcomes["t1"]  # it comes again
     assert made.book.version.number == number
 
 
@@ -139,7 +139,7 @@
         made.submit(ChangeRequest(order.ticket, order, False))
         took(made, "v0", "v1")
     assert len(made.book.orders) == MAX_ORDERS
-    assert "lift one" in made.outcomes[wide[-1].ticket].error
+    assert "lift one" in made.change_outcomes[wide[-1].ticket].error
     codec, gathering = Codec("x" * 32, "y" * 32, 2**53 - 1, b"k" * 32), PageAssembler()
     found = [gathering.add(sheet) for sheet in reversed(split_into_pages(made.book))]
     assert found[-1] == made.book and set(found[:-1]) == {None}
--- a/tests/fleet/test_verdicts.py
+++ b/tests/fleet/test_verdicts.py
@@ -189,7 +189,7 @@
         made.merge_remote(at, WALL, reports(B, 7, 3.0, version=1))
         assert all(report.version == 6 for owner, report in made.iter_fresh(at, WALL) if owner == A)
     made.merge_remote(0.0, WALL, reports(C, 8, 3.0, seen=WALL - 3_001))
-    assert C not in made.reports
+    assert C not in made.reports_by_observer
 
 
 def test_of_a_backend_that_restarted_only_what_was_seen_since_counts() -> None:
@@ -206,7 +206,7 @@
 def test_figures_that_cannot_be_are_passed_over(report: HealthReport) -> None:
     made = book()
     made.merge_remote(0.0, WALL, HealthReportBatch(A, (report, HealthReport(7, 5.0, 0, 1.0, 1.0, WALL))))
-    assert A not in made.reports or not made.reports[A]
+    assert A not in made.reports_by_observer or not made.reports_by_observer[A]
 
 
 drawn_claims = st.lists(
