--- a/roadpulley/fleet/members/__init__.py
+++ b/roadpulley/fleet/members/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there. Informs; no safety rests on it."""
+"""Membership of the fleet by SWIM. It is advisory: no safety property depends on it."""
--- a/roadpulley/fleet/members/state_machine.py
+++ b/roadpulley/fleet/members/state_machine.py
@@ -1,9 +1,10 @@
-"""Who is there, as one process sees it: SWIM with suspicion, Lifeguard's care for one's own slowness. Pure.
+"""Membership as one process sees it: SWIM with suspicion, and the extensions of Lifeguard. Performs no I/O.
 
-Each period one member is probed, in an order by chance that is drawn anew after each round. One that does not
-answer is probed through others; if that fails too it is suspected, and told so with the next ping. A suspect
-that does not refute it within its time counts as dead. Sources: SWIM (Das and others, 2002), sections 3 and
-4; Lifeguard (Dadgar, Phillips, Currey, 2018): local health, waits that shrink with confirmations, buddies.
+Each period one member is probed; the random order is reshuffled after each round. A member that does not
+answer is probed through helpers. If that fails too, it becomes a suspect, and the next ping to it carries the
+suspicion. A suspect that does not refute the suspicion before its timeout is declared dead. Sources: SWIM
+(Das and others, 2002), sections 3 and 4; Lifeguard (Dadgar, Phillips, Currey, 2018): local health, suspicion
+timeouts that shrink with confirmations, the buddy system.
 """
 
 from __future__ import annotations
@@ -29,17 +30,15 @@
 )
 
 MAX_MEMBERS = 4_096
-JOIN_EXCHANGES = (
-    5  # exchanges that count as the beginning, in which pages are asked for so many times as often
-)
-MAX_TICK_DELAY_PERIODS = (
-    0.5  # periods that a tick may come late before this process takes itself for the slow one
-)
+# During its first so many exchange intervals, a process requests pages so many times as often.
+JOIN_EXCHANGES = 5
+# A tick that is later than this many periods means that this process itself is slow.
+MAX_TICK_DELAY_PERIODS = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class OutboundMessage:
-    """Send it there; `who` is NOBODY where no process of that address is known yet."""
+    """A message to send. `receiver` is NO_PROCESS if no process at that address is known yet."""
 
     address: str
     receiver: ProcessId
@@ -48,20 +47,25 @@
 
 @dataclass(slots=True)
 class Member:
+    """What is known about another process."""
+
     claim: Claim
-    state_since: MonotonicTime  # of its state
-    observed_address: str = ""  # the address that it was heard from
-    suspected_by: set[ProcessId] = field(default_factory=set)  # who else suspects it
-    transmissions: int = 0  # times that the claim was sent on
+    state_since: MonotonicTime  # when it entered its state
+    observed_address: str = ""  # source address of its last datagram
+    suspected_by: set[ProcessId] = field(default_factory=set)  # other members that suspect it
+    transmissions: int = 0  # times that the claim was gossiped
 
     def is_active(self) -> bool:
+        """Whether it is alive or suspected."""
         return self.claim.state < MemberState.DEAD
 
 
 @dataclass(slots=True)
 class Probe:
+    """The probe in progress. `is_indirect`: helpers were asked to probe the target too."""
+
     target: ProcessId
-    number: int
+    sequence: int
     deadline: MonotonicTime
     is_indirect: bool = False
     helper_count: int = 0
@@ -69,16 +73,18 @@
 
 
 class Membership:
-    """`address`: how others reach this process, empty where their settings say it; `can`: duties, by bits.
+    """The state machine of one process.
 
-    `static`: addresses by name, from the settings; `seeds`: further ones, whose names are not known.
+    `address`: how others reach this process; empty if their settings name it. `duty_bits`: the duties that it
+    may hold. `addresses`: addresses from the settings, by name. `seeds`: further addresses to contact, whose
+    names are not known.
     """
 
     def __init__(
         self,
         own_id: ProcessId,
         address: str,
-        can: int,
+        duty_bits: int,
         addresses: Mapping[str, str],
         seeds: Iterable[str],
         swim_parameters: SwimParameters,
@@ -91,10 +97,10 @@
             dict(addresses),
         )
         self.seeds = tuple(dict.fromkeys([*(a for n, a in addresses.items() if n != own_id.name), *seeds]))
-        self.own_claim = Claim(own_id, 1, MemberState.ALIVE, address, can)
+        self.own_claim = Claim(own_id, 1, MemberState.ALIVE, address, duty_bits)
         self.table: dict[ProcessId, Member] = {}
-        self.suspects: dict[ProcessId, Member] = {}  # of the table, for each look at the clock is over these
-        self.gossip_queue: dict[ProcessId, Member] = {}  # of the table: their claims are still passed on
+        self.suspects: dict[ProcessId, Member] = {}  # the suspects of `table`, checked at every tick
+        self.gossip_queue: dict[ProcessId, Member] = {}  # members of `table` whose claims are still gossiped
         self.probe_order: list[ProcessId] = []
         self.probe: Probe | None = None
         self.next_probe: MonotonicTime | None = None
@@ -102,24 +108,24 @@
         self.next_gossip: MonotonicTime = 0.0
         self.next_page: MonotonicTime = 0.0
         self.page_cursor = NO_PROCESS
-        self.relayed_probes: dict[
-            int, tuple[ProcessId, str, int, MonotonicTime]
-        ] = {}  # for whom, where, its number, until
+        # By our sequence number: the requester, its address, its sequence number, the deadline.
+        self.relayed_probes: dict[int, tuple[ProcessId, str, int, MonotonicTime]] = {}
         self.seed_retry_at: dict[str, MonotonicTime] = {}
         self.last_sequence = 0
-        self.health_score = 0  # 0: well
-        self.state_changes: list[tuple[ProcessId, MemberState]] = []  # what changed, for the shell to log
-        self.refutations = 0  # claims against this process that it refuted
-        self.own_claim_resends = 0  # times that our own claim is still to be passed on
+        self.health_score = 0  # Lifeguard's local health; 0 is healthy
+        self.state_changes: list[tuple[ProcessId, MemberState]] = []  # for the caller to log and clear
+        self.refutations = 0  # suspect and dead claims about this process that it refuted
+        self.own_claim_resends = 0  # how often the own claim is still to be gossiped
 
-    # ---- questions ----
+    # ---- queries ----
 
     def active_claims(self) -> list[Claim]:
-        """Those who are thought to live, this process among them, by name and boot."""
-        found = [m.claim for m in self.table.values() if m.is_active()]
-        return sorted([*found, self.own_claim], key=lambda c: c.process)
+        """Claims about alive and suspected processes, this one included, sorted by name and boot."""
+        active = [m.claim for m in self.table.values() if m.is_active()]
+        return sorted([*active, self.own_claim], key=lambda c: c.process)
 
     def address_of(self, member: Member) -> str:
+        """Where to reach a member: as it claims, as configured, or as last observed."""
         return (
             member.claim.address
             or self.configured_addresses.get(member.claim.process.name, "")
@@ -127,37 +133,42 @@
         )
 
     def next_deadline(self) -> MonotonicTime:
-        ends = [m.state_since + self.suspicion_timeout(m) for m in self.suspects.values()]
-        if ends or self.gossip_queue or self.own_claim_resends:
-            ends.append(self.next_gossip)
+        """When `tick` has to be called next."""
+        deadlines = [m.state_since + self.suspicion_timeout(m) for m in self.suspects.values()]
+        if deadlines or self.gossip_queue or self.own_claim_resends:
+            deadlines.append(self.next_gossip)
         if self.probe is not None:
-            ends.append(self.probe.deadline)
-        ends += [until for _, _, _, until in self.relayed_probes.values()]
-        return min([self.next_probe or 0.0, *ends])
+            deadlines.append(self.probe.deadline)
+        deadlines += [deadline for _, _, _, deadline in self.relayed_probes.values()]
+        return min([self.next_probe or 0.0, *deadlines])
 
     def suspicion_timeout(self, member: Member) -> float:
-        """How long a suspect has to refute it (Lifeguard, section 4.2)."""
-        t = self.parameters
-        least = t.suspicion * max(1.0, math.log10(max(1, len(self.table) + 1))) * t.period
-        if not t.careful:
-            return least
-        part = math.log(len(member.suspected_by) + 1) / math.log(t.confirmations + 1)
-        return max(least, least * t.most_suspicion - part * least * (t.most_suspicion - 1))
+        """Seconds that a suspect has to refute the suspicion (Lifeguard, section 4.2)."""
+        swim = self.parameters
+        minimum = swim.suspicion * max(1.0, math.log10(max(1, len(self.table) + 1))) * swim.period
+        if not swim.careful:
+            return minimum
+        confirmed_ratio = math.log(len(member.suspected_by) + 1) / math.log(swim.confirmations + 1)
+        return max(
+            minimum, minimum * swim.most_suspicion - confirmed_ratio * minimum * (swim.most_suspicion - 1)
+        )
 
     @property
     def timeout_multiplier(self) -> float:
+        """Factor for probe timeouts and the probe interval; grows as the local health gets worse."""
         return 1.0 + self.health_score if self.parameters.careful else 1.0
 
     # ---- events ----
 
     def tick(self, now: MonotonicTime) -> list[OutboundMessage]:
-        out: list[OutboundMessage] = []
+        """Do what is due at `now`; returns the messages to send."""
+        outbox: list[OutboundMessage] = []
         if self.next_probe is None:
             self.next_probe, self.started_at = now + self.rng.random() * self.parameters.period, now
-            return self._ping_seeds(now, out)
+            return self._ping_seeds(now, outbox)
         self._handle_late_tick(now)
         if self.probe is not None and now >= self.probe.deadline:
-            self._handle_probe_timeout(now, self.probe, out)
+            self._handle_probe_timeout(now, self.probe, outbox)
         for member in list(self.suspects.values()):
             if now >= member.state_since + self.suspicion_timeout(member):
                 claim = member.claim
@@ -165,125 +176,150 @@
                     claim.process, claim.incarnation, MemberState.DEAD, claim.address, claim.duty_bits
                 )
                 self._apply_claim(now, dead, self.self_id)
-        for number, (who, address, theirs, until) in list(self.relayed_probes.items()):
-            if now >= until:
-                del self.relayed_probes[number]
-                out.append(OutboundMessage(address, who, Nack(theirs)))
+        for own_sequence, (requester, address, requester_sequence, deadline) in list(
+            self.relayed_probes.items()
+        ):
+            if now >= deadline:
+                del self.relayed_probes[own_sequence]
+                outbox.append(OutboundMessage(address, requester, Nack(requester_sequence)))
         if now >= self.next_gossip:
-            # Danger: not as slowly as this process probes while it takes itself for slow: a suspect's time
-            # runs.
+            # Not scaled by the timeout multiplier: the timeout of a suspect runs on while this process is
+            # slow, so the suspect would learn of the suspicion too late to refute it.
             self.next_gossip = now + self.parameters.period
-            self._ping_suspects(out)
-            self._gossip(out)
+            self._ping_suspects(outbox)
+            self._gossip(outbox)
         if now >= self.next_probe:
             self.next_probe = now + self.parameters.period * self.timeout_multiplier
             self._remove_expired(now)
-            self._ping_seeds(now, out)
-            self._start_probe(now, out)
+            self._ping_seeds(now, outbox)
+            self._start_probe(now, outbox)
             if now >= self.next_page:
-                self._request_page(now, out)
-        return out
+                self._request_page(now, outbox)
+        return outbox
 
     def handle_message(
-        self, now: MonotonicTime, who: ProcessId, address: str, body: MembershipMessage
+        self, now: MonotonicTime, sender: ProcessId, address: str, body: MembershipMessage
     ) -> list[OutboundMessage]:
-        """From a process that the datagram names truly, at the address that it came from."""
-        out: list[OutboundMessage] = []
+        """Handle a message whose sender is verified; returns the messages to send.
+
+        `address`: the source address of the datagram.
+        """
+        outbox: list[OutboundMessage] = []
         self.seed_retry_at.pop(address, None)
-        if who not in self.table and len(self.table) < MAX_MEMBERS:
-            self._apply_claim(now, Claim(who, 0, MemberState.ALIVE, "", 0), who)
-        if who in self.table:
-            self.table[who].observed_address = address
+        if sender not in self.table and len(self.table) < MAX_MEMBERS:
+            self._apply_claim(now, Claim(sender, 0, MemberState.ALIVE, "", 0), sender)
+        if sender in self.table:
+            self.table[sender].observed_address = address
         claims = () if isinstance(body, Nack | PageRequest) else body.claims
-        fresh = [self._apply_claim(now, claim, who) for claim in claims]
+        was_news = [self._apply_claim(now, claim, sender) for claim in claims]
         match body:
-            case Ping(number, _):
-                out.append(OutboundMessage(address, who, Ack(number, self.self_id, self._select_claims(who))))
-            case PingRequest(number, target, at, _):
+            case Ping(sequence, _):
+                outbox.append(
+                    OutboundMessage(address, sender, Ack(sequence, self.self_id, self._select_claims(sender)))
+                )
+            case PingRequest(sequence, target, target_address, _):
                 self.last_sequence += 1
                 self.relayed_probes[self.last_sequence] = (
-                    who,
+                    sender,
                     address,
-                    number,
+                    sequence,
                     now + self.parameters.answer * 0.8,
                 )
-                out.append(OutboundMessage(at, target, Ping(self.last_sequence, self._select_claims(target))))
-            case Ack(number, answered, _):
-                self._handle_ack(number, answered, out)
-            case Nack(number):
-                if self.probe is not None and self.probe.number == number:
+                outbox.append(
+                    OutboundMessage(
+                        target_address, target, Ping(self.last_sequence, self._select_claims(target))
+                    )
+                )
+            case Ack(sequence, responder, _):
+                self._handle_ack(sequence, responder, outbox)
+            case Nack(sequence):
+                if self.probe is not None and self.probe.sequence == sequence:
                     self.probe.nack_count += 1
             case PageRequest(after):
-                out.append(OutboundMessage(address, who, self._build_page(after)))
+                outbox.append(OutboundMessage(address, sender, self._build_page(after)))
             case Page(page, last):
                 self.page_cursor = NO_PROCESS if last or not page else page[-1].process
-                if any(fresh) and not last:  # there may be more that is not known here
-                    out.append(OutboundMessage(address, who, PageRequest(self.page_cursor)))
-        return out
+                if any(was_news) and not last:  # later pages may hold more news
+                    outbox.append(OutboundMessage(address, sender, PageRequest(self.page_cursor)))
+        return outbox
 
     def leave(self, now: MonotonicTime) -> list[OutboundMessage]:
-        """This process ends: say so to a few, who tell the others."""
+        """Announce the departure of this process to a few members, which gossip it."""
         self.own_claim = self._next_own_claim(MemberState.LEFT)
-        some = self._sample_members(self.parameters.helpers, lambda m: m.is_active())
+        receivers = self._sample_members(self.parameters.helpers, lambda m: m.is_active())
         return [
-            OutboundMessage(self.address_of(m), m.claim.process, Ping(0, (self.own_claim,))) for m in some
+            OutboundMessage(self.address_of(m), m.claim.process, Ping(0, (self.own_claim,)))
+            for m in receivers
         ]
 
     def set_address(self, address: str) -> None:
-        """This process is reached elsewhere from now on."""
+        """Announce a new address of this process; empty if the settings of the others name it."""
         claim = self._next_own_claim(MemberState.ALIVE)
         self.own_claim = Claim(claim.process, claim.incarnation, claim.state, address, claim.duty_bits)
 
-    def set_duty_bits(self, can: int) -> None:
-        """Which duties this process may hold from now on, by bits."""
-        if can != self.own_claim.duty_bits:
-            self.own_claim = self._next_own_claim(MemberState.ALIVE, can)
+    def set_duty_bits(self, duty_bits: int) -> None:
+        """Announce which duties this process may hold from now on."""
+        if duty_bits != self.own_claim.duty_bits:
+            self.own_claim = self._next_own_claim(MemberState.ALIVE, duty_bits)
 
-    # ---- inside ----
+    # ---- internals ----
 
-    def _next_own_claim(self, state: MemberState, can: int | None = None) -> Claim:
+    def _next_own_claim(self, state: MemberState, duty_bits: int | None = None) -> Claim:
         self.own_claim_resends = self._transmit_limit()
-        mine = self.own_claim
+        current = self.own_claim
         return Claim(
-            self.self_id, mine.incarnation + 1, state, mine.address, mine.duty_bits if can is None else can
+            self.self_id,
+            current.incarnation + 1,
+            state,
+            current.address,
+            current.duty_bits if duty_bits is None else duty_bits,
         )
 
     def _transmit_limit(self) -> int:
         return math.ceil(self.parameters.resend * math.log10(len(self.table) + 10))
 
     def _handle_late_tick(self, now: MonotonicTime) -> None:
-        """Danger: a process that was stopped finds all its waits over, and answers that lie unread."""
+        """Extend timeouts after a late tick.
+
+        A process that was suspended finds all its timeouts expired although answers are still unread in its
+        socket. Without the extension it would declare healthy members suspect or dead.
+        """
         assert self.next_probe is not None
-        late = now - min(self.next_probe, self.probe.deadline if self.probe else math.inf)
-        if not self.parameters.careful or late <= MAX_TICK_DELAY_PERIODS * self.parameters.period:
+        delay = now - min(self.next_probe, self.probe.deadline if self.probe else math.inf)
+        if not self.parameters.careful or delay <= MAX_TICK_DELAY_PERIODS * self.parameters.period:
             return
         self.health_score = min(self.parameters.health, self.health_score + 1)
         for member in self.suspects.values():
-            member.state_since += late
+            member.state_since += delay
         if self.probe is not None:
             self.probe.deadline = max(self.probe.deadline, now + self.parameters.answer)
 
     def _remove_expired(self, now: MonotonicTime) -> None:
-        gone = [
-            who
-            for who, m in self.table.items()
+        expired = [
+            process
+            for process, m in self.table.items()
             if m.claim.state >= MemberState.DEAD and now - m.state_since > self.parameters.forget
         ]
-        for who in gone:
-            del self.table[who]
-            self.gossip_queue.pop(who, None)
+        for process in expired:
+            del self.table[process]
+            self.gossip_queue.pop(process, None)
+
+    def _ping_seeds(self, now: MonotonicTime, outbox: list[OutboundMessage]) -> list[OutboundMessage]:
+        """Ping configured addresses at which no active member is known.
 
-    def _ping_seeds(self, now: MonotonicTime, out: list[OutboundMessage]) -> list[OutboundMessage]:
-        """Whom the settings name and nobody has met. Each is tried now and then, also after a cut."""
-        known = {self.address_of(m) for m in self.table.values() if m.is_active()}
+        Each is retried, so that the halves of a healed partition find each other again.
+        """
+        active_addresses = {self.address_of(m) for m in self.table.values() if m.is_active()}
         for address in self.seeds:
-            if address not in known and now >= self.seed_retry_at.get(address, 0.0):
+            if address not in active_addresses and now >= self.seed_retry_at.get(address, 0.0):
                 self.seed_retry_at[address] = now + self.parameters.period * (1 + self.rng.random())
                 self.last_sequence += 1
-                out.append(OutboundMessage(address, NO_PROCESS, Ping(self.last_sequence, (self.own_claim,))))
-        return out
+                outbox.append(
+                    OutboundMessage(address, NO_PROCESS, Ping(self.last_sequence, (self.own_claim,)))
+                )
+        return outbox
 
-    def _start_probe(self, now: MonotonicTime, out: list[OutboundMessage]) -> None:
+    def _start_probe(self, now: MonotonicTime, outbox: list[OutboundMessage]) -> None:
         if self.probe is not None:
             return
         for _ in range(len(self.probe_order) + len(self.table) + 1):
@@ -292,30 +328,32 @@
                 self.rng.shuffle(self.probe_order)
                 if not self.probe_order:
                     return
-            who = self.probe_order.pop()
-            member = self.table.get(who)
+            target = self.probe_order.pop()
+            member = self.table.get(target)
             if member is not None and member.is_active():
                 break
         else:
             return
         self.last_sequence += 1
-        wait = self.parameters.answer * self.timeout_multiplier
-        self.probe = Probe(who, self.last_sequence, now + wait)
-        out.append(
-            OutboundMessage(self.address_of(member), who, Ping(self.last_sequence, self._select_claims(who)))
+        timeout = self.parameters.answer * self.timeout_multiplier
+        self.probe = Probe(target, self.last_sequence, now + timeout)
+        outbox.append(
+            OutboundMessage(
+                self.address_of(member), target, Ping(self.last_sequence, self._select_claims(target))
+            )
         )
 
-    def _ping_suspects(self, out: list[OutboundMessage]) -> None:
-        """Lifeguard's buddy, each period: suspects are told what is said of them, a few, the oldest first.
+    def _ping_suspects(self, outbox: list[OutboundMessage]) -> None:
+        """Ping a few suspects, the oldest first, to tell them of the suspicion (Lifeguard's buddy system).
 
-        One of the dead is told too: it may have been cut off, and nobody probes it any more.
+        One dead member is pinged too: it may only have been partitioned, and nobody probes it any more.
         """
         suspects = sorted(self.suspects.values(), key=lambda m: m.state_since)
         dead = [m for m in self.table.values() if m.claim.state is MemberState.DEAD]
-        told = [*suspects[: self.parameters.helpers], *self.rng.sample(dead, min(1, len(dead)))]
-        for member in told if self.parameters.careful else ():
+        receivers = [*suspects[: self.parameters.helpers], *self.rng.sample(dead, min(1, len(dead)))]
+        for member in receivers if self.parameters.careful else ():
             self.last_sequence += 1
-            out.append(
+            outbox.append(
                 OutboundMessage(
                     self.address_of(member),
                     member.claim.process,
@@ -323,10 +361,11 @@
                 )
             )
 
-    def _gossip(self, out: list[OutboundMessage]) -> None:
-        """While there is news it goes to a few by chance, each period, however slowly this process probes.
+    def _gossip(self, outbox: list[OutboundMessage]) -> None:
+        """Each period, send news to a few random members, independently of the probe interval.
 
-        Danger: piggybacked on probes alone, a refutation waits for processes that take themselves for slow.
+        If claims were only piggybacked on probes, slow processes, which probe less often, would delay a
+        refutation.
         """
         if not self.parameters.careful or not (
             self.own_claim_resends or any(m.claim.incarnation for m in self.gossip_queue.values())
@@ -336,7 +375,7 @@
             self.parameters.spread, lambda m: m.claim.state is MemberState.ALIVE
         ):
             self.last_sequence += 1
-            out.append(
+            outbox.append(
                 OutboundMessage(
                     self.address_of(member),
                     member.claim.process,
@@ -344,7 +383,7 @@
                 )
             )
 
-    def _handle_probe_timeout(self, now: MonotonicTime, probe: Probe, out: list[OutboundMessage]) -> None:
+    def _handle_probe_timeout(self, now: MonotonicTime, probe: Probe, outbox: list[OutboundMessage]) -> None:
         member = self.table.get(probe.target)
         if member is None:
             self.probe = None
@@ -356,47 +395,48 @@
                 lambda m: m.claim.state is MemberState.ALIVE and m.claim.process != probe.target,
             )
             probe.helper_count = len(helpers)
-            ask = PingRequest(probe.number, probe.target, self.address_of(member), ())
-            out += [OutboundMessage(self.address_of(h), h.claim.process, ask) for h in helpers]
+            request = PingRequest(probe.sequence, probe.target, self.address_of(member), ())
+            outbox += [OutboundMessage(self.address_of(h), h.claim.process, request) for h in helpers]
         else:
             self.probe = None
-            missed = probe.helper_count - probe.nack_count
-            # Lifeguard: helpers that say nothing either point to this process; helpers that do, to the other.
-            worse = missed if probe.helper_count else 1
-            self.health_score = min(self.parameters.health, self.health_score + max(0, worse))
+            missing_nacks = probe.helper_count - probe.nack_count
+            # Lifeguard: helpers that send no nack either suggest that this process is the slow one; nacks
+            # suggest that it is the target.
+            penalty = missing_nacks if probe.helper_count else 1
+            self.health_score = min(self.parameters.health, self.health_score + max(0, penalty))
             claim = member.claim
             suspect = Claim(
                 claim.process, claim.incarnation, MemberState.SUSPECT, claim.address, claim.duty_bits
             )
             self._apply_claim(now, suspect, self.self_id)
 
-    def _handle_ack(self, number: int, answered: ProcessId, out: list[OutboundMessage]) -> None:
-        if number in self.relayed_probes:
-            who, address, theirs, _ = self.relayed_probes.pop(number)
-            out.append(OutboundMessage(address, who, Ack(theirs, answered, ())))
-        if self.probe is not None and self.probe.number == number and self.probe.target == answered:
+    def _handle_ack(self, sequence: int, responder: ProcessId, outbox: list[OutboundMessage]) -> None:
+        if sequence in self.relayed_probes:
+            requester, address, requester_sequence, _ = self.relayed_probes.pop(sequence)
+            outbox.append(OutboundMessage(address, requester, Ack(requester_sequence, responder, ())))
+        if self.probe is not None and self.probe.sequence == sequence and self.probe.target == responder:
             self.probe = None
             self.health_score = max(0, self.health_score - 1)
 
-    def _apply_claim(self, now: MonotonicTime, claim: Claim, by: ProcessId) -> bool:
-        """Gives whether it was news."""
+    def _apply_claim(self, now: MonotonicTime, claim: Claim, reporter: ProcessId) -> bool:
+        """Merge a claim reported by `reporter`; returns whether it was news."""
         if claim.process == self.self_id:
             self._refute_claim(claim)
             return False
         member = self.table.get(claim.process)
         if member is None:
             if claim.state is not MemberState.ALIVE or len(self.table) >= MAX_MEMBERS:
-                return False  # the dead whom nobody knows here are forgotten
+                return False  # a dead process that is not in the table stays forgotten
             self.table[claim.process] = self.gossip_queue[claim.process] = Member(claim, now)
             self.state_changes.append((claim.process, MemberState.ALIVE))
             self.probe_order.insert(self.rng.randint(0, len(self.probe_order)), claim.process)
             return True
-        old = member.claim
-        if claim.supersedes(old):
-            if claim.state is not old.state:
+        known = member.claim
+        if claim.supersedes(known):
+            if claim.state is not known.state:
                 member.state_since = now
                 member.suspected_by = (
-                    {by} if claim.state is MemberState.SUSPECT and by != self.self_id else set()
+                    {reporter} if claim.state is MemberState.SUSPECT and reporter != self.self_id else set()
                 )
                 self.state_changes.append((claim.process, claim.state))
             member.claim, member.transmissions = claim, 0
@@ -405,21 +445,22 @@
             if claim.state is MemberState.SUSPECT:
                 self.suspects[claim.process] = member
             return True
-        if claim.state is MemberState.SUSPECT and claim.incarnation == old.incarnation:
+        if claim.state is MemberState.SUSPECT and claim.incarnation == known.incarnation:
             if (
-                by != self.self_id
-                and by not in member.suspected_by
+                reporter != self.self_id
+                and reporter not in member.suspected_by
                 and len(member.suspected_by) < self.parameters.confirmations
             ):
-                member.suspected_by.add(by)
-                member.transmissions, self.gossip_queue[claim.process] = (
-                    0,
-                    member,
-                )  # that others suspect it too is news
+                member.suspected_by.add(reporter)
+                # A further confirmation is news and is gossiped again.
+                member.transmissions, self.gossip_queue[claim.process] = 0, member
         return False
 
     def _refute_claim(self, claim: Claim) -> None:
-        """Danger: what others say of this process is refuted, never believed."""
+        """Refute a claim about this process by a higher incarnation.
+
+        The claim is never applied: a running process must not count itself as suspect or dead.
+        """
         if self.own_claim.state is MemberState.LEFT or claim.state is MemberState.ALIVE:
             if (
                 claim.incarnation > self.own_claim.incarnation
@@ -445,43 +486,51 @@
             )
             self.own_claim = self._next_own_claim(MemberState.ALIVE)
 
-    def _select_claims(self, to: ProcessId) -> tuple[Claim, ...]:
-        """The claims that were passed on least, ours first while it is news; bounded, each so often."""
-        most = self._transmit_limit()
-        for who in [who for who, m in self.gossip_queue.items() if m.transmissions >= most]:
-            del self.gossip_queue[who]
+    def _select_claims(self, receiver: ProcessId) -> tuple[Claim, ...]:
+        """Select the claims to piggyback on a message to `receiver`.
+
+        The own claim comes first while it is news, then the claims transmitted least often. The size is
+        bounded, and each claim is transmitted a limited number of times.
+        """
+        limit = self._transmit_limit()
+        for process in [process for process, m in self.gossip_queue.items() if m.transmissions >= limit]:
+            del self.gossip_queue[process]
         fresh = sorted(
             (m for m in self.gossip_queue.values() if m.claim.incarnation), key=lambda m: m.transmissions
         )
         first: list[Claim] = []
-        if (theirs := self.table.get(to)) is not None and theirs.claim.state is not MemberState.ALIVE:
-            # Danger: one that is not told what is said of it can't refute it, and stays dead to us for ever.
-            first.append(theirs.claim)
-            fresh = [m for m in fresh if m is not theirs]
-        if self.own_claim_resends > 0 or theirs is None or not theirs.claim.incarnation:
+        if (
+            receiver_entry := self.table.get(receiver)
+        ) is not None and receiver_entry.claim.state is not MemberState.ALIVE:
+            # A process that does not learn of the claim about it cannot refute it, and stays dead to
+            # this one for ever.
+            first.append(receiver_entry.claim)
+            fresh = [m for m in fresh if m is not receiver_entry]
+        if self.own_claim_resends > 0 or receiver_entry is None or not receiver_entry.claim.incarnation:
             first.append(self.own_claim)
             self.own_claim_resends = max(0, self.own_claim_resends - 1)
-        some = fresh[: self.parameters.claims - len(first)]
-        for member in some:
+        chosen = fresh[: self.parameters.claims - len(first)]
+        for member in chosen:
             member.transmissions += 1
-        return (*first, *(m.claim for m in some))
+        return (*first, *(m.claim for m in chosen))
 
-    def _sample_members(self, count: int, which: Callable[[Member], bool]) -> list[Member]:
-        fit = [m for m in self.table.values() if which(m)]
-        return self.rng.sample(fit, min(count, len(fit)))
+    def _sample_members(self, count: int, predicate: Callable[[Member], bool]) -> list[Member]:
+        candidates = [m for m in self.table.values() if predicate(m)]
+        return self.rng.sample(candidates, min(count, len(candidates)))
 
-    def _request_page(self, now: MonotonicTime, out: list[OutboundMessage]) -> None:
-        # One that has just begun knows few, and what was news before it came reaches it by pages only.
-        young = now - self.started_at < JOIN_EXCHANGES * self.parameters.exchange
+    def _request_page(self, now: MonotonicTime, outbox: list[OutboundMessage]) -> None:
+        # A process that has just started knows few members, and claims that are no longer gossiped reach it
+        # only through pages.
+        is_joining = now - self.started_at < JOIN_EXCHANGES * self.parameters.exchange
         self.next_page = now + self.parameters.exchange * (0.75 + self.rng.random() / 2) / (
-            JOIN_EXCHANGES if young else 1
+            JOIN_EXCHANGES if is_joining else 1
         )
         for member in self._sample_members(1, lambda m: m.claim.state is MemberState.ALIVE):
-            out.append(
+            outbox.append(
                 OutboundMessage(self.address_of(member), member.claim.process, PageRequest(self.page_cursor))
             )
 
     def _build_page(self, after: ProcessId) -> Page:
         claims = [self.own_claim, *(m.claim for m in self.table.values() if m.claim.incarnation)]
-        rest = sorted((c for c in claims if c.process > after), key=lambda c: c.process)
-        return Page(tuple(rest[: self.parameters.page]), len(rest) <= self.parameters.page)
+        following = sorted((c for c in claims if c.process > after), key=lambda c: c.process)
+        return Page(tuple(following[: self.parameters.page]), len(following) <= self.parameters.page)
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -1,4 +1,4 @@
-"""Members in virtual time: deaths are heard of, those who were stopped are not taken for dead for long."""
+"""Membership in virtual time: crashes are detected; suspended processes are not declared dead for long."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 A, B = ProcessId("a", 1), ProcessId("b", 2)
 
 
-def one(times: SwimParameters | None = None) -> Membership:
-    return Membership(A, "a", 1, {}, (), times or SwimParameters(), random.Random(1))
+def make_membership(parameters: SwimParameters | None = None) -> Membership:
+    return Membership(A, "a", 1, {}, (), parameters or SwimParameters(), random.Random(1))
 
 
 CLAIMS = st.builds(
@@ -27,32 +27,32 @@
 
 
 @given(claims=st.lists(CLAIMS, min_size=1, max_size=4))
-def test_claims_come_to_the_same_in_every_order_and_however_often(claims: list[Claim]) -> None:
-    ends = set()
+def test_claims_in_any_order_and_repeated_give_the_same_state(claims: list[Claim]) -> None:
+    final_states = set()
     for order in itertools.permutations(claims):
-        found = one()
-        found.handle_message(0.0, B, "b", Ping(1, (Claim(B, 0, MemberState.ALIVE, "b"),)))
+        membership = make_membership()
+        membership.handle_message(0.0, B, "b", Ping(1, (Claim(B, 0, MemberState.ALIVE, "b"),)))
         for claim in (*order, *order[:1]):
-            found.handle_message(0.0, ProcessId("c", 3), "c", Ping(2, (claim,)))
-        last = found.table[B].claim
-        ends.add((last.incarnation, last.state))
-    assert len(ends) == 1
-    assert ends.pop() == max((c.incarnation, c.state) for c in claims)
+            membership.handle_message(0.0, ProcessId("c", 3), "c", Ping(2, (claim,)))
+        last = membership.table[B].claim
+        final_states.add((last.incarnation, last.state))
+    assert len(final_states) == 1
+    assert final_states.pop() == max((c.incarnation, c.state) for c in claims)
 
 
-def test_what_is_said_of_oneself_is_refuted_with_a_higher_incarnation() -> None:
-    found = one()
+def test_suspicion_of_the_own_process_is_refuted_with_a_higher_incarnation() -> None:
+    membership = make_membership()
     for state in (MemberState.SUSPECT, MemberState.DEAD):
-        before = found.own_claim.incarnation
-        out = found.handle_message(0.0, B, "b", Ping(1, (Claim(A, before, state, "a"),)))
+        before = membership.own_claim.incarnation
+        out = membership.handle_message(0.0, B, "b", Ping(1, (Claim(A, before, state, "a"),)))
         answer = next(t.body for t in out if isinstance(t.body, Ack))
-        assert found.own_claim.incarnation > before and found.own_claim in answer.claims
-        assert found.own_claim.state is MemberState.ALIVE
-    assert found.refutations == 2
+        assert membership.own_claim.incarnation > before and membership.own_claim in answer.claims
+        assert membership.own_claim.state is MemberState.ALIVE
+    assert membership.refutations == 2
 
 
 @pytest.mark.parametrize("count", [5, 40])
-def test_a_death_is_heard_of_by_all_within_seconds(count: int) -> None:
+def test_a_crash_is_detected_by_all_within_seconds(count: int) -> None:
     world = MembersWorld(count, seed=count)
     world.run(12.0)
     assert world.all_seen()
@@ -62,8 +62,8 @@
     assert max(seen.deaths.values()) - 12.0 < 9.0
 
 
-def test_those_who_were_stopped_are_not_dead_for_long_nor_are_others_to_them() -> None:
-    """One in ten stands still for 3 s. False alarms of the living about each other: none."""
+def test_suspended_processes_are_not_declared_dead_for_long_nor_do_they_declare_others_dead() -> None:
+    """Every tenth process is suspended for 3 s. The running processes never declare each other dead."""
     world = MembersWorld(30, seed=3)
     world.run(10.0)
     stopped = world.names[::10]
@@ -77,7 +77,7 @@
     assert seen.wrong_s <= 30 * len(stopped) * 2.0
 
 
-def test_loss_alone_kills_nobody_or_far_fewer_than_without_care() -> None:
+def test_packet_loss_causes_no_false_deaths_or_far_fewer_than_plain_swim() -> None:
     few = MembersWorld(20, seed=4, loss=0.05)
     assert few.run(60.0).false == [] and few.all_seen()
     careful = [MembersWorld(20, seed, 0.2).run(60.0) for seed in (4, 5, 6)]
@@ -86,7 +86,7 @@
     assert sum(s.wrong_s for s in careful) * 3 < sum(s.wrong_s for s in plain)
 
 
-def test_halves_that_were_cut_off_come_together_again() -> None:
+def test_a_healed_partition_merges_again() -> None:
     def cut(now: float, a: str, b: str) -> bool:
         return 10 < now < 40 and (a < "m010") != (b < "m010")
 
@@ -100,7 +100,7 @@
     assert world.all_seen()
 
 
-def test_datagrams_stay_bounded_whatever_there_is_to_say() -> None:
+def test_datagram_size_stays_bounded_when_many_members_die() -> None:
     world = MembersWorld(60, seed=6)
     for name in world.names[30:]:
         world.kill(name)
@@ -109,7 +109,7 @@
     assert all(len(m.table) <= 60 for m in world.machines.values())
 
 
-def test_one_that_ends_says_so_and_is_gone_at_once() -> None:
+def test_a_process_that_leaves_is_marked_left_by_all_at_once() -> None:
     world = MembersWorld(10, seed=7)
     world.run(10.0)
     world._send("m004", world.machines["m004"].leave(world.now))
--- a/tests/fleet/test_peers.py
+++ b/tests/fleet/test_peers.py
@@ -1,4 +1,7 @@
-"""Datagrams: what is dropped and why; settings: what is refused and how it is said."""
+"""Datagrams between instances: what is dropped and why.
+
+Fleet settings: what is refused, with which message.
+"""
 
 from __future__ import annotations
 
@@ -30,34 +33,38 @@
     return Codec(installation, name, boot, key)
 
 
-def packed(of: Codec, count: int = 1, to_boot: int = 9) -> list[bytes]:
-    return of.pack(
-        to_boot,
-        [of.encode_body(Prepare(f"d{n}", Ballot(5, ProcessId("a", 1)), (0, 0))) for n in range(count)],
+def pack_datagrams(sender: Codec, count: int = 1, receiver_boot: int = 9) -> list[bytes]:
+    return sender.pack(
+        receiver_boot,
+        [sender.encode_body(Prepare(f"d{n}", Ballot(5, ProcessId("a", 1)), (0, 0))) for n in range(count)],
     )
 
 
-def test_a_datagram_comes_as_it_was_sent_and_once() -> None:
-    [data] = packed(codec("a"))
-    here = codec("b", 2)
-    found = here.unpack(data)
-    assert isinstance(found, Envelope) and (found.sender, found.sender_boot, found.receiver_boot) == (
+def test_a_datagram_is_decoded_as_sent_and_accepted_once() -> None:
+    [data] = pack_datagrams(codec("a"))
+    receiver = codec("b", 2)
+    envelope = receiver.unpack(data)
+    assert isinstance(envelope, Envelope) and (
+        envelope.sender,
+        envelope.sender_boot,
+        envelope.receiver_boot,
+    ) == (
         "a",
         1,
         9,
     )
-    assert here.unpack(data) is DropReason.REPLAYED
+    assert receiver.unpack(data) is DropReason.REPLAYED
 
 
-def test_many_bodies_go_into_few_datagrams_none_of_them_too_long() -> None:
-    out = packed(codec("a"), 64)
-    assert len(out) <= 4 and max(map(len, out)) <= MAX_DATAGRAM_BYTES
-    here = codec("b", 2)
-    found = [here.unpack(d) for d in out]
-    assert sum(len(f.bodies) for f in found if isinstance(f, Envelope)) == 64
+def test_many_bodies_are_packed_into_few_datagrams_of_bounded_size() -> None:
+    datagrams = pack_datagrams(codec("a"), 64)
+    assert len(datagrams) <= 4 and max(map(len, datagrams)) <= MAX_DATAGRAM_BYTES
+    receiver = codec("b", 2)
+    envelopes = [receiver.unpack(d) for d in datagrams]
+    assert sum(len(f.bodies) for f in envelopes if isinstance(f, Envelope)) == 64
     with pytest.raises(ValueError, match="fit into a datagram"):
-        one = codec("a")
-        one.pack(1, [one.encode_body("x" * 1100)])
+        sender = codec("a")
+        sender.pack(1, [sender.encode_body("x" * 1100)])
 
 
 @pytest.mark.parametrize(
@@ -67,45 +74,50 @@
         (lambda d: d[:-1] + bytes([d[-1] ^ 1]), DropReason.INVALID_MAC),
         (lambda d: d[:10], DropReason.INVALID_MAC),
         (lambda d: b"", DropReason.INVALID_MAC),
-        (lambda d: packed(codec("a", key=b"z" * 32))[0], DropReason.INVALID_MAC),
-        (lambda d: packed(codec("a", key=None))[0], DropReason.INVALID_MAC),
-        (lambda d: packed(codec("a", installation="y"))[0], DropReason.OTHER_INSTALLATION),
-        (lambda d: packed(codec("b", 2))[0], DropReason.OWN_DATAGRAM),
-        (lambda d: packed(codec("a", boot=-1))[0], DropReason.MALFORMED),
+        (lambda d: pack_datagrams(codec("a", key=b"z" * 32))[0], DropReason.INVALID_MAC),
+        (lambda d: pack_datagrams(codec("a", key=None))[0], DropReason.INVALID_MAC),
+        (lambda d: pack_datagrams(codec("a", installation="y"))[0], DropReason.OTHER_INSTALLATION),
+        (lambda d: pack_datagrams(codec("b", 2))[0], DropReason.OWN_DATAGRAM),
+        (lambda d: pack_datagrams(codec("a", boot=-1))[0], DropReason.MALFORMED),
     ],
 )
-def test_what_is_wrong_is_dropped_and_named(change: Callable[[bytes], bytes], cause: DropReason) -> None:
-    [data] = packed(codec("a"))
+def test_an_invalid_datagram_is_dropped_with_its_reason(
+    change: Callable[[bytes], bytes], cause: DropReason
+) -> None:
+    [data] = pack_datagrams(codec("a"))
     assert codec("b", 2).unpack(change(data)) is cause
 
 
 @given(data=st.binary(max_size=300))
-def test_no_bytes_break_the_reader(data: bytes) -> None:
-    found = codec("b", 2, key=None).unpack(data)
-    assert isinstance(found, DropReason | Envelope)
-
-
-def test_every_cut_and_every_changed_byte_of_an_unsigned_datagram_is_read_or_named() -> None:
-    [data] = packed(codec("a", key=None))
-    for at in range(len(data)):
-        for bad in (data[:at], data[:at] + bytes([data[at] ^ 0xFF]) + data[at + 1 :]):
-            found = codec("b", 2, key=None).unpack(bad)
-            assert isinstance(found, DropReason | Envelope)
-            assert len(bad) == len(data) or found is DropReason.MALFORMED
-
-
-@given(numbers=st.lists(st.integers(1, 3 * REPLAY_WINDOW_SIZE), max_size=60), seed=st.integers(0, 9))
-def test_each_number_is_taken_once(numbers: list[int], seed: int) -> None:
-    window, taken, highest = ReplayWindow(), set[int](), 0
-    random.Random(seed).shuffle(numbers)
-    for number in numbers:
-        cause = window.accept(number)
-        if cause is None:
-            assert number not in taken
-            taken.add(number)
+def test_arbitrary_bytes_never_raise(data: bytes) -> None:
+    result = codec("b", 2, key=None).unpack(data)
+    assert isinstance(result, DropReason | Envelope)
+
+
+def test_truncated_or_corrupted_datagrams_without_mac_are_decoded_or_dropped() -> None:
+    [data] = pack_datagrams(codec("a", key=None))
+    for position in range(len(data)):
+        for corrupted in (
+            data[:position],
+            data[:position] + bytes([data[position] ^ 0xFF]) + data[position + 1 :],
+        ):
+            result = codec("b", 2, key=None).unpack(corrupted)
+            assert isinstance(result, DropReason | Envelope)
+            assert len(corrupted) == len(data) or result is DropReason.MALFORMED
+
+
+@given(sequences=st.lists(st.integers(1, 3 * REPLAY_WINDOW_SIZE), max_size=60), seed=st.integers(0, 9))
+def test_each_sequence_number_is_accepted_once(sequences: list[int], seed: int) -> None:
+    window, accepted, highest = ReplayWindow(), set[int](), 0
+    random.Random(seed).shuffle(sequences)
+    for sequence in sequences:
+        reason = window.accept(sequence)
+        if reason is None:
+            assert sequence not in accepted
+            accepted.add(sequence)
         else:
-            assert number in taken or number <= highest - REPLAY_WINDOW_SIZE
-        highest = max(highest, number)
+            assert sequence in accepted or sequence <= highest - REPLAY_WINDOW_SIZE
+        highest = max(highest, sequence)
 
 
 GOOD = """
@@ -149,7 +161,7 @@
         (GOOD + "[dutys]", "dutys", "did you mean duties"),
     ],
 )
-def test_bad_settings_name_file_key_and_what_would_be_right(
+def test_invalid_settings_are_refused_with_file_key_and_remedy(
     tmp_path: Path, text: str, key: str, right: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (tmp_path / "short").write_bytes(b"x" * 31)
@@ -166,7 +178,7 @@
     assert right in capsys.readouterr().err
 
 
-def test_the_example_is_taken_as_it_ships(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_shipped_example_settings_are_valid(capsys: pytest.CaptureFixture[str]) -> None:
     example = Path(__file__).parents[2] / "deploy" / "fleet.toml"
     assert main(["fleet", "--settings", str(example), "check"]) == 0
     assert "3 voters" in capsys.readouterr().out
