--- a/roadpulley/fleet/agent_link.py
+++ b/roadpulley/fleet/agent_link.py
@@ -1,6 +1,6 @@
-"""The way of a process to the instance of the fleet beside it: the other end of `worker_socket.py`.
+"""A gateway worker's link to the instance on its machine; the counterpart of `worker_socket.py`.
 
-Nothing here blocks. Where the instance is silent, what is said is lost, as on a link.
+Nothing here blocks. Messages to an instance that does not run are lost, as on a network.
 """
 
 from __future__ import annotations
@@ -28,7 +28,10 @@
 
 
 class AgentLink(asyncio.DatagramProtocol):
-    """`instance`: its socket, `NAME.beside` in the folder of the fleet's sockets. `number`: this process."""
+    """Sends and receives Unix datagrams under a random worker number.
+
+    `socket_path`: the socket of the instance, `NAME.beside` in the directory of the fleet's sockets.
+    """
 
     def __init__(self, socket_path: Path) -> None:
         self.agent_path = socket_path
@@ -40,7 +43,7 @@
         self.send_failures = 0
 
     async def open(self) -> None:
-        """Raises OSError where the folder can't be written."""
+        """Bind a socket and begin to send hellos. Raises OSError if the directory is not writable."""
         self.socket = await SocketPath(self.path).open_datagram_socket(self)
         self._send_hello()
 
@@ -56,14 +59,14 @@
         self.hello_timer = asyncio.get_running_loop().call_later(HELLO_INTERVAL_S, self._send_hello)
 
     def send(self, body: Any) -> None:
+        """Send a message to the instance. It may be lost; failures are only counted."""
         if self.socket is None:
             return
         try:
             self.socket.send(ENCODER.encode(body), str(self.agent_path))
         except OSError:
-            self.send_failures += (
-                1  # no instance there just now, or it reads too slowly: as if lost on a link
-            )
+            # The instance does not run or reads too slowly. The datagram is lost, as on a network.
+            self.send_failures += 1
 
     def datagram_received(self, data: bytes, addr: object) -> None:
         try:
--- a/roadpulley/fleet/duty_trigger.py
+++ b/roadpulley/fleet/duty_trigger.py
@@ -1,5 +1,4 @@
-"""How a command has something done that is a duty of the fleet: it asks the holder, and does nothing
-itself."""
+"""Lets a command start work that is a duty of the fleet: the holder of the duty is asked to run it now."""
 
 from __future__ import annotations
 
@@ -10,9 +9,10 @@
 
 
 def trigger_duty(settings: FleetSettings, work: str) -> tuple[bool, str]:
-    """Whether the holder runs on this machine and begins a round now, in words. Raises ValidationError.
+    """Ask the holder to run the work now; returns whether it does, and a message for the operator.
 
-    Danger: a command that did it itself, beside the holder, would be a second one under no fence.
+    Only a holder on this machine can be asked. The command never does the work itself: it would run
+    concurrently with the holder and without a fence. Raises ValidationError if no duty has this work.
     """
     names = [d.name for d in settings.duties.values() if d.work == work]
     if not names:
@@ -24,7 +24,7 @@
         try:
             answers = [call_agent(settings.control, instance, "run", duty=name) for name in names]
         except ValidationError:
-            continue  # it has ended, and its socket is left
+            continue  # the instance ended and left its socket behind
         if any(answer["done"] for answer in answers):
             return True, f"{instance} does it now"
         holder = next((str(a["holder"]) for a in answers if a["holder"]), holder)
--- a/roadpulley/fleet/members/state_machine.py
+++ b/roadpulley/fleet/members/state_machine.py
@@ -75,7 +75,7 @@
 class Membership:
     """The state machine of one process.
 
-    `address`: how others reach this process; empty if their settings name it. `duty_bits`: the duties that it
+    `address`: how others reach this process; empty if their settings name it. `duty_mask`: the duties that it
     may hold. `addresses`: addresses from the settings, by name. `seeds`: further addresses to contact, whose
     names are not known.
     """
@@ -84,7 +84,7 @@
         self,
         own_id: ProcessId,
         address: str,
-        duty_bits: int,
+        duty_mask: int,
         addresses: Mapping[str, str],
         seeds: Iterable[str],
         swim_parameters: SwimParameters,
@@ -97,7 +97,7 @@
             dict(addresses),
         )
         self.seeds = tuple(dict.fromkeys([*(a for n, a in addresses.items() if n != own_id.name), *seeds]))
-        self.own_claim = Claim(own_id, 1, MemberState.ALIVE, address, duty_bits)
+        self.own_claim = Claim(own_id, 1, MemberState.ALIVE, address, duty_mask)
         self.table: dict[ProcessId, Member] = {}
         self.suspects: dict[ProcessId, Member] = {}  # the suspects of `table`, checked at every tick
         self.gossip_queue: dict[ProcessId, Member] = {}  # members of `table` whose claims are still gossiped
@@ -139,7 +139,7 @@
             deadlines.append(self.next_gossip)
         if self.probe is not None:
             deadlines.append(self.probe.deadline)
-        deadlines += [deadline for _, _, _, deadline in self.relayed_probes.values()]
+        deadlines += [expires_at for _, _, _, expires_at in self.relayed_probes.values()]
         return min([self.next_probe or 0.0, *deadlines])
 
     def suspicion_timeout(self, member: Member) -> float:
@@ -176,10 +176,10 @@
                     claim.process, claim.incarnation, MemberState.DEAD, claim.address, claim.duty_bits
                 )
                 self._apply_claim(now, dead, self.self_id)
-        for own_sequence, (requester, address, requester_sequence, deadline) in list(
+        for own_sequence, (requester, address, requester_sequence, expires_at) in list(
             self.relayed_probes.items()
         ):
-            if now >= deadline:
+            if now >= expires_at:
                 del self.relayed_probes[own_sequence]
                 outbox.append(OutboundMessage(address, requester, Nack(requester_sequence)))
         if now >= self.next_gossip:
@@ -257,14 +257,14 @@
         claim = self._next_own_claim(MemberState.ALIVE)
         self.own_claim = Claim(claim.process, claim.incarnation, claim.state, address, claim.duty_bits)
 
-    def set_duty_bits(self, duty_bits: int) -> None:
+    def set_duty_bits(self, duty_mask: int) -> None:
         """Announce which duties this process may hold from now on."""
-        if duty_bits != self.own_claim.duty_bits:
-            self.own_claim = self._next_own_claim(MemberState.ALIVE, duty_bits)
+        if duty_mask != self.own_claim.duty_bits:
+            self.own_claim = self._next_own_claim(MemberState.ALIVE, duty_mask)
 
     # ---- internals ----
 
-    def _next_own_claim(self, state: MemberState, duty_bits: int | None = None) -> Claim:
+    def _next_own_claim(self, state: MemberState, duty_mask: int | None = None) -> Claim:
         self.own_claim_resends = self._transmit_limit()
         current = self.own_claim
         return Claim(
@@ -272,7 +272,7 @@
             current.incarnation + 1,
             state,
             current.address,
-            current.duty_bits if duty_bits is None else duty_bits,
+            current.duty_bits if duty_mask is None else duty_mask,
         )
 
     def _transmit_limit(self) -> int:
--- a/roadpulley/fleet/report.py
+++ b/roadpulley/fleet/report.py
@@ -1,4 +1,4 @@
-"""What one instance tells people: who is there, who holds what, and what it can't see."""
+"""Answers of one instance to the operator commands of `roadpulley fleet`, as JSON objects."""
 
 from __future__ import annotations
 
@@ -14,20 +14,21 @@
 
 
 def describe_members(agent: Agent) -> dict[str, Any]:
+    """The member table of this instance and its datagram counters."""
     assert agent.members is not None
-    now, machine = agent.clock.now(), agent.members
+    now, membership = agent.clock.now(), agent.members
     rows = [
         {
             "name": m.claim.process.name,
             "boot": m.claim.process.boot,
             "state": m.claim.state.name.lower(),
             "for_s": round(now - m.state_since, 1),
-            "address": machine.address_of(m),
+            "address": membership.address_of(m),
             "votes": m.claim.process.name in agent.reconfiguration.config.voters,
         }
-        for m in machine.table.values()
+        for m in membership.table.values()
     ]
-    mine = {
+    own_row = {
         "name": agent.process_id.name,
         "boot": agent.process_id.boot,
         "state": "alive",
@@ -35,13 +36,13 @@
         "address": agent.endpoint.address,
         "votes": agent.duties.voter is not None and agent.name in agent.reconfiguration.config.voters,
     }
-    seen = {r["name"] for r in rows if r["state"] == "alive"} | {agent.process_id.name}
+    alive = {r["name"] for r in rows if r["state"] == "alive"} | {agent.process_id.name}
     return {
         "instance": agent.name,
-        "members": sorted([mine, *rows], key=lambda r: (r["name"], r["boot"])),
-        "unseen": sorted(set(agent.settings.known_addresses) - seen),
-        "slowness": machine.health_score,
-        "refuted": machine.refutations,
+        "members": sorted([own_row, *rows], key=lambda r: (r["name"], r["boot"])),
+        "unseen": sorted(set(agent.settings.known_addresses) - alive),
+        "slowness": membership.health_score,
+        "refuted": membership.refutations,
         "datagrams": {
             "sent": agent.endpoint.sent,
             "sent_bytes": agent.endpoint.sent_bytes,
@@ -55,7 +56,10 @@
 
 
 def describe_duties(agent: Agent) -> dict[str, Any]:
-    """Who holds what, as this instance knows: its own holdings for sure, the others' by what voters told."""
+    """The holder of each duty, as far as this instance knows.
+
+    Its own holdings are certain; others are known from its own vote or from what a voter answered last.
+    """
     now, rows = agent.clock.now(), []
     voter = agent.duties.voter
     for name in sorted(agent.settings.duties):
@@ -109,20 +113,23 @@
 
 
 def describe_voters(agent: Agent) -> dict[str, Any]:
+    """The voters, the change in progress, and which voters this instance does not see alive."""
     now = agent.clock.now()
     rows = []
     for name in agent.reconfiguration.config.voters:
         address = agent.address_of(name)
-        who = agent.processes_by_address.get(address, NO_PROCESS)
-        ours = name == agent.name
-        silent = math.ceil(agent.duties.voter.voting_starts_at() - now) if ours and agent.duties.voter else 0
+        process = agent.processes_by_address.get(address, NO_PROCESS)
+        is_own = name == agent.name
+        silent_s = (
+            math.ceil(agent.duties.voter.voting_starts_at() - now) if is_own and agent.duties.voter else 0
+        )
         rows.append(
             {
                 "name": name,
                 "address": address,
-                "boot": agent.process_id.boot if ours else who.boot,
-                "seen": ours or name not in list_unseen_voters(agent),
-                "silent_s": max(0, silent),
+                "boot": agent.process_id.boot if is_own else process.boot,
+                "seen": is_own or name not in list_unseen_voters(agent),
+                "silent_s": max(0, silent_s),
             }
         )
     return {
@@ -136,28 +143,29 @@
 
 
 def describe_limits(agent: Agent) -> dict[str, Any]:
-    """Which rights are given out here, and what is counted."""
-    found: dict[str, Any] = {"instance": agent.name, "unseen": []}
+    """The limits whose rights this instance allocates, and its replicated counters."""
+    answer: dict[str, Any] = {"instance": agent.name, "unseen": []}
     if agent.rights is not None:
-        found |= agent.rights.report()
+        answer |= agent.rights.report()
     if agent.counters is not None:
-        found["counting"] = agent.counters.report()
-    return found
+        answer["counting"] = agent.counters.report()
+    return answer
 
 
-def describe_orders(agent: Agent, found: OrderService) -> dict[str, Any]:
-    """What operators have ordered, as it holds here."""
-    return {"instance": agent.name, "unseen": list_unseen_voters(agent), **found.report()}
+def describe_orders(agent: Agent, service: OrderService) -> dict[str, Any]:
+    """The operators' orders as this instance follows them."""
+    return {"instance": agent.name, "unseen": list_unseen_voters(agent), **service.report()}
 
 
 def describe_verdicts(agent: Agent) -> dict[str, Any]:
-    """Which backends are found failing, by whom."""
+    """The backends with a failure verdict, and which instances observed the failures."""
     if agent.verdicts is None:
         return {"error": "no verdicts are told here: [verdicts] is missing in the fleet's settings"}
     return {"instance": agent.name, "unseen": list_unseen_voters(agent), **agent.verdicts.report()}
 
 
 def list_unseen_voters(agent: Agent) -> list[str]:
+    """Names of voters that this instance does not see alive, sorted."""
     assert agent.members is not None
     alive = {m.process.name for m in agent.members.active_claims() if m.state.name == "ALIVE"}
     return sorted(set(agent.reconfiguration.config.voters) - alive)
--- a/roadpulley/fleet/unix_socket.py
+++ b/roadpulley/fleet/unix_socket.py
@@ -1,4 +1,4 @@
-"""A path at which a process of this machine listens: taken from whoever had it, left if it is still ours."""
+"""Unix sockets whose path a newer process takes over; the older one then leaves the path alone."""
 
 from __future__ import annotations
 
@@ -10,26 +10,32 @@
 
 
 class SocketPath:
+    """The path of a listening socket, with the inode that this process created there."""
+
     def __init__(self, path: Path) -> None:
         self.path, self.inode = path, 0
 
     def remove_existing(self) -> None:
-        """Make room, also where a process has it that still runs: the newer one listens. Raises OSError."""
+        """Remove the socket at the path, even if its process still runs: the newer process takes over.
+
+        Raises OSError.
+        """
         self.path.parent.mkdir(parents=True, exist_ok=True)
         self.path.unlink(missing_ok=True)
 
     def record_ownership(self) -> None:
-        """Something listens there now: for our user alone."""
+        """Restrict the bound socket to the own user and remember its inode."""
         os.chmod(self.path, 0o600)
         self.inode = self.path.stat().st_ino
 
     def remove_if_owned(self) -> None:
+        """Remove the socket unless another process took the path over. Errors are ignored."""
         with suppress(OSError):
-            if self.path.stat().st_ino == self.inode:  # else another process has it by now
+            if self.path.stat().st_ino == self.inode:  # otherwise another process took the path over
                 self.path.unlink()
 
     async def open_datagram_socket(self, protocol: asyncio.DatagramProtocol) -> DatagramSocket:
-        """Listen there. Raises OSError."""
+        """Bind a datagram socket to the path. Raises OSError."""
         self.remove_existing()
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_DGRAM)
         sock.setblocking(False)
@@ -41,15 +47,22 @@
 
 
 class DatagramSocket:
-    """Sends at once or not at all; what event loops add to that is not needed on one machine."""
+    """A bound socket that sends without queueing.
+
+    The send queue of asyncio's transport is not used: a datagram that cannot be sent at once is an error.
+    """
 
     def __init__(self, path: SocketPath, transport: asyncio.DatagramTransport, sock: socket.socket) -> None:
         self.socket_path, self.transport, self.sock = path, transport, sock
 
     def send(self, data: bytes, to: str) -> None:
-        """Raises BlockingIOError where it is read too slowly, OSError where nobody listens."""
+        """Send to the socket at path `to`.
+
+        Raises BlockingIOError if the receiver's buffer is full, OSError if nothing listens there.
+        """
         self.sock.sendto(data, to)
 
     def close(self) -> None:
+        """Close the socket and remove its path if this process still owns it."""
         self.transport.close()
         self.socket_path.remove_if_owned()
--- a/roadpulley/fleet/worker_socket.py
+++ b/roadpulley/fleet/worker_socket.py
@@ -1,7 +1,7 @@
-"""The socket at which an instance hears the processes beside it, on the same machine: Unix datagrams.
+"""The Unix datagram socket on which an instance talks to the gateway workers on its machine.
 
-Lost ones are asked for again, as on a link. An instance remembers nothing for those processes but where they
-listen, so that it may break and come back under them.
+Datagrams may be lost, as on a network; the workers retry. The only state that an instance keeps for a worker
+is the path of its socket, so an instance may crash and restart without the workers' involvement.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from .unix_socket import DatagramSocket, SocketPath
 from .verdicts.messages import ObservationBatch
 
-MAX_WORKERS = 1_024  # processes beside this instance; those heard least lately go
+MAX_WORKERS = 1_024  # beyond it, the worker that sent least recently is forgotten
 
 WorkerMessage: TypeAlias = FromHolder | AddRequest | Poll | ObservationBatch
 DECODER: msgspec.msgpack.Decoder[WorkerMessage] = msgspec.msgpack.Decoder(WorkerMessage)
@@ -28,16 +28,16 @@
 
 
 class WorkerSocket(asyncio.DatagramProtocol):
-    """`taken` gets what a process says; `tell` answers it by its number."""
+    """Passes the messages of workers to `handler`; `send_to` answers a worker by its number."""
 
     def __init__(self, path: Path, handler: Callable[[WorkerMessage], None]) -> None:
         self.path, self.message_handler = path, handler
-        self.worker_paths: OrderedDict[int, str] = OrderedDict()  # by number, the path of its socket
+        self.worker_paths: OrderedDict[int, str] = OrderedDict()  # socket paths, by worker number
         self.counters: Counter[str] = Counter()
         self.socket: DatagramSocket | None = None
 
     async def open(self) -> None:
-        """Raises OSError."""
+        """Bind the socket. Raises OSError."""
         self.socket = await SocketPath(self.path).open_datagram_socket(self)
 
     def close(self) -> None:
@@ -60,20 +60,22 @@
         self.message_handler(body)
 
     def send_to_all(self, body: Any) -> None:
-        for holder in list(self.worker_paths):
-            self.send_to(holder, body)
+        """Send a message to every known worker."""
+        for worker in list(self.worker_paths):
+            self.send_to(worker, body)
 
-    def send_to(self, holder: int, body: Any) -> None:
-        path = self.worker_paths.get(holder)
+    def send_to(self, worker: int, body: Any) -> None:
+        """Send a message to one worker. It may be lost; failures are only counted."""
+        path = self.worker_paths.get(worker)
         if path is None or self.socket is None:
             self.counters["to nobody"] += 1
             return
         try:
             self.socket.send(ENCODER.encode(body), path)
         except BlockingIOError:
-            self.counters["lost beside"] += 1  # as on a link: it is asked for again
+            self.counters["lost beside"] += 1  # the receiver's buffer is full; the worker retries
         except OSError:
-            del self.worker_paths[holder]  # it has ended, perhaps without taking its socket away
+            del self.worker_paths[worker]  # the worker ended, perhaps without removing its socket
             if Path(path).name.startswith(f"{self.path.name}."):
                 self.path.with_name(Path(path).name).unlink(missing_ok=True)
 
