--- a/roadpulley/fleet/orders/__init__.py
+++ b/roadpulley/fleet/orders/__init__.py
@@ -1,1 +1,1 @@
-"""What operators order of the whole fleet: one book, changed by one instance at a time, followed by all."""
+"""Operators' orders for the whole fleet: a versioned book, changed by one publisher, followed by all."""
--- a/roadpulley/fleet/orders/client.py
+++ b/roadpulley/fleet/orders/client.py
@@ -1,4 +1,4 @@
-"""Orders and rights at a process beside an instance: what its module is told, how its requests are paid."""
+"""Orders and rights in a gateway process: events for the decision module, and payment for its requests."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def to_orders_changed(orders: tuple[Order, ...]) -> api.OrdersChanged:
-    """As the decision module takes them."""
+    """Converts orders to the event of the decision module."""
     limited: dict[tuple[str, str], tuple[str, ...]] = {}
     for order in orders:
         if order.is_limit:
@@ -41,7 +41,7 @@
 
 
 class OrderClient:
-    """Asks the instance beside this process for its orders; `changed` gets those that hold, when they do."""
+    """Polls the local instance for orders; calls `on_change` with the active orders whenever these change."""
 
     def __init__(
         self,
@@ -84,7 +84,11 @@
             self.was_fresh = not self.was_fresh
             if self.was_fresh or self.follower.book.orders:
                 kept = "kept" if self.follower.settings.keep else "let go"
-                log.info("orders are followed" if self.was_fresh else f"no orders are heard: they are {kept}")
+                log.info(
+                    "orders are followed"
+                    if self.was_fresh
+                    else f"no publisher of orders responds: orders are {kept}"
+                )
         standing = self.follower.current_book(now).orders_for_follower(wall_ms())
         if standing != self.active_orders:
             self.active_orders = standing
@@ -92,7 +96,7 @@
 
 
 class LimitSpender:
-    """Rights of a gateway's requests: to ceilings, and to limits of operators. See `core.driver.Rights`."""
+    """Spends units of ceilings and operators' limits for a gateway's requests. See `core.driver.Rights`."""
 
     def __init__(self, rights: RightsClient, even_shares: EvenShares) -> None:
         self.rights, self.even_shares = rights, even_shares
--- a/roadpulley/fleet/orders/even_shares.py
+++ b/roadpulley/fleet/orders/even_shares.py
@@ -1,7 +1,7 @@
-"""The parts of ordered rates that each gateway spends without asking. Pure.
+"""Each gateway's even share of the rates that operators have ordered, spent without a request. Pure.
 
-A gateway of n has 1/n of what allocators do not give out. It begins with nothing: one that restarted does
-not know what it sent before, and time gives it back what that can have been.
+Each of n gateways has 1/n of the part that allocators do not grant. Its bucket starts empty: a restarted
+gateway does not know what it has spent, and its refill covers what that can have been.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Units; `rate` a second."""
+    """`burst` and `level` in units, `rate` in units a second."""
 
     rate: float
     burst: float
@@ -29,14 +29,14 @@
 
 
 class EvenShares:
-    """`part`: of each rate that is split evenly, among so many processes."""
+    """Splits the ratio `share_ratio` of each ordered rate evenly among `among` processes."""
 
     def __init__(self, share_ratio: float, among: int) -> None:
         self.part = share_ratio / max(1, among)
         self.buckets: dict[str, TokenBucket] = {}
 
     def set_orders(self, now: MonotonicTime, orders: Iterable[Order]) -> None:
-        """Other orders: what is spent of a limit stays spent, also where it is lifted and ordered again."""
+        """Applies changed orders. Spent units stay spent, even if an order is lifted and given again."""
         for order in orders:
             if order.kind != "rate":
                 continue
@@ -57,6 +57,6 @@
         return True
 
     def put_back(self, limit: str, units: float) -> None:
-        """What was taken for a request that another limit refused."""
+        """Puts units back that were taken for a request that another limit refused."""
         bucket = self.buckets[limit]
         bucket.level = min(bucket.burst, bucket.level + units)
--- a/roadpulley/fleet/orders/follower.py
+++ b/roadpulley/fleet/orders/follower.py
@@ -1,4 +1,4 @@
-"""Who goes by orders: an instance, or a process beside one. Pure. See `terms.py`."""
+"""State machine of a follower of orders: an instance or a local process. Pure, see `messages.py`."""
 
 from __future__ import annotations
 
@@ -9,12 +9,15 @@
 
 from .messages import NO_VERSION, BookPage, OrderBook, PageAssembler, Poll, PollReply, Version
 
-REPLY_TIMEOUT_POLLS = 2.0  # polls: after so long an answer counts no more
+REPLY_TIMEOUT_POLLS = 2.0  # poll intervals after which a reply is ignored
 
 
 @dataclass(frozen=True)
 class FollowerSettings:
-    """Seconds. `poll`: between two asks; `holds`: for which an answer counts. `keep`: also after that."""
+    """`poll`: interval in seconds; `holds`: lease of a reply in seconds; `drift`: ratio of clock drift.
+
+    `keep`: follow the orders even after the lease has expired.
+    """
 
     poll: float = 0.3
     holds: float = 5.0
@@ -23,30 +26,31 @@
 
     @property
     def max_lease_s(self) -> float:
-        """For which an answer counts by our own clock, whatever it is told: a slow one must not go beyond."""
+        """Longest lease of a reply by the follower's clock, in seconds.
+
+        A slow clock must not exceed `holds`.
+        """
         return self.holds * (1 - self.drift)
 
 
 class Follower:
-    """`holder`: of a process beside an instance, 0 for an instance."""
+    """`holder` is the ID of a local process, 0 for an instance."""
 
     def __init__(self, settings: FollowerSettings, holder: int = 0) -> None:
         self.settings, self.holder = settings, holder
         self.book = OrderBook()
-        self.fresh_until: MonotonicTime = -math.inf  # for which the book is known to be the newest, or nearly
-        self.requested_at: MonotonicTime = -math.inf  # when what we go by was asked for
-        self.highest_fence = 0  # the highest that was heard to publish
+        self.fresh_until: MonotonicTime = -math.inf  # end of the lease of `book`
+        self.requested_at: MonotonicTime = -math.inf  # when the poll was sent whose reply confirmed `book`
+        self.highest_fence = 0  # highest fence of a publisher
         self.poll_number = 0
-        self.open_polls: dict[
-            int, MonotonicTime
-        ] = {}  # asks that may still be answered, and when they were made
-        self.pending_reply: PollReply | None = None  # whose book has not come whole yet
+        self.open_polls: dict[int, MonotonicTime] = {}  # by number: when the poll was sent
+        self.pending_reply: PollReply | None = None  # reply whose book is not complete yet
         self.assembler = PageAssembler()
         self.poll_at: MonotonicTime = 0.0
         self.stale_reported = False
-        self.ages: list[float] = []  # of what was gone by, when it was superseded or confirmed
+        self.ages: list[float] = []  # seconds; age of the book at each confirmation or change
 
-    # ---- to ask ----
+    # ---- polling ----
 
     def tick(self, now: MonotonicTime) -> Poll | None:
         if now < self.poll_at:
@@ -60,7 +64,7 @@
         return Poll(self.holder, self.poll_number, self.book.version)
 
     def handle_announcement(self, now: MonotonicTime, fence: int, id: Version) -> bool:
-        """Somebody says that it publishes; whether it is to be asked."""
+        """Processes an announcement of a publisher; False if one under a higher fence is known."""
         if fence < self.highest_fence:
             return False
         self.highest_fence = fence
@@ -68,11 +72,12 @@
             self.poll_at = min(self.poll_at, now)
         return True
 
-    # ---- answers ----
+    # ---- replies ----
 
     def handle_reply(self, now: MonotonicTime, said: PollReply) -> bool:
-        """Whether we go by another book now, or again by ours."""
-        # Danger: an answer that was long on its way would make an old book count from now.
+        """Processes a reply to a poll; True if the book has changed or is fresh again."""
+        # The lease starts when the poll was sent: a reply that was delayed for long would otherwise renew
+        # an old book.
         if (
             said.number not in self.open_polls
             or said.fence < self.highest_fence
@@ -95,7 +100,7 @@
             return False
         book = book or self.book
         if book.version != said.version:
-            return False  # its sheets are on their way
+            return False  # its pages have not all arrived
         asked_at = self.open_polls.pop(said.number)
         self.pending_reply = None
         before, was_fresh = self.book.version, self.is_fresh(now)
@@ -105,15 +110,15 @@
         self.fresh_until = max(self.fresh_until, asked_at + min(said.lease_s, self.settings.max_lease_s))
         return before != book.version or not was_fresh
 
-    # ---- what holds ----
+    # ---- current orders ----
 
     def is_fresh(self, now: MonotonicTime) -> bool:
         return now < self.fresh_until
 
     def current_book(self, now: MonotonicTime) -> OrderBook:
-        """The book that holds here, now."""
+        """The book to follow now; empty if the lease has expired and `keep` is off."""
         return self.book if self.is_fresh(now) or self.settings.keep else OrderBook(NO_VERSION)
 
     def remaining_lease(self, now: MonotonicTime) -> float:
-        """For which an answer to a process beside may say that it holds."""
+        """Lease in seconds that a reply to a local process may state."""
         return max(0.0, self.fresh_until - now)
--- a/roadpulley/fleet/orders/messages.py
+++ b/roadpulley/fleet/orders/messages.py
@@ -1,31 +1,32 @@
-"""What operators order of the whole fleet, and what instances say to each other about it.
+"""Operators' orders for the whole fleet, and the messages that replicate them.
 
-All orders stand in one book. The holder of a duty makes each next book from the last; its number is the fence
-of that holding and a count, and the higher one supersedes.
+All orders are in one book. The publisher, which is the holder of a duty, makes each book from the one before.
+The version of a book is the publisher's fence and a count; the higher version supersedes the lower.
 
 Invariants:
-1. Books that were acknowledged form one line: each was made from the one before, none is lost or undone.
-2. Nobody goes by a book for longer than `holds` after it asked the publisher for the newest one, unless it
-   was told to keep its orders while it hears nothing; then it says so.
-
-| role      | remembers                                     | refuses                                        |
-| --------- | --------------------------------------------- | ---------------------------------------------- |
-| keeper    | the highest fence that looked at it, the book | a book under a lower fence, or not above its   |
-| (a voter) | that it took last, both on disk where it has  | own; to count as one whose memory is whole,    |
-|           | one; whether its memory is whole              | until it has taken a book since it lost it     |
-| publisher | the last book that it made, who took it, what | to publish before a majority was read and has  |
-|           | it has still to make                          | taken the last book under the new fence; to    |
-|           |                                               | answer once it may hold the duty no more       |
-| follower  | the book that it goes by, until when by its   | a lower book; an answer to an ask that is no   |
-| (all)     | own clock; the ask that is open               | longer open; news of a lower fence             |
-
-Why 1 holds: a book is acknowledged once majorities of the voters, and of those before them while they change,
-have taken it. The next publisher reads as many that promise to take nothing of a lower fence, goes on from
-the highest book among them, and has it taken under its own fence before anything else. Two majorities share a
-voter. A voter that lost its memory might have taken and promised anything, so it counts for neither until a
-publisher has had it take a book; where too few are whole, all voters are waited for, as then nothing is left
-that could know better, or an operator says to go on without. After Lamport, "Paxos made simple" (2001), with
-the fence as the ballot; Burrows, "The Chubby lock service" (2006), on caches with leases.
+1. Acknowledged books form one sequence: each was made from the one before, and none is lost or undone.
+2. No follower applies a book for longer than `holds` after it polled the publisher for the newest one, unless
+   it is set to keep its orders while it is cut off; its report then says so.
+
+| role      | remembers                                      | refuses                                       |
+| --------- | ---------------------------------------------- | --------------------------------------------- |
+| voter     | the highest fence that it has promised and the | a book under a lower fence, or whose version  |
+|           | last accepted book, both on disk if it has     | is not above its own; to count as one with    |
+|           | one; whether its memory is whole               | memory until it has accepted a book again     |
+| publisher | the last book that it made, which voters have  | to publish before it has read a majority and  |
+|           | accepted it, and the queued changes            | replicated the last book under its own fence; |
+|           |                                                | to reply when it may have lost the duty       |
+| follower  | its book, the end of its lease by its own      | a lower version; a reply to a poll that is no |
+| (all)     | clock, and its open polls                      | longer open; announcements of a lower fence   |
+
+Why 1 holds: a book is acknowledged once a majority of the voters has accepted it, and while the voters
+change, a majority of the former voters as well. The next publisher reads the same majorities, which promise
+to accept nothing under a lower fence, continues from the highest book among their replies, and replicates
+that under its own fence before any change. Two majorities share a voter. A voter that has lost its memory
+might have accepted and promised anything, so it counts for neither majority until it has accepted a book
+again. If too few voters have their memory, the publisher waits for the replies of all voters, as no one else
+could know a newer book, or an operator forces it to continue. After Lamport, "Paxos made simple" (2001),
+with the fence as the ballot; Burrows, "The Chubby lock service" (2006), on caches with leases.
 """
 
 from __future__ import annotations
@@ -39,12 +40,12 @@
 from roadpulley.fleet.rights.messages import CONCURRENCY_PREFIX, MAX_LIMIT_NAME_BYTES, Limit
 
 MAX_ORDERS = 64
-MAX_SUBJECT_BYTES, MAX_REASON_BYTES, MAX_AUTHOR_BYTES = 64, 96, 32  # bytes
-MAX_ORDERS_PER_PAGE = 3  # orders in one sheet, so that it fits into a datagram
+MAX_SUBJECT_BYTES, MAX_REASON_BYTES, MAX_AUTHOR_BYTES = 64, 96, 32
+MAX_ORDERS_PER_PAGE = 3  # so that a page fits into a datagram
 MAX_DURATION_S = 366 * 86_400.0
-MAX_CLOCK_SKEW_MS = 5_000  # that wall clocks may be apart: so late an order ends where no publisher is heard
+MAX_CLOCK_SKEW_MS = 5_000  # of wall clocks; without a publisher an order ends this much later
 
-# What each kind may be ordered of. A pool is a zone of backends; zones and backends as discovery names them.
+# The scopes of each kind of order. A pool is a zone of backends; discovery names zones and backends.
 SCOPES_BY_KIND = {
     "rate": ("class", "customer", "plan", "pool"),
     "open": ("class", "customer", "plan", "pool"),
@@ -55,7 +56,7 @@
 
 
 class Version(NamedTuple):
-    """Of a book; the higher one supersedes."""
+    """Version of a book; the higher one supersedes the lower."""
 
     fence: int
     number: int
@@ -65,9 +66,10 @@
 
 
 class Order(msgspec.Struct, array_like=True, frozen=True):
-    """One order. `rate` a second and `burst`, or `most` open at once; `ends_ms`: wall clock, 0 for never.
+    """One order: a limit (`rate` a second and `burst`, or `most` open at once), a block, or a keep-off.
 
-    `ticket`: of the call that gave it, so that one that is asked again is not taken for another.
+    `ends_ms` is by the wall clock, 0 for never. `ticket` identifies the operator's call, so that a repeated
+    call is not processed as another one.
     """
 
     kind: str
@@ -83,7 +85,7 @@
 
     @property
     def key(self) -> tuple[str, str, str]:
-        """Of orders with one key the later one stands alone."""
+        """A later order replaces an earlier one with the same key."""
         return self.kind, self.scope, self.subject
 
     @property
@@ -92,21 +94,24 @@
 
     @property
     def limit_name(self) -> str:
-        """That of its limit, as rights to it are asked for. Subjects may be long, datagrams are short."""
+        """The name of its limit in requests for rights.
+
+        A long name is hashed, as a request has to fit a datagram.
+        """
         name = f"{CONCURRENCY_PREFIX if self.kind == 'open' else '@rate:'}{self.scope}:{self.subject}"
         if len(name.encode()) <= MAX_LIMIT_NAME_BYTES // 2:
             return name
         return f"{name[:12]}{hashlib.blake2b(name.encode(), digest_size=16).hexdigest()}"
 
     def to_limit(self, part: float, open_lease: float) -> Limit:
-        """What allocators give out: `part` of a rate, all that may be open at once."""
+        """The limit that allocators grant: the ratio `part` of a rate, or a whole concurrency limit."""
         if self.kind == "open":
             return Limit(0.0, float(self.most), open_lease)
         return Limit(part * self.rate, part * self.burst)
 
 
 def validate_order(order: Order) -> str:
-    """What is wrong with an order, and what would be right; empty where it can be taken."""
+    """Returns what is wrong with an order and how to correct it; empty if the order is valid."""
     if order.kind not in SCOPES_BY_KIND:
         return f"{order.kind!r} is no order; give one of {', '.join(SCOPES_BY_KIND)}"
     if order.scope not in SCOPES_BY_KIND[order.kind]:
@@ -127,15 +132,15 @@
     orders: tuple[Order, ...] = ()
 
     def orders_for_follower(self, wall_ms: int) -> tuple[Order, ...]:
-        """Those that hold at a follower.
+        """The orders that a follower applies.
 
-        Danger: by its own clock it would end them sooner than others. The publisher ends them, by a book
-        without them; this is for who hears none.
+        The publisher ends orders by publishing a book without them. A follower that is cut off ends them
+        itself, but only `MAX_CLOCK_SKEW_MS` later: with a fast clock it would end them before others do.
         """
         return self.unexpired_orders(wall_ms - MAX_CLOCK_SKEW_MS)
 
     def unexpired_orders(self, wall_ms: int) -> tuple[Order, ...]:
-        """Those that have not ended, by the publisher's clock."""
+        """The orders that have not ended at this wall clock time."""
         return tuple(o for o in self.orders if not o.ends_ms or o.ends_ms > wall_ms)
 
 
@@ -143,15 +148,16 @@
 
 
 class PrepareRequest(msgspec.Struct, tag="o-look", array_like=True, frozen=True):
-    """From the publisher of this fence: promise to take nothing of a lower one, and show what you keep."""
+    """The publisher asks a voter to promise to accept nothing under a lower fence, and to send its book."""
 
     fence: int
 
 
 class VoterReply(msgspec.Struct, tag="o-keeps", array_like=True, frozen=True):
-    """The answer of a keeper to a look or to sheets; what it keeps comes in sheets beside it.
+    """Reply of a voter to a `PrepareRequest` or to the pages of a book.
 
-    `whole`: it has taken a book since it last lost its memory, or never lost it.
+    After a `PrepareRequest` the pages of its own book are sent as well. `whole`: the voter has accepted a
+    book, and has not lost its memory since.
     """
 
     promised: int
@@ -160,7 +166,7 @@
 
 
 class BookPage(msgspec.Struct, tag="o-sheet", array_like=True, frozen=True):
-    """A part of a book. `take`: from the publisher to a keeper, which is to take it up."""
+    """One page of a book. `store`: the publisher asks a voter to accept the book."""
 
     version: Version
     page_count: int
@@ -170,14 +176,17 @@
 
 
 class PublisherAnnouncement(msgspec.Struct, tag="o-news", array_like=True, frozen=True):
-    """I publish under this fence; the newest book is this one."""
+    """Announces the publisher, its fence and the version of the newest book."""
 
     fence: int
     version: Version
 
 
 class Poll(msgspec.Struct, tag="o-poll", array_like=True, frozen=True):
-    """What is the newest book? `holder`: of a process beside an instance, 0 between instances."""
+    """A follower asks for the newest book. `holder` is the ID of a local process, 0 for an instance.
+
+    `version` is that of its own book, which need not be sent again.
+    """
 
     holder: int
     number: int
@@ -185,7 +194,7 @@
 
 
 class PollReply(msgspec.Struct, tag="o-standing", array_like=True, frozen=True):
-    """The newest book, which may be gone by for `holds` seconds from when it was asked for."""
+    """Reply to a `Poll`: the newest version, valid for `lease_s` seconds from when the poll was sent."""
 
     holder: int
     number: int
@@ -195,7 +204,7 @@
 
 
 class ChangeRequest(msgspec.Struct, tag="o-wish", array_like=True, frozen=True):
-    """An operator's call, for the publisher: give this order, or lift the one of its key."""
+    """An operator's call, sent to the publisher: adds this order, or lifts the order with the same key."""
 
     ticket: str
     order: Order
@@ -203,7 +212,7 @@
 
 
 class ChangeOutcome(msgspec.Struct, tag="o-outcome", array_like=True, frozen=True):
-    """What came of it: `id` of the acknowledged book with it, or why not."""
+    """Result of a `ChangeRequest`: the version of the acknowledged book with the change, or the error."""
 
     ticket: str
     version: Version
@@ -230,14 +239,14 @@
 
 
 class PageAssembler:
-    """Sheets of one sender, until a book is whole; of several books, the highest."""
+    """Assembles the pages of one sender to a book; pages of a higher version replace those of a lower one."""
 
     def __init__(self) -> None:
         self.version = NO_VERSION
         self.pages: dict[int, BookPage] = {}
 
     def add(self, sheet: BookPage) -> OrderBook | None:
-        """The book that this one makes whole."""
+        """Adds a page; returns the book if that completes it."""
         most = math.ceil(MAX_ORDERS / MAX_ORDERS_PER_PAGE)
         if sheet.version < self.version or not 0 <= sheet.index < sheet.page_count <= most:
             return None
--- a/roadpulley/fleet/orders/publisher.py
+++ b/roadpulley/fleet/orders/publisher.py
@@ -1,4 +1,7 @@
-"""One holding of the duty to publish orders. Pure: answers, wishes and the time in, whom to tell out."""
+"""State machine of a publisher of orders, for one holding of the duty. Pure, see `messages.py`.
+
+It takes the replies of voters, operators' changes and the time, and returns the voters to be sent requests.
+"""
 
 from __future__ import annotations
 
@@ -21,65 +24,72 @@
     validate_order,
 )
 
-MAX_QUEUED_CHANGES = 64  # that wait for the one that is being made
-MAX_REMEMBERED_OUTCOMES = 256  # outcomes that are remembered, for calls that come again
+MAX_QUEUED_CHANGES = 64  # waiting for the change that is being replicated
+MAX_REMEMBERED_OUTCOMES = 256  # kept to reply to repeated calls
 FULL_READ_TIMEOUT_RATIO = (
     3.0  # times the answer: for which those who follow are waited for, if they are needed
 )
-READY_RETRY_RATIO = 5.0  # times the answer: between two tries at a voter whose vote is not waited for
-FOLLOWER_TIMEOUT_S = 3.0  # since its last poll: a follower counts as there
+READY_RETRY_RATIO = 5.0  # of the retry interval, for voters whose vote is not needed
+FOLLOWER_TIMEOUT_S = 3.0  # after its last poll a follower counts as lost
 
 
 class PublisherState(Enum):
-    READING = "reading"  # what a majority keeps
-    REPLICATING = "having it taken"  # the last book made, by a majority
+    READING = "reading"  # the books of a majority of voters
+    REPLICATING = "having it taken"  # the newest book, to a majority of voters
     READY = "ready"
-    SUPERSEDED = "overtaken"  # a higher fence was seen
+    SUPERSEDED = "overtaken"  # a voter has replied with a higher fence
 
 
 @dataclass(slots=True)
 class FollowerStatus:
-    """A follower, as it polled last."""
+    """The version and time of a follower's last poll."""
 
     version: Version
     polled_at: MonotonicTime
 
 
 class Publisher:
-    """`ours`: the highest book known here. `answer`: seconds until a voter is asked again."""
+    """`highest_known` is the newest book of this instance.
+
+    `retry_interval_s`: seconds between two tries at a voter.
+    """
 
     def __init__(
         self, fence: int, roll: VoterConfig, highest_known: OrderBook, retry_interval_s: float
     ) -> None:
         self.fence, self.roll, self.book, self.retry_interval_s = fence, roll, highest_known, retry_interval_s
         self.state = PublisherState.READING
-        self.read_voters: dict[str, bool] = {}  # voters that were read, and whether their memory is whole
-        self.accepted_by: set[str] = set()  # of `book`
+        self.read_voters: dict[
+            str, bool
+        ] = {}  # voters whose book has been read; whether they have their memory
+        self.accepted_by: set[str] = set()  # voters that have accepted `book`
         self.retry_at: dict[str, MonotonicTime] = {}
-        self.full_read_until: MonotonicTime | None = None  # since the first look at the time
-        self.is_full_read_over = False  # long enough for those who follow to have answered
-        self.forced = False  # an operator has said to go on with whom there is
+        self.full_read_until: MonotonicTime | None = None  # set by the first tick
+        self.is_full_read_over = False  # followers have had time to reply
+        self.forced = False  # an operator has told it to continue without the missing voters
         self.current_change: ChangeRequest | None = None
         self.queued_changes: deque[ChangeRequest] = deque()
         self.change_outcomes: dict[str, ChangeOutcome] = {}
         self.followers: dict[str, FollowerStatus] = {}
-        self.higher_fence = 0  # a higher fence
-        self.published: OrderBook | None = None  # the last that was acknowledged under this fence
-        self.lost_memory_count = (
-            0  # voters that had lost their memory when a book was read without enough whole ones
-        )
+        self.higher_fence = 0
+        self.published: OrderBook | None = None  # the last book acknowledged under this fence
+        self.lost_memory_count = 0  # voters without memory at a read without a majority of voters with memory
 
     # ---- voters ----
 
     def set_roll(self, roll: VoterConfig) -> None:
-        """Other voters count from now on; the new one has nothing yet."""
+        """Changes the voters; a new one has not accepted any book yet."""
         self.roll = roll
         if self.state is PublisherState.READY:
-            # Danger: the majority that has the book may be none of these voters.
+            # The majority that has accepted the book may not be a majority of the new voters: the book could
+            # be lost with the former ones.
             self._propose(self.book.orders)
 
     def handle_voter_reply(self, voter: str, keeps: VoterReply, book: OrderBook | None) -> None:
-        """A voter's answer, or what one that does not vote follows. `book`: where that has come whole."""
+        """Processes the reply of a voter, or of a follower that does not vote.
+
+        `book`: once all its pages arrived.
+        """
         if keeps.promised > self.fence or keeps.version.fence > self.fence:
             self.state, self.higher_fence = (
                 PublisherState.SUPERSEDED,
@@ -89,7 +99,7 @@
         if self.state is PublisherState.READING:
             if keeps.version > self.book.version:
                 if book is None or book.version != keeps.version:
-                    return  # Danger: read without its book, a newer one than ours would be undone
+                    return  # without its book, a newer one than ours would be undone
                 self.book = book
             if keeps.promised == self.fence:
                 self.read_voters[voter] = keeps.whole
@@ -113,8 +123,8 @@
     def _has_read_enough(self) -> bool:
         if self._has_majority(self._voters_with_memory()):
             return True
-        # Danger: with some that lost their memory, one that is out of reach may alone know the newest book.
-        # So all voters are waited for, and for who follows: they show what was acknowledged.
+        # If some voters have lost their memory, an unreachable one may be the only one that knows the newest
+        # book. So all voters have to reply; followers get time to reply too, as they know acknowledged books.
         return self.is_full_read_over and (self.all_voters() <= set(self.read_voters) or self._can_force())
 
     def _can_force(self) -> bool:
@@ -134,19 +144,22 @@
         return {*self.roll.before, *self.roll.voters}
 
     def force(self) -> None:
-        """Go on although too few voters have their memory: what only others knew is lost."""
+        """Continues although too few voters have their memory.
+
+        Books that only missing voters have are lost.
+        """
         self.forced = True
         self._advance()
 
     # ---- books ----
 
     def _propose(self, orders: tuple[Order, ...]) -> None:
-        # Danger: numbers go on from the book before, so that no two books have one version.
+        # The count continues from the previous book: if it restarted, two books could have the same version.
         self.book = OrderBook(Version(self.fence, self.book.version.number + 1), orders)
         self.state, self.accepted_by, self.retry_at = PublisherState.REPLICATING, set(), {}
 
     def submit(self, wish: ChangeRequest) -> ChangeOutcome | None:
-        """An operator's call; its outcome where that is known."""
+        """Queues an operator's change; returns its outcome if that is known."""
         if known := self.change_outcomes.get(wish.ticket):
             return known
         if not wish.lift and (why := validate_order(wish.order)):
@@ -164,7 +177,7 @@
             self.current_change = wish = self.queued_changes.popleft()
             others = tuple(o for o in self.book.orders if o.key != wish.order.key)
             if any(o.ticket == wish.ticket for o in self.book.orders):
-                self._finish_change(wish, "")  # the publisher before had it taken, and could not say so
+                self._finish_change(wish, "")  # the previous publisher replicated it, but could not reply
             elif wish.lift and len(others) == len(self.book.orders):
                 self._finish_change(wish, "there is no such order")
             elif not wish.lift and len(others) >= MAX_ORDERS:
@@ -186,14 +199,14 @@
         self.followers[name] = FollowerStatus(id, now)
 
     def count_followers(self, now: MonotonicTime) -> tuple[int, int]:
-        """Instances that go by the newest book, and those that polled lately."""
+        """Counts the followers with the newest book, and those that have polled recently."""
         there = [seen for seen in self.followers.values() if now - seen.polled_at < FOLLOWER_TIMEOUT_S]
         return sum(seen.version == self.book.version for seen in there), len(there)
 
     # ---- time ----
 
     def tick(self, now: MonotonicTime, wall_ms: int) -> list[str]:
-        """Voters to be looked at, while it reads; else those that are to take the book."""
+        """Returns the voters to send a request: to prepare while reading, otherwise to accept the book."""
         if self.state is PublisherState.SUPERSEDED:
             return []
         if not self.is_full_read_over:
@@ -213,7 +226,7 @@
         return due
 
     def describe_wait(self) -> str:
-        """What it waits for, for people."""
+        """Describes to operators which voters the read waits for; empty after the read."""
         if self.state is not PublisherState.READING:
             return ""
         silent, blank = sorted(self.all_voters() - set(self.read_voters)), self._count_lost_memory()
--- a/roadpulley/fleet/orders/service.py
+++ b/roadpulley/fleet/orders/service.py
@@ -1,4 +1,4 @@
-"""The shell of orders at one instance: keeps for the publisher, publishes if that is its duty, follows."""
+"""Runs the orders of one instance: as a voter, as a follower, and as the publisher while it has that duty."""
 
 from __future__ import annotations
 
@@ -40,18 +40,18 @@
 from .voter import Voter
 from .work import PublisherWork
 
-TICK_INTERVAL_S = 0.02  # between two looks at what is due
-ANNOUNCE_INTERVAL_S = 0.5  # between two words of a publisher that it publishes
-CALL_RETRY_INTERVAL_S = 0.25  # after which a publisher is told a call again
-CALL_TIMEOUT_S = 20.0  # for which a call is tried
+TICK_INTERVAL_S = 0.02
+ANNOUNCE_INTERVAL_S = 0.5
+CALL_RETRY_INTERVAL_S = 0.25
+CALL_TIMEOUT_S = 20.0
 MAX_CALLS = 64
-MAX_AGE_SAMPLES = 4_096  # of what was gone by, the latest
+MAX_AGE_SAMPLES = 4_096  # the latest ages of the followed book
 
 log = structlog.get_logger("roadpulley.fleet.orders")
 
 
 class OperatorCall:
-    """One call of an operator at this instance, until its outcome is known."""
+    """A call of an operator at this instance, retried until its outcome is known."""
 
     def __init__(self, change: ChangeRequest, now: MonotonicTime) -> None:
         self.change, self.started_at, self.retry_at = change, now, now
@@ -59,7 +59,10 @@
 
 
 class OrderService:
-    """`to` gives the route to a voter, `everybody` those to all others; `changed` hears of another book."""
+    """`route_to_voter` returns the route to a voter, `peer_routes` those to all other instances.
+
+    `on_change` is called when the active orders change; `call_in_loop` may be called from any thread.
+    """
 
     def __init__(
         self,
@@ -93,20 +96,20 @@
         self.follower = Follower(settings.follower_settings)
         self.duty: HeldDuty | None = None
         self.publisher: Publisher | None = None
-        # The publisher that was heard last. Danger: it may take this instance for dead and tell it nothing.
-        # It is asked all the same, until a later one is heard of.
+        # The last known publisher. It may consider this instance dead and send it nothing, so that orders
+        # would expire here. Polls therefore go to it until a later publisher is known.
         self.publisher_route: Route | None = None
-        self.incoming_books: dict[Route, PageAssembler] = {}  # sheets that this keeper is to take
-        self.voter_pages: dict[str, PageAssembler] = {}  # sheets that voters show
+        self.incoming_books: dict[Route, PageAssembler] = {}  # books that this voter is to accept
+        self.voter_pages: dict[str, PageAssembler] = {}  # pages of the voters' books
         self.voter_replies: dict[str, tuple[VoterReply, OrderBook | None]] = {}
         self.calls: dict[str, OperatorCall] = {}
-        self.outcome_routes: dict[str, Route] = {}  # by ticket, who waits for an outcome of this publisher
+        self.outcome_routes: dict[str, Route] = {}  # by ticket: where to send the outcome
         self.ages: deque[float] = deque(maxlen=MAX_AGE_SAMPLES)
         self.counts: Counter[str] = Counter()
         self.was_fresh = False
-        self.active_orders: tuple[Order, ...] = ()  # the orders that hold here
+        self.active_orders: tuple[Order, ...] = ()  # applied at this instance
         self.announce_at: MonotonicTime = 0.0
-        self.query_all_at: MonotonicTime = 0.0  # those who don't vote, too: while it reads
+        self.query_all_at: MonotonicTime = 0.0  # next query of all instances during the read
         self.task: asyncio.Task[None] | None = None
         self.work = next((work for work in works.values() if isinstance(work, PublisherWork)), None)
         if self.work is not None:
@@ -115,7 +118,7 @@
                 self.follower.book.version.fence, self.follower.highest_fence
             )
 
-    # ---- life ----
+    # ---- lifecycle ----
 
     def open(self) -> None:
         self.task = asyncio.get_running_loop().create_task(self._run())
@@ -140,11 +143,11 @@
         self._update_active_orders(now)
 
     def _update_active_orders(self, now: MonotonicTime) -> None:
-        """Whether other orders hold here now, also as some have ended or none are heard any more."""
+        """Updates the active orders, which also change when orders end or the lease expires."""
         fresh, book = self.follower.is_fresh(now), self.follower.current_book(now)
         standing = book.orders_for_follower(wall_ms())
         if fresh != self.was_fresh and self.follower.book.version != NO_VERSION:
-            words = "orders are followed" if fresh else "no publisher of orders is heard"
+            words = "orders are followed" if fresh else "no publisher of orders responds"
             kept = "kept" if self.settings.follower_settings.keep else "let go"
             log.info(
                 words, id=list(book.version), orders=len(standing), **({} if fresh else {"they_are": kept})
@@ -157,10 +160,10 @@
             log.info("orders", id=list(book.version), orders=len(standing))
             self.on_change()
 
-    # ---- to publish ----
+    # ---- publisher ----
 
     def _on_duty_started(self, duty: HeldDuty) -> None:
-        """From the thread of the work."""
+        """Called in the thread of the duty's work."""
         self.call_in_loop(lambda: self._start_publisher(duty))
 
     def _start_publisher(self, duty: HeldDuty) -> None:
@@ -170,10 +173,10 @@
         log.info("publishes orders", fence=duty.fence, knows=list(ours.version))
 
     def _active_publisher(self) -> Publisher | None:
-        """While the duty is ours.
+        """The publisher, while this instance holds the duty.
 
-        Danger: this may be out of date the moment after. What is sent then goes under our fence: voters that
-        have promised a higher one refuse it, and followers that have heard of one.
+        The duty may end right after this check. A former publisher's messages carry its fence: voters that
+        have promised a higher one refuse them, and so do followers that know a higher one.
         """
         if self.duty is None or not self.duty.is_still_held() or self.publisher is None:
             self.publisher = None
@@ -214,7 +217,7 @@
             self._handle_voter_message(self.name, retry_interval_s)
 
     def _handle_voter_message(self, voter: str, body: VoterReply | BookPage) -> None:
-        """What a voter keeps; the last of its sheets may come after the word."""
+        """Processes a reply or a page of a voter; the last page may arrive after the reply."""
         publisher = self._active_publisher()
         if publisher is None:
             return
@@ -237,7 +240,7 @@
             self._handle_published(publisher, publisher.published)
 
     def _handle_published(self, publisher: Publisher, book: OrderBook) -> None:
-        lost = publisher.lost_memory_count  # voters without a memory, where too few had theirs
+        lost = publisher.lost_memory_count  # voters without memory, if too few others replied
         log.info("orders are acknowledged", id=list(book.version), orders=len(book.orders), lost=lost)
         self.follower.handle_announcement(self.clock.now(), publisher.fence, book.version)
         self._announce(publisher, book.version)
@@ -247,9 +250,9 @@
         for ticket, route in list(self.outcome_routes.items()):
             if outcome := publisher.change_outcomes.get(ticket):
                 del self.outcome_routes[ticket]
-                self.send(route, outcome)  # lost, it is asked for again
+                self.send(route, outcome)  # if this is lost, the operator's instance asks again
 
-    # ---- a voter ----
+    # ---- voter ----
 
     def _handle_publisher_request(
         self, route: Route, body: PrepareRequest | BookPage
@@ -258,7 +261,7 @@
             keeps = self.voter.prepare(body.fence)
             if keeps is None:
                 return []
-            # What this instance follows is acknowledged: it counts where voters have lost their memory.
+            # The followed book is acknowledged. It may be newer than the voter's own if that lost its memory.
             best = max(self.voter.state.book, self.follower.book, key=lambda b: b.version)
             return [VoterReply(keeps.promised, best.version, keeps.whole), *split_into_pages(best)]
         book = self.incoming_books.setdefault(route, PageAssembler()).add(body)
@@ -268,7 +271,7 @@
         keeps = self.voter.accept(book)
         return [keeps] if keeps else []
 
-    # ---- to follow ----
+    # ---- follower ----
 
     def _send_poll(self, now: MonotonicTime, poll: Poll) -> None:
         if self._active_publisher() is not None:
@@ -279,7 +282,7 @@
     def _answer_poll(
         self, now: MonotonicTime, poll: Poll, name: str, say: Callable[[PollReply | BookPage], None]
     ) -> None:
-        """Answer one who follows, as the publisher."""
+        """Replies to a follower's poll, if this instance is the publisher."""
         publisher = self._active_publisher()
         if publisher is None or publisher.published is None:
             return
@@ -303,10 +306,10 @@
         if changed:
             self._update_active_orders(now)
 
-    # ---- between instances ----
+    # ---- messages between instances ----
 
     def handle_peer_message(self, route: Route, name: str, body: Body) -> None:
-        """A body of another instance; `name` says which."""
+        """Processes a message of the instance `name`."""
         now = self.clock.now()
         match body:
             case PublisherAnnouncement():
@@ -342,10 +345,10 @@
             self._handle_voter_message(name, sheet)
         self._handle_poll_message(sheet)
 
-    # ---- the processes beside ----
+    # ---- local processes ----
 
     def handle_local_poll(self, poll: Poll) -> None:
-        """A process beside follows this instance, for no longer than this instance itself may."""
+        """Replies to a local process; its lease ends no later than that of this instance."""
         now, book = self.clock.now(), self.follower.current_book(self.clock.now())
         holds = self.follower.remaining_lease(now)
         said = PollReply(poll.holder, poll.number, book.version.fence, book.version, holds)
@@ -357,7 +360,7 @@
     # ---- operators ----
 
     def submit(self, order: Order, lift: bool) -> dict[str, Any]:
-        """Begin an operator's call; `status` tells what came of it."""
+        """Starts an operator's call; `status` returns its outcome."""
         now, ticket = self.clock.now(), secrets.token_hex(8)
         self.calls = {t: c for t, c in self.calls.items() if now - c.started_at < 2 * CALL_TIMEOUT_S}
         if len(self.calls) >= MAX_CALLS:
@@ -411,7 +414,7 @@
             call.outcome = call.outcome or outcome
 
     def force(self) -> dict[str, Any]:
-        """Have the publisher, if it is here, go on without the voters whose memory it waits for."""
+        """Makes the publisher continue without the missing voters, if it is this instance."""
         publisher = self._active_publisher()
         if publisher is not None:
             publisher.force()
@@ -442,7 +445,7 @@
 
 
 def format_order(order: Order, wall: int) -> dict[str, Any]:
-    """One order for people."""
+    """Formats an order for the report to operators."""
     if order.kind == "rate":
         what = f"{order.rate:g}/s, burst {order.burst:g}"
     elif order.kind == "open":
--- a/roadpulley/fleet/orders/settings.py
+++ b/roadpulley/fleet/orders/settings.py
@@ -1,4 +1,4 @@
-"""`[orders]` of `fleet.toml`: how soon orders are followed, and what holds where none are heard."""
+"""Reads `[orders]` of `fleet.toml`: the timing of followers, and whether orders outlive a partition."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True)
 class OrderSettings:
-    """`open_lease`: seconds that a right to have something open lasts; requests have to end within it."""
+    """`open_lease_s` is the lease of rights to concurrency limits; every request has to end within it."""
 
     follower_settings: FollowerSettings
     open_lease_s: float
--- a/roadpulley/fleet/orders/voter.py
+++ b/roadpulley/fleet/orders/voter.py
@@ -1,4 +1,4 @@
-"""What one voter keeps of orders, and where. Pure but for the file. See `terms.py`."""
+"""State of one voter for the orders, and its file. Pure except for the file, see `messages.py`."""
 
 from __future__ import annotations
 
@@ -16,7 +16,11 @@
 
 
 class VoterState(msgspec.Struct, frozen=True):
-    """Asked or told something, it gives what is kept by then: itself if nothing changes."""
+    """Stored state of a voter. `prepare` and `accept` return the next state, `self` if nothing changes.
+
+    `promised` is the highest fence of a `PrepareRequest`; `whole`: it has accepted a book and not lost its
+    memory since.
+    """
 
     book: OrderBook = OrderBook()
     promised: int = 0
@@ -26,11 +30,12 @@
         return VoterState(self.book, fence, self.whole) if fence > self.promised else self
 
     def accept(self, book: OrderBook) -> VoterState:
-        """A publisher has it take a book."""
-        # Danger: a publisher that stood still would undo what was ordered under a higher fence since.
+        """Accepts a book of a publisher, unless that has a lower fence or an older version."""
+        # A publisher that was suspended would undo orders given under a higher fence in the meantime.
         if book.version.fence < self.promised or (self.whole and book.version <= self.book.version):
             return self
-        # A voter that lost its memory takes what a publisher has; a majority that is whole stands behind it.
+        # A voter that has lost its memory accepts any version of a publisher, as a majority of voters with
+        # memory confirmed it.
         return VoterState(max(book, self.book, key=lambda b: b.version), book.version.fence, True)
 
     def make_reply(self) -> VoterReply:
@@ -38,7 +43,10 @@
 
 
 class Voter:
-    """`folder`: where it remembers, if anywhere. Raises ValidationError for a file that can't be read."""
+    """Keeps the state in a file in `folder`; with None, only in memory.
+
+    Raises ValidationError if the file can't be read.
+    """
 
     def __init__(self, folder: Path | None, name: str) -> None:
         self.path = folder / f"{name}.orders" if folder is not None else None
@@ -51,22 +59,22 @@
                 raise ValidationError(str(self.path), f"can't be read ({error})", right) from error
 
     def store(self, kept: VoterState) -> bool:
-        """From now on, once it is on disk; gives whether it is.
+        """Replaces the state after writing it to disk; False if that failed.
 
-        Danger: what is answered and not kept could be broken after a restart.
+        A promise that is sent before it is on disk could be broken after a restart.
         """
         if kept is not self.state and self.path is not None:
             try:
                 self.path.parent.mkdir(parents=True, exist_ok=True)
                 write_atomically(self.path, msgspec.json.encode(kept))
             except OSError as error:
-                log.error("orders cannot be kept", path=str(self.path), why=str(error))
+                log.error("cannot store the orders of this voter", path=str(self.path), why=str(error))
                 return False
         self.state = kept
         return True
 
     def prepare(self, fence: int) -> VoterReply | None:
-        """None: nothing is said, as it could not be kept."""
+        """Returns the reply; None if the state could not be stored, so that no reply may be sent."""
         return self.state.make_reply() if self.store(self.state.prepare(fence)) else None
 
     def accept(self, book: OrderBook) -> VoterReply | None:
--- a/roadpulley/fleet/orders/work.py
+++ b/roadpulley/fleet/orders/work.py
@@ -1,4 +1,7 @@
-"""Publishing orders as a duty: one instance does it. What it touches are the voters, which keep books."""
+"""The duty of the publisher of orders: one instance holds it.
+
+Voters refuse its writes under a lower fence.
+"""
 
 from __future__ import annotations
 
@@ -7,20 +10,20 @@
 from roadpulley.fleet.duties.work import HeldDuty, StaleFenceError
 
 DUTY = "fleet.orders"
-FENCE_CHECK_INTERVAL_S = 0.5  # between two looks whether voters refuse the fence
+FENCE_CHECK_INTERVAL_S = 0.5  # interval of the check whether voters refuse the fence
 
 
 class PublisherWork:
-    """`begins` and `highest` are the instance's own: the loop of the instance does all else."""
+    """`on_start` and `highest_fence` are callbacks of the instance, whose event loop does the rest."""
 
     def __init__(self) -> None:
         self.on_start: Callable[[HeldDuty], None] | None = None
         self.highest_fence: Callable[[], int] = lambda: 0
         self.duty: HeldDuty | None = None
-        self.promised_fence = 0  # a higher fence that voters have promised
+        self.promised_fence = 0  # a fence above ours that voters have promised
 
     def claim(self, fence: int, owner: str) -> int | None:
-        """Voters refuse a fence below one that they promised; what is known of that here is told at once."""
+        """Returns a fence that voters would refuse this one for, as far as known here; else None."""
         highest = self.highest_fence()
         return highest if highest >= fence else None
 
@@ -29,6 +32,7 @@
             self.duty = duty
             self.on_start(duty)
         if self.promised_fence > duty.fence:
-            # Danger: a fence that voters refuse would be held, and renewed, while nobody publishes.
+            # Otherwise the duty would be held and renewed under a fence that voters refuse, while no
+            # instance can publish.
             raise StaleFenceError(self.promised_fence)
         return FENCE_CHECK_INTERVAL_S
--- a/roadpulley/fleet/rights/__init__.py
+++ b/roadpulley/fleet/rights/__init__.py
@@ -1,1 +1,1 @@
-"""Rights to spend of a limit that holds over all gateways together: given out, held briefly, never twice."""
+"""Escrow of limits that hold over all gateways: an allocator grants short-lived rights to spend units."""
--- a/roadpulley/fleet/rights/allocator.py
+++ b/roadpulley/fleet/rights/allocator.py
@@ -1,4 +1,7 @@
-"""One allocator: what is left of each limit, and which rights are out. Pure. See `terms.py`."""
+"""State machine of an allocator: the level of each limit and its outstanding rights.
+
+Pure, see `messages.py`.
+"""
 
 from __future__ import annotations
 
@@ -24,16 +27,16 @@
 MAX_SNAPSHOTS, MAX_OUTSTANDING_PER_SNAPSHOT = (
     2_000,
     40,
-)  # books in one hand-over; rights out of one, so that it fits a datagram
-MAX_LIMITS = 100_000  # in memory; of a further one nothing is given out
+)  # in one handover
+MAX_LIMITS = 100_000  # ledgers in memory; requests for further limits get no reply
 SWEEP_INTERVAL_S = 5.0
-MAX_CONTENDED_RATIO = 0.5  # of what is there: the most that one ask gets while others ask too
+MAX_CONTENDED_RATIO = 0.5  # of the level, for one request while other holders want units too
 MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.02, 0.5
 
 
 @dataclass(slots=True)
 class OutstandingRight:
-    """A right that is out. `ends`: when its holder can surely spend it no more."""
+    """A granted right. From `expires_at` on its holder can no longer spend it."""
 
     holder: int
     units: float
@@ -42,7 +45,7 @@
 
 @dataclass(slots=True)
 class HolderAccount:
-    """Of one holder at one limit: the last answer, and what it wants."""
+    """The last request of one holder for one limit, and the reply to it."""
 
     request_number: int
     reply: RightsReply
@@ -52,22 +55,27 @@
 
 @dataclass(slots=True)
 class LimitLedger:
-    """One limit."""
+    """The level of one limit and the rights that are granted from it."""
 
     limit: Limit
     level: float
     refilled_at: MonotonicTime
-    ready_at: MonotonicTime  # before that nothing is given out: rights of earlier allocators may be spent
-    is_concurrency_limit: bool = False  # its units come back with the end of what they were spent on
-    outstanding_units: float = 0.0  # units out
+    ready_at: MonotonicTime  # nothing is granted before: rights of earlier allocators may still be spent
+    is_concurrency_limit: bool = False
+    outstanding_units: float = 0.0
     outstanding: dict[int, OutstandingRight] = field(default_factory=dict)
-    expiry_heap: list[tuple[MonotonicTime, int]] = field(default_factory=list)  # a heap of what is out
+    expiry_heap: list[tuple[MonotonicTime, int]] = field(
+        default_factory=list
+    )  # heap of (expires_at, right number)
     accounts: dict[int, HolderAccount] = field(default_factory=dict)
 
 
 @dataclass
 class InheritedLedgers:
-    """Of one part: what the allocator of a fence showed, with when it came, and when it was first asked."""
+    """Snapshots of one partition, sent by the allocator under `fence`, each with its time of receipt.
+
+    `requested_at` is when they were first requested, by the clock of this instance.
+    """
 
     fence: int
     requested_at: MonotonicTime
@@ -80,13 +88,17 @@
     def usable_snapshots(
         self, now: MonotonicTime, fence: int, times: Times
     ) -> dict[str, tuple[MonotonicTime, LedgerSnapshot]]:
-        """What a holding under a fence that begins now may go on from."""
-        # Danger: later another allocator between may have given out what these books say is there.
+        """Snapshots that an allocator that starts now under this fence may continue from."""
+        # After the holder's lease another allocator in between may have granted the units that these
+        # snapshots show as available.
         return self.snapshots if self.fence < fence and now < self.requested_at + times.holder_lease_s else {}
 
 
 class Allocator:
-    """Since `began`, by its own clock, under one fence; another holding of the duty is another allocator."""
+    """Grants rights under one fence, from `started_at` on.
+
+    Each holding of the duty creates a new allocator.
+    """
 
     def __init__(
         self,
@@ -97,31 +109,29 @@
         rng: random.Random,
         inherited: Mapping[str, tuple[MonotonicTime, LedgerSnapshot]] | None = None,
     ) -> None:
-        """`legacy`: sealed books of the one before, with when they came here."""
+        """`inherited` holds the predecessor's sealed ledgers, each with its time of receipt."""
         self.fence, self.started_at, self.times, self.rng = fence, started_at, times, rng
         self.limits = dict(limits)
         self.ledgers: dict[str, LimitLedger] = {}
         self.inherited = dict(inherited or {})
         self.sealed = False
-        self.granted_count = 0  # rights given out
+        self.granted_count = 0  # rights; the last one has this number
         self.next_sweep_at = started_at + SWEEP_INTERVAL_S
-        self.granted_units = self.refused_units = self.expired_units = (
-            0.0  # units given out; asked for in vain; ended unheard
-        )
+        self.granted_units = self.refused_units = self.expired_units = 0.0  # units
 
     @property
     def ready_at(self) -> MonotonicTime:
-        """From when on nothing that an earlier allocator gave out can be spent.
+        """Time from which no right of an earlier allocator can be spent.
 
-        Danger: before that it may all be out still. A level that began to fill at once would be given out
-        beside it.
+        All units may still be outstanding until then. If the level began to refill earlier, the same units
+        would be granted a second time.
         """
         return self.started_at + self.times.clear
 
-    # ---- what is asked ----
+    # ---- requests ----
 
     def handle_request(self, now: MonotonicTime, ask: RightsRequest) -> RightsReply | None:
-        """The answer; None for an ask of the past, or of a limit that there is not."""
+        """The reply; None for an outdated or invalid request, or an unknown limit."""
         if self.sealed or ask.fence != self.fence or not (0 <= ask.min_units <= ask.wanted_units < math.inf):
             return None
         book = self.get_ledger(ask.limit)
@@ -130,8 +140,8 @@
         self.refill(now, book)
         known = book.accounts.get(ask.holder)
         if known is not None and ask.request_number <= known.request_number:
-            # Danger: an ask that comes again is answered as before. A second right for it would be out
-            # until its end though nobody holds it.
+            # A repeated request gets the same reply. A second right for it would be outstanding until it
+            # expires, although no holder has it.
             return known.reply if ask.request_number == known.request_number else None
         for closed in ask.returned:
             self.return_right(book, ask.holder, closed.right_id, closed.unused_units)
@@ -141,15 +151,16 @@
         return given
 
     def return_right(self, book: LimitLedger, holder: int, right: RightId, unused: float) -> None:
-        """A right was written off by its holder: what it did not spend may be given out again."""
-        # Danger: numbers begin anew with each fence, and a right that ended here may be given up late. Either
-        # would add units that are out with somebody else.
+        """Makes the unspent units of a right available again that its holder returns."""
+        # Right numbers restart with each fence, and a right may be returned after it has expired here. Either
+        # would add units to the level that are outstanding at another holder.
         out = book.outstanding.get(right.number) if right.fence == self.fence else None
         if out is None or out.holder != holder:
             return
         back = min(max(0.0, unused), out.units)
         if book.is_concurrency_limit:
-            # Danger: what is in use of the right stays out, until that is given up too or the right ends.
+            # Units in use stay outstanding until they are returned too or the right expires. Otherwise they
+            # would be granted to another holder while the request is still open.
             out.units, book.outstanding_units = out.units - back, book.outstanding_units - back
             book.level = book.limit.burst - book.outstanding_units
             return
@@ -186,7 +197,10 @@
         return self.started_at + max(self.times.clear, self.lease_for(limit))
 
     def _contended_ratio(self, now: MonotonicTime, book: LimitLedger, ask: RightsRequest) -> float:
-        """Of what is there: its part of what all of late have wanted, and alone all of it."""
+        """Ratio of the level that a request may get: all of it if no other holder has requested any recently.
+
+        Otherwise its part of what all recent requests wanted, at most `MAX_CONTENDED_RATIO`.
+        """
         since = now - self.times.lease
         others = sum(
             a.wanted_units
@@ -196,7 +210,7 @@
         return 1.0 if not others else min(MAX_CONTENDED_RATIO, ask.wanted_units / (ask.wanted_units + others))
 
     def _retry_after_ms(self, now: MonotonicTime, book: LimitLedger, ask: RightsRequest) -> int:
-        """Milliseconds until there may be enough, apart from those that others are told."""
+        """Milliseconds until enough units may be available, with jitter to spread the retries of holders."""
         lacks = ask.min_units - book.level
         fills = lacks / book.limit.rate if book.limit.rate else MIN_RETRY_DELAY_S
         wait = max(0.0, book.ready_at - now) + fills
@@ -206,15 +220,15 @@
     # ---- time ----
 
     def refill(self, now: MonotonicTime, book: LimitLedger) -> None:
-        """What time has given back, and which rights have ended, in the order in which both came.
+        """Applies the refill and the expiry of rights up to now, in the order of time.
 
-        Danger: filled in one step, a level would rise above what the rights left room for at the time.
+        In one step the level would also refill for the time in which outstanding rights left no room for it.
         """
         while book.expiry_heap and book.expiry_heap[0][0] <= now:
             ends, number = heapq.heappop(book.expiry_heap)
             out = book.outstanding.pop(number, None)
             if out is None:
-                continue  # it was given up
+                continue  # it was returned
             self._raise_level(ends, book)
             book.outstanding_units -= out.units
             self.expired_units += out.units
@@ -226,14 +240,17 @@
             return
         passed = max(0.0, now - book.refilled_at)
         book.refilled_at = max(now, book.refilled_at)
-        # Danger: a fast clock would give out more than the rate.
+        # Without this correction an allocator with a fast clock would grant more than the rate.
         risen = book.level + passed * book.limit.rate / (1 + self.times.drift)
         book.level = min(risen, book.limit.burst - book.outstanding_units)
 
     # ---- limits ----
 
     def get_ledger(self, name: str) -> LimitLedger | None:
-        """Of a limit, or of one customer of a plan (`PLAN/CUSTOMER`); None where there is no such limit."""
+        """The ledger of a limit, or of one customer of a plan (`PLAN/CUSTOMER`).
+
+        None if there is no such limit, or if `MAX_LIMITS` is reached.
+        """
         limit, found = self.find_limit(name), self.ledgers.get(name)
         if limit is None or (found is None and len(self.ledgers) >= MAX_LIMITS):
             return None
@@ -244,15 +261,16 @@
                 self._inherit(found, *left)
         return found
 
-    # ---- hand-over ----
+    # ---- handover ----
 
     def seal(self, now: MonotonicTime, part: int) -> list[LedgerSnapshot]:
-        """Give out nothing more; gives the books that somebody may go on from, the last used first."""
+        """Stops granting and returns snapshots for the successor, starting with the newest ledger."""
         self.sealed = True
         found: list[LedgerSnapshot] = []
         for name, book in reversed(self.ledgers.items()):
             self.refill(now, book)
-            # Danger: one that was waiting itself knows nothing of what its forerunners gave out.
+            # A ledger that is itself still waiting does not know what earlier allocators granted. A
+            # successor that continued from it would grant those units again.
             if (
                 now >= book.ready_at
                 and len(book.outstanding) <= MAX_OUTSTANDING_PER_SNAPSHOT
@@ -263,8 +281,9 @@
         return found
 
     def _inherit(self, book: LimitLedger, came: MonotonicTime, left: LedgerSnapshot) -> None:
-        """Go on from a sealed book. Its times count from when it came, which was after it was sealed."""
-        # Danger: rights of another fence can't be given up here; under our own numbers it would seem so.
+        """Continues from a snapshot. Its expiry times count from its receipt, which was after the sealing."""
+        # Negative numbers: rights of another fence can't be returned here. Under positive numbers they
+        # could be mistaken for rights of this allocator.
         book.outstanding = {
             -n: OutstandingRight(0, units, came + lasts)
             for n, (units, lasts) in enumerate(left.outstanding, 1)
@@ -279,11 +298,11 @@
         return self.limits.get(name) or self.limits.get(name.partition("/")[0])
 
     def set_limits(self, now: MonotonicTime, limits: Mapping[str, Limit]) -> None:
-        """Other limits: what is owed to a limit stays owed. One that is lower than what is out gives out
-        nothing until enough of that has come back.
+        """Applies changed limits; outstanding units stay accounted for.
 
-        Danger: the book of a limit that is gone stays. Rights of it are out, and one that came back under the
-        name would be full beside them.
+        A limit that is now lower than its outstanding units grants nothing until enough of them have expired
+        or are returned. The ledger of a removed limit stays, as its rights are outstanding: if the limit were
+        added again under the same name, a new ledger would not count them.
         """
         self.limits = dict(limits)
         for name, book in list(self.ledgers.items()):
@@ -293,17 +312,18 @@
             book.limit = limit
 
     def _sweep(self, now: MonotonicTime) -> None:
-        """Forget what says nothing any more: holders that have gone, limits that are full again."""
+        """Drops accounts of inactive holders and ledgers of limits that are full again."""
         if now < self.next_sweep_at:
             return
         self.next_sweep_at = now + SWEEP_INTERVAL_S
         for name, book in list(self.ledgers.items()):
             self.refill(now, book)
-            # Danger: an account that went while its last ask may come again would answer that with a second
-            # right; but no answer to it counts after `holds`.
+            # While the last request of a holder may be repeated, its account is needed to repeat the reply
+            # instead of granting a second right. After the holder's lease no reply to it counts.
             since = now - 2 * self.lease_for(book.limit)
             book.accounts = {h: a for h, a in book.accounts.items() if a.requested_at > since}
-            # Danger: a book that comes back starts as full as time since this allocator's beginning makes it.
+            # A new ledger refills from this allocator's start. If a ledger were dropped before a new one
+            # would be full as well, its limit would come back with too low a level.
             fills = book.limit.burst / book.limit.rate * (1 + self.times.drift) if book.limit.rate else 0.0
             whole = (
                 book.level >= book.limit.burst - UNIT_EPSILON and now - self.ready_at_for(book.limit) >= fills
--- a/roadpulley/fleet/rights/client.py
+++ b/roadpulley/fleet/rights/client.py
@@ -1,6 +1,6 @@
-"""The shell of a holder: a process that spends, beside an instance of the fleet on the same machine.
+"""Runs a holder in a process that spends, connected to the fleet instance on the same machine.
 
-Nothing here blocks. Where the instance is silent, what is held can be spent until it ends, and no more.
+No call blocks. While the instance does not respond, held rights can be spent until they expire.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from .holder import NEVER_DUE, Holder, Payment, customer_limit_name
 from .messages import AllocatorAnnouncement, Hello, RightsReply, Welcome, is_concurrency_limit
 
-MIN_TIMER_DELAY_S = 0.001  # of the timer's own rounding
+MIN_TIMER_DELAY_S = 0.001  # covers the rounding of the event loop's timers
 
 
 Done = Callable[[bool], None]
@@ -26,7 +26,10 @@
 
 @dataclass(frozen=True)
 class UnitCost:
-    """Units of one limit. `lasting`: seconds for which they may be in use, where they come back."""
+    """Units of one limit.
+
+    `use_duration_s` is the longest time that units of a concurrency limit are in use.
+    """
 
     limit: str
     units: float
@@ -35,7 +38,7 @@
 
 @dataclass(eq=False)
 class PendingSpend:
-    """One act that waits until all its needs can be paid at once, or its time is up."""
+    """A spend that waits until all its costs can be paid together, or until its timeout."""
 
     costs: tuple[UnitCost, ...]
     on_done: Callable[[bool, Ended | None], None]
@@ -43,29 +46,29 @@
 
 
 class RightsClient:
-    """What a process holds of all limits."""
+    """Spends units of limits, and requests and returns rights to them through the local instance."""
 
     def __init__(self, line: AgentLink, clock: Clock | None = None) -> None:
         self.line, self.clock = line, clock or from_environment()
-        self.holder_state: Holder | None = None  # until an instance has told the settings
+        self.holder_state: Holder | None = None  # until the instance has sent the settings
         self.pending: dict[str, list[PendingSpend]] = {}
         self.timer: asyncio.TimerHandle | None = None
-        self.timer_at = NEVER_DUE  # by our clock
-        self.spent_at = 0.0  # by our clock: the last look at it before an act
+        self.timer_at = NEVER_DUE  # by `clock`
+        self.spent_at = 0.0  # by `clock`: time of the last successful spend
         line.listeners.append(self._handle_message)
 
     def close(self) -> None:
-        """Wishes that wait are not paid; rights that are held end by themselves."""
+        """Fails all waiting spends. Held rights are not returned; they expire."""
         if self.timer is not None:
             self.timer.cancel()
         for limit in list(self.pending):
             for wish in self.pending.pop(limit):
                 self._finish(wish, False)
 
-    # ---- to spend ----
+    # ---- spending ----
 
     def try_spend(self, limit: str, units: float) -> bool:
-        """Spend so much now, if it is held."""
+        """Spends units now if the held rights cover them."""
         if self.holder_state is None:
             return False
         now = self.clock.now()
@@ -77,7 +80,7 @@
         return taken
 
     def spend(self, plan: str, customer: str, units: float, within: float, done: Done) -> None:
-        """Spend so much of a customer's limit as soon as it is held, as `wish_all` does."""
+        """Spends units of a customer's limit as soon as they are held, like `spend_all`."""
         self.spend_all(
             (UnitCost(customer_limit_name(plan, customer), units),), within, lambda paid, _: done(paid)
         )
@@ -85,10 +88,10 @@
     def spend_all(
         self, needs: tuple[UnitCost, ...], within: float, done: Callable[[bool, Ended | None], None]
     ) -> None:
-        """Pay all needs at once, as soon as that can be; none of them before.
+        """Pays all costs together as soon as that is possible, and none of them before.
 
-        `done` is called once, at once or within so many seconds: whether they are paid, and what to call when
-        the act has ended, where units come back then.
+        `done` is called once, immediately or within `within` seconds. It gets whether the costs are paid, and
+        a callback for the end of the request if units of concurrency limits are to be released then.
         """
         if self.holder_state is None:
             return done(False, None)
@@ -102,7 +105,7 @@
             wish.timer = asyncio.get_running_loop().call_later(within, self._expire, wish)
 
     def _spend_if_possible(self, now: float, wish: PendingSpend) -> str | None:
-        """Pay it, if all its needs can be; gives a limit that can't."""
+        """Pays all costs if the held rights cover them; otherwise returns a limit that lacks units."""
         machine = self.holder_state
         assert machine is not None
         lacking = [
@@ -123,9 +126,9 @@
         )
 
     def _enqueue(self, limit: str, wish: PendingSpend) -> bool:
-        """For an answer about a limit, if one may come: else it is told so at once."""
+        """Queues a spend until a reply about the limit; fails it if no request for the limit is open."""
         if not self._has_open_request(limit):
-            self._finish(wish, False)  # nobody is there to ask, or it was told to wait for longer
+            self._finish(wish, False)  # no allocator is known, or it asked for a longer delay
             return False
         self.pending.setdefault(limit, []).append(wish)
         return True
@@ -154,7 +157,7 @@
         wish.on_done(paid, ended)
 
     def _retry_pending(self, limit: str) -> None:
-        """There may be more of a limit: those that wait for it are paid in their order, or wait on."""
+        """Retries the spends that wait for a limit, in their order."""
         now = self.clock.now()
         for wish in self.pending.pop(limit, []):
             if (lacking := self._spend_if_possible(now, wish)) is not None:
@@ -171,7 +174,7 @@
                 self.holder_state = Holder(self.line.worker_id, body.partitions, body.times)
                 self.line.send(
                     Hello(self.line.worker_id)
-                )  # who serves is told again, now that it can be kept
+                )  # the instance repeats the announcements, which can be processed now
         elif self.holder_state is None:
             return
         elif isinstance(body, AllocatorAnnouncement):
@@ -187,7 +190,7 @@
 
     def _reset_timer(self) -> None:
         if self.holder_state is None or self.holder_state.next_check_at() >= self.timer_at:
-            return  # the timer comes first
+            return  # the timer fires earlier
         if self.timer is not None:
             self.timer.cancel()
         self.timer_at = self.holder_state.next_check_at()
--- a/roadpulley/fleet/rights/holder.py
+++ b/roadpulley/fleet/rights/holder.py
@@ -1,4 +1,7 @@
-"""What one process may spend: its rights, what it asks for, and what it gives up. Pure. See `terms.py`."""
+"""State machine of a holder: the rights that a process spends, requests and returns.
+
+Pure, see `messages.py`.
+"""
 
 from __future__ import annotations
 
@@ -23,23 +26,23 @@
 )
 
 NEVER_DUE = math.inf
-DEMAND_DECAY_S = 1.0  # of what is wanted: for how long a wish counts
-PREFETCH_S = 0.25  # of what is wanted: so much is held before it is needed
-REFILL_RATIO = 0.5  # of that: under this more is asked for
-SPARE_CONCURRENCY_RATIO = 0.5  # of what is in use: so much more is held of a limit on what is open at once
-MAX_RETURN_DELAY_RATIO = 0.3  # of a lease: after which a right that is used up is told of by itself
+DEMAND_DECAY_S = 1.0  # time constant of the decay of past demand
+PREFETCH_S = 0.25  # demand of this time is held in advance
+REFILL_RATIO = 0.5  # of the target; below it more units are requested
+SPARE_CONCURRENCY_RATIO = 0.5  # of the units in use of a concurrency limit, held in advance
+MAX_RETURN_DELAY_RATIO = 0.3  # of the lease; then a used-up right is reported without another request
 UNSERVED_CHECK_INTERVAL_S, MIN_CHECK_INTERVAL_S = (
     0.25,
     0.002,
-)  # between two looks at one limit at least, the first where nobody serves
-IDLE_TIMEOUT_S = 10.0  # without a wish: then a limit is forgotten
+)  # intervals of the checks of one limit
+IDLE_TIMEOUT_S = 10.0  # without demand, after which a limit is dropped
 
 
 @dataclass(slots=True)
 class HeldRight:
-    """A right that is held. By our own clock: `until` it may be spent, after `keep` it is given up.
+    """A right that this process may spend until `expires_at` and returns after `return_at`, by its own clock.
 
-    `used`: units that come back once what they were spent on has ended.
+    `units` are unspent. `units_in_use` become available again when their requests end (concurrency limits).
     """
 
     right_id: RightId
@@ -49,12 +52,12 @@
     units_in_use: float = 0.0
 
 
-Payment = list[tuple[HeldRight, float]]  # of one payment: from which rights how much
+Payment = list[tuple[HeldRight, float]]  # the rights that one spend was taken from, with the units from each
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """The ask that waits for its answer."""
+    """The request that waits for its reply, and the times at which it was first sent and is to be resent."""
 
     request: RightsRequest
     first_sent_at: MonotonicTime
@@ -64,30 +67,30 @@
 
 @dataclass(slots=True)
 class LimitHolding:
-    """Of one limit."""
+    """The rights to one limit, the demand for it and the state of its requests."""
 
     limit: str
     partition: int
     rights: list[HeldRight] = field(default_factory=list)  # the oldest first
-    returned: list[ReturnedRight] = field(default_factory=list)  # to be told
-    report_returns_at: MonotonicTime = NEVER_DUE  # at the latest; with the next ask before that
+    returned: list[ReturnedRight] = field(default_factory=list)  # to be reported with the next request
+    report_returns_at: MonotonicTime = NEVER_DUE  # at the latest; another request may report them earlier
     pending: PendingRequest | None = None
-    demand: float = 0.0  # lately: a fading sum
+    demand: float = 0.0  # units; an exponentially decaying sum of recent spends
     demand_at: MonotonicTime = 0.0
-    largest_spend: float = 0.0  # of late wishes
-    lacking_units: float = 0.0  # units of a wish that can't be paid: asked for at once
-    retry_at: MonotonicTime = 0.0  # it was told to wait
-    check_at: MonotonicTime = NEVER_DUE  # when it is looked at next
-    use_duration_s: float = 0.0  # of the wish looked at last: seconds for which its units may be in use
+    largest_spend: float = 0.0  # units; decays as well
+    lacking_units: float = 0.0  # units of a spend that the rights don't cover: requested at once
+    retry_at: MonotonicTime = 0.0  # until then the allocator asked not to be sent further requests for units
+    check_at: MonotonicTime = NEVER_DUE
+    use_duration_s: float = 0.0  # how long the units of the current spend may be in use
 
     @property
     def is_concurrency(self) -> bool:
         return is_concurrency_limit(self.limit)
 
     def spendable_units(self, now: MonotonicTime) -> float:
-        """What can be spent now.
+        """Units that can be spent now, from rights that outlast the use.
 
-        Danger: on something that outlasts its right, a unit would be in use twice.
+        A unit whose use outlasts its right would be granted to another holder while it is still in use.
         """
         return sum(lot.units for lot in self.rights if now + self.use_duration_s < lot.expires_at)
 
@@ -96,27 +99,31 @@
 
 
 class Holder:
-    """`number`: of this process, drawn by chance. `parts`: of all limits, by which allocators share them."""
+    """`number` is the random ID of this process.
+
+    The limits are split into `partitions`, each with its allocator.
+    """
 
     def __init__(self, number: int, partitions: int, times: Times) -> None:
         self.number, self.partitions, self.times = number, partitions, times
         self.holdings: dict[str, LimitHolding] = {}
-        self.fences: dict[int, int] = {}  # by part: the highest that an allocator was heard to serve under
-        self.serving_until: dict[int, MonotonicTime] = {}  # by part: for which it serves, as far as we know
+        self.fences: dict[int, int] = {}  # by partition: the highest announced fence
+        self.serving_until: dict[int, MonotonicTime] = {}  # by partition: expiry of the last announcement
         self.check_heap: list[
             tuple[MonotonicTime, str]
-        ] = []  # a heap: when to look at which; some are out of date
+        ] = []  # heap of check times and limits; may contain outdated entries
         self.request_count = 0
         self.spent_units = self.unpaid_units = self.returned_units = 0.0  # units
 
-    # ---- to spend ----
+    # ---- spending ----
 
     def try_spend(self, now: MonotonicTime, limit: str, units: float, anew: bool = True) -> bool:
-        """Spend so much, if rights are held: look at the clock and spend in one go. `ask_now` comes next.
+        """Spends units if the held rights cover them; `prepare_request` is to be called next.
 
-        `anew`: it is not a wish that has waited for an answer.
+        `anew` is False for a spend that has waited for a reply: its demand is already recorded.
 
-        Danger: between this and the act the process may be stopped. What is sent on then counts from here.
+        The process may be suspended between this call and the action that the units pay for. The action then
+        happens later, but its units count as spent at `now`.
         """
         if anew:
             self.record_demand(now, limit, units)
@@ -126,16 +133,17 @@
         return True
 
     def record_demand(self, now: MonotonicTime, limit: str, units: float) -> None:
-        """A new wish: what comes lately says how much to hold."""
+        """Adds a new spend to the demand, which determines how many units are held in advance."""
         purse = self._get_holding(now, limit)
         fade = math.exp((purse.demand_at - now) / DEMAND_DECAY_S)
         purse.demand, purse.demand_at = purse.demand * fade + units, now
         purse.largest_spend = max(units, purse.largest_spend * fade)
 
     def can_spend(self, now: MonotonicTime, limit: str, units: float, lasting: float = 0.0) -> bool:
-        """Whether rights that are held can pay; if not, `ask_now` asks for more."""
+        """Whether the held rights cover the units; if not, `prepare_request` requests more."""
         purse = self._get_holding(now, limit)
-        # Danger: of wishes that wait each has its own; by another's it could outlast the right that pays.
+        # Each spend sets its own duration. With that of another one, its use could outlast the right that
+        # pays for it.
         purse.use_duration_s = lasting if purse.is_concurrency else 0.0
         if purse.spendable_units(now) >= units - UNIT_EPSILON:
             return True
@@ -144,7 +152,7 @@
         return False
 
     def spend(self, now: MonotonicTime, limit: str, units: float) -> Payment:
-        """Spend what `can` has found just before; gives what `ended` takes back where units come back."""
+        """Spends units after `can_spend` was true for them; returns the payment for `release`."""
         purse, left, out = self._get_holding(now, limit), units, []
         self.spent_units += units
         for lot in purse.rights:
@@ -156,7 +164,7 @@
         return out
 
     def release(self, now: MonotonicTime, limit: str, paid: Payment) -> None:
-        """What units were spent on has ended: they may be spent again, while their right lasts."""
+        """The use of these units has ended: they may be spent again until their right expires."""
         for lot, units in paid:
             lot.units_in_use -= units
             lot.units += units
@@ -170,41 +178,41 @@
             )
         return found
 
-    # ---- to ask ----
+    # ---- requests ----
 
     def handle_announcement(self, now: MonotonicTime, part: int, fence: int, left: float) -> bool:
-        """An allocator says that it serves; whether it is to be asked."""
-        # Danger: one that was followed by another may say so late. It could give out nothing that counts, but
-        # asks would go to it in vain.
+        """Processes an announcement of an allocator; False if a newer allocator is known."""
+        # An announcement of an earlier allocator may arrive late. Requests would go to an allocator that can
+        # no longer grant anything.
         if fence < self.fences.get(part, 0):
             return False
         if fence > self.fences.get(part, 0):
             self.fences[part] = fence
             for purse in self._holdings_of(part):
                 purse.pending, purse.retry_at = None, 0.0
-                purse.returned.clear()  # the new one does not know these rights
+                purse.returned.clear()  # the new allocator does not know these rights
                 purse.report_returns_at = NEVER_DUE
                 self._schedule_check(now, purse)
         self.serving_until[part] = now + left
         return True
 
     def tick(self, now: MonotonicTime) -> list[RightsRequest]:
-        """Asks that are due: new ones, and those that were not answered."""
+        """Requests that are due: new ones, and resends of those without a reply."""
         out = []
         while self.check_heap and self.check_heap[0][0] <= now:
             _, limit = heapq.heappop(self.check_heap)
             purse = self.holdings.get(limit)
             if purse is None or purse.check_at > now:
-                continue  # it was looked at since, or is gone
+                continue  # it has been checked since, or dropped
             purse.check_at = NEVER_DUE
             if now - purse.demand_at >= IDLE_TIMEOUT_S and not purse.pending:
-                del self.holdings[limit]  # the allocator finds out what of it has ended
+                del self.holdings[limit]  # its rights expire at the allocator
             elif ask := self.prepare_request(now, limit):
                 out.append(ask)
         return out
 
     def prepare_request(self, now: MonotonicTime, limit: str) -> RightsRequest | None:
-        """What is to be asked of one limit: for a wish that waits, or as its time has come."""
+        """The request to send now for one limit, if any: new or resent."""
         purse = self.holdings.get(limit)
         if purse is None:
             return None
@@ -216,7 +224,7 @@
     def _build_request(self, now: MonotonicTime, purse: LimitHolding) -> RightsRequest | None:
         fence = self.fences.get(purse.partition, 0)
         if not fence or now >= self.serving_until.get(purse.partition, 0.0):
-            return None  # nobody serves, as far as we know: what was given up ends by itself
+            return None  # no allocator is known; rights that are not returned expire
         if purse.pending is not None:
             return self._retry_request(now, purse, purse.pending)
         want, least = self._compute_demand(now, purse)
@@ -237,7 +245,7 @@
         self, now: MonotonicTime, purse: LimitHolding, waiting: PendingRequest
     ) -> RightsRequest | None:
         if now >= waiting.first_sent_at + self.times.reply_timeout_s:
-            purse.pending = None  # whatever was given for it ends by itself
+            purse.pending = None  # a right granted for it expires unused
             purse.retry_at = now + self.times.answer
             return None
         if now < waiting.resend_at:
@@ -247,32 +255,35 @@
         return waiting.request
 
     def _compute_demand(self, now: MonotonicTime, purse: LimitHolding) -> tuple[float, float]:
-        """Units to ask for, and the least that is of use."""
+        """The units to request, and the minimum that is of use."""
         ahead = (
             purse.demand * math.exp((purse.demand_at - now) / DEMAND_DECAY_S) / DEMAND_DECAY_S * PREFETCH_S
         )
-        if purse.is_concurrency:  # what is in use comes back and is spent again
+        if purse.is_concurrency:  # units in use will be released and can be spent again
             ahead = min(ahead, SPARE_CONCURRENCY_RATIO * purse.count_units_in_use(now))
-        ahead = ahead if ahead >= purse.largest_spend else 0.0  # so few wishes: each is asked for as it comes
+        ahead = (
+            ahead if ahead >= purse.largest_spend else 0.0
+        )  # at low demand units are requested for each spend
         target, there = max(ahead, purse.lacking_units), purse.spendable_units(now)
         if there >= (purse.lacking_units if purse.lacking_units else target * REFILL_RATIO):
             return 0.0, 0.0
         least = max(0.0, (purse.lacking_units or purse.largest_spend) - there)
         return max(least, target - there), least
 
-    # ---- answers, and time ----
+    # ---- replies and time ----
 
     def handle_reply(self, now: MonotonicTime, given: RightsReply) -> bool:
-        """An answer; whether there is more to spend now."""
+        """Processes a reply; True if it brought units."""
         purse = self.holdings.get(given.limit)
         waiting = purse.pending if purse is not None else None
         if purse is None or waiting is None or given.request_number != waiting.request.request_number:
-            return False  # Danger: a late or repeated answer would count the same units twice
+            return False  # a late or repeated reply would add the same units twice
         purse.pending = None
         purse.lacking_units = 0.0
         if given.retry_after_ms:
             purse.retry_at = now + given.retry_after_ms / 1000
-        # Danger: an allocator that goes by a shorter lease takes a right for ended before this process does.
+        # An allocator with a shorter lease in its settings expires a right earlier than this process would by
+        # its own settings. Units would be spent that it has granted to another holder.
         holds = (
             given.holder_lease_s
             if purse.is_concurrency
@@ -286,16 +297,17 @@
         return given.units > 0
 
     def _return_rights(self, now: MonotonicTime, purse: LimitHolding) -> None:
-        """What is used up or has been held for long is given up, before that is told."""
+        """Stops spending rights that are used up or held for too long, and queues them to be returned."""
         kept = []
         for lot in purse.rights:
             if now >= lot.expires_at:
-                continue  # the allocator will find that it has ended
+                continue  # it expires at the allocator as well
             if purse.is_concurrency:
                 if lot.units > UNIT_EPSILON and now >= lot.return_at:
                     self._return_right(now, purse, lot)
                     lot.units = 0.0
-                # Danger: what is in use of it comes back here, and has to be told when it does.
+                # Units in use are released here later and have to be returned then. A right that is dropped
+                # now would never return them.
                 if lot.units > UNIT_EPSILON or lot.units_in_use > UNIT_EPSILON:
                     kept.append(lot)
                 continue
@@ -307,22 +319,22 @@
 
     def _return_right(self, now: MonotonicTime, purse: LimitHolding, lot: HeldRight) -> None:
         if lot.right_id.fence != self.fences.get(purse.partition):
-            return  # nobody is left who gave it out
+            return  # the allocator that granted it no longer serves
         self.returned_units += lot.units
         purse.returned.append(ReturnedRight(lot.right_id, lot.units))
-        # What was all spent is told with the next ask: until then the limit has a little less room.
+        # A right with no units left can wait for the next request: the limit only refills a little less.
         patience = 0.0 if lot.units > UNIT_EPSILON else MAX_RETURN_DELAY_RATIO * self.times.lease
         patience = (
             self.times.answer if purse.is_concurrency else patience
-        )  # one message for what ends together
+        )  # one message for requests that end together
         purse.report_returns_at = min(purse.report_returns_at, now + patience)
 
     def next_check_at(self) -> MonotonicTime:
-        """When `tick` may have something to do, unless a wish comes before."""
+        """The next time at which `tick` may have something to do."""
         return self.check_heap[0][0] if self.check_heap else NEVER_DUE
 
     def _schedule_check(self, now: MonotonicTime, purse: LimitHolding) -> None:
-        """Look at it when something of it is due. The work of a wish does not grow with the limits in use."""
+        """Schedules a check of a limit: the cost of a spend may not grow with the number of limits."""
         due = min(self._check_times(purse))
         if now >= self.serving_until.get(purse.partition, 0.0):
             due = max(due, now + UNSERVED_CHECK_INTERVAL_S)
@@ -339,7 +351,7 @@
             yield purse.report_returns_at
             if purse.lacking_units:
                 yield purse.retry_at
-        # Of a right that is all in use nothing is to be given up yet.
+        # A right whose units are all in use has nothing to return before it expires.
         yield from (
             lot.expires_at if purse.is_concurrency and lot.units <= UNIT_EPSILON else lot.return_at
             for lot in purse.rights
@@ -350,12 +362,15 @@
 
 
 def customer_limit_name(plan: str, customer: str) -> str:
-    """The name of a customer's own limit; keys may be long, and datagrams are short."""
+    """The name of a customer's own limit.
+
+    Long customer keys are hashed, as a request has to fit a datagram.
+    """
     if len(name := f"{plan}/{customer}") <= MAX_LIMIT_NAME_BYTES // 2:
         return name
     return f"{plan[:32]}/{hashlib.blake2b(customer.encode(), digest_size=16).hexdigest()}"
 
 
 def partition_of(limit: str, parts: int) -> int:
-    """Which allocator gives out the rights of a limit; the same at every instance and in every version."""
+    """The partition of a limit; it has to be the same at every instance and in every version."""
     return int.from_bytes(hashlib.blake2b(limit.encode(), digest_size=4).digest(), "big") % parts
--- a/roadpulley/fleet/rights/messages.py
+++ b/roadpulley/fleet/rights/messages.py
@@ -1,35 +1,39 @@
-"""What holders and the allocator of a limit say to each other, and the times that both keep.
+"""Messages between the allocator of a limit and the holders of rights, and the timing that both observe.
 
-A limit is a store of units: it holds `burst`, and `rate` a second come back. Rights to its units are given
-out by one allocator, the holder of a duty, and each right ends soon by itself.
+A limit is a token bucket: it holds up to `burst` units and refills at `rate` units a second. One allocator,
+the holder of a duty, grants rights to its units. Each right expires after a short lease.
 
 Invariant: over any time from s to t all holders together spend at most `burst + rate * (t - s)`.
 
 | role      | remembers                                     | refuses                                   |
 | --------- | --------------------------------------------- | ----------------------------------------- |
-| allocator | by limit: its level, and each right given out | all, before earlier allocators' rights    |
-|           | until it was given up or has surely ended;    | have ended; an ask again (it is answered  |
-|           | the last answer to each holder                | as before); a right given up twice, late  |
+| allocator | by limit: its level, and each granted right   | every request until the rights of earlier |
+|           | until it is returned or has expired;          | allocators have expired; a repeated       |
+|           | the last reply to each holder                 | request (it repeats the reply); a right   |
+|           |                                               | that is returned twice, after its expiry  |
 |           |                                               | or under another fence                    |
-| holder    | its rights, until when by its own clock; the  | an answer to anything but its open ask;   |
-|           | one ask that is open, and when it first asked | to spend a right that has ended or that   |
-|           |                                               | it has given up                           |
-
-A planned hand-over passes books on, so that the next allocator need not wait. It asks for them, at a by its
-clock; the one before seals them when it hears that (it gives nothing out from then on), shows them, and only
-then lets go. Who is not asked waits `clear` after its beginning, so that whatever holdings came between, they
-gave nothing out before a + `clear`. So books count for a holding that begins within `lease` of a, and for no
-other. A book that was not shown, or that was itself still waiting, is waited for as ever.
-
-Why it holds. Call what a limit holds and what is out of it level and out. A unit spent after s was out at s,
-or was given out after s. The allocator keeps `level + out <= burst` at every moment, not only when it
-looks, and only time adds to that sum: a right that is given up moves its unused units from out to level, one
-that ends moves nothing. A right counts as out from when it was given, for `lease` by the allocator's clock;
-its holder counts from when it asked, which was before, for `holds`, which is shorter by any clock within
-`drift`; the answer tells it, as the two may go by other settings. So nothing is spent that is not out. A new
-allocator knows nothing of what its forerunners gave out: that may be all of `burst`, for the longest lease in
-use (`clear`), so that its level begins to fill, from nothing, only then. That two of them never give out at
-once is the invariant of the duty (`duties/terms.py`).
+| holder    | its rights and their expiry by its own clock; | a reply to anything but its open request; |
+|           | its open request and when that was first sent | to spend a right that has expired or that |
+|           |                                               | it has returned                           |
+
+A planned handover transfers the ledgers, so that the next allocator need not wait. The successor requests
+them, at time a by its clock. The predecessor then seals its ledgers (it grants nothing from then on), sends
+snapshots of them, and only then releases the duty. An allocator without snapshots waits `clear` after its
+start, so no allocator that held the duty in between granted anything before a + `clear`. Snapshots are
+therefore valid for a successor that starts within the holder's lease of a, and for no other. A limit without
+a snapshot, or whose ledger was still in its own waiting period, is waited for as without a handover.
+
+Why it holds. For each limit the allocator tracks its level (units that it can grant) and its outstanding
+units (granted in rights that have not expired). A unit spent after s was outstanding at s, or was granted
+after s. The allocator keeps `level + outstanding <= burst` at every moment, not only when it evaluates it,
+and only time adds to that sum: a returned right moves its unused units from outstanding to level, an expired
+right moves nothing. The allocator counts a right as outstanding for `lease` from the grant, by its own clock.
+The holder counts from when it sent its request, which was earlier, and for a shorter time
+(`Times.holder_lease_s`), even if both clocks run apart by `drift`. The reply states that time, as the two may
+have different settings. So nothing is spent that is not outstanding. A new allocator does not know what its
+predecessors granted: that may be all of `burst`, for the longest lease in use (`clear`), so its level starts
+at zero and begins to refill only after that time. The duty guarantees that two allocators never grant at the
+same time (see the package `duties`).
 
 After O'Neil, "The Escrow Transactional Method" (1986); Barbara and Garcia-Molina, "The Demarcation Protocol"
 (1994); Balegas and others, "Extending Eventually Consistent Cloud Databases for Enforcing Numeric Invariants"
@@ -43,16 +47,17 @@
 
 import msgspec
 
-MAX_LIMIT_NAME_BYTES = 96  # bytes of a limit's name
-MAX_RETURNED_PER_REQUEST = 16  # rights given up with one ask
-UNIT_EPSILON = 1e-6  # what rounding may leave of a difference
-CONCURRENCY_PREFIX = "@open:"  # begins the names of limits on what is open at once
+MAX_LIMIT_NAME_BYTES = 96
+MAX_RETURNED_PER_REQUEST = 16
+UNIT_EPSILON = 1e-6  # units; smaller differences are rounding errors
+CONCURRENCY_PREFIX = "@open:"  # prefix of the names of concurrency limits
 
 
 class Limit(msgspec.Struct, frozen=True):
-    """Units; `rate` a second. `lease`: seconds, where it is not that of all. Raises ValueError.
+    """`burst` in units, `rate` in units a second. Raises ValueError.
 
-    Of a limit on what is open at once (`returns`) a unit comes back when what it was spent on has ended.
+    `lease` is in seconds; 0 means `Times.lease`. A unit of a concurrency limit (`is_concurrency_limit`)
+    becomes available again when the request that it was spent on has ended.
     """
 
     rate: float
@@ -67,22 +72,25 @@
 
 
 def is_concurrency_limit(limit: str) -> bool:
-    """Whether its units come back with the end of what they were spent on, and not with time.
+    """Whether units of this limit are released when their request ends, instead of being refilled over time.
 
-    Invariant of these: at no moment more than `burst` are in use. A right lasts longer than anything that it
-    is spent on: a holder uses a unit only for what surely ends before the right does.
+    Invariant of concurrency limits: at most `burst` units are in use at any moment. A holder spends a unit
+    only on a request whose deadline is before the expiry of the right.
     """
     return limit.startswith(CONCURRENCY_PREFIX)
 
 
 class Times(msgspec.Struct, frozen=True):
-    """Seconds, and a share for `drift`. Raises ValueError where they leave a holder no time."""
+    """Timing in seconds; `drift` and `keep` are ratios.
 
-    lease: float = 1.0  # for which the allocator takes a right for out, by its own clock
-    drift: float = 0.02  # how much faster or slower than true time any clock may run
-    answer: float = 0.05  # after which an ask is sent again
-    keep: float = 0.7  # of the time that a right may be spent: then it is given up
-    clear: float = 0.0  # that a new allocator waits: the longest lease in use by any. 0: `lease`
+    Raises ValueError if holders are left too little time.
+    """
+
+    lease: float = 1.0  # time that a right counts as outstanding, by the allocator's clock
+    drift: float = 0.02  # largest deviation of any clock's rate from true time
+    answer: float = 0.05  # timeout after which a request is first resent
+    keep: float = 0.7  # part of the holder's lease after which the rest of a right is returned
+    clear: float = 0.0  # wait of a new allocator: the longest lease in use by any. 0 means `lease`
 
     def __post_init__(self) -> None:
         if not 0 <= self.drift <= 0.25:
@@ -99,9 +107,10 @@
 
     @property
     def holder_lease_s(self) -> float:
-        """For which a holder may spend a right, from when it first asked for it, by its own clock.
+        """Time that a holder may spend a right, from its first request for it, by its own clock.
 
-        Danger: a slow holder beside a fast allocator would spend what has been given to another.
+        It is shorter than `lease` by both clock drifts. Otherwise a holder with a slow clock would still
+        spend units that an allocator with a fast clock has granted to another holder.
         """
         return self.holder_lease_for(self.lease)
 
@@ -110,24 +119,24 @@
 
     @property
     def reply_timeout_s(self) -> float:
-        """For which an answer is waited for: what comes later could hardly be spent."""
+        """Time after which a request is abandoned: too little of the lease of a later reply would be left."""
         return self.holder_lease_s / 2
 
     @property
     def return_after_s(self) -> float:
-        """After this what is left of a right is given up, as somebody else may want it."""
+        """Age at which the rest of a right is returned, as another holder may want it."""
         return self.holder_lease_s * self.keep
 
 
 class RightId(msgspec.Struct, array_like=True, frozen=True):
-    """The name of one: numbers are counted under each allocator's own fence."""
+    """Identifies a right. Numbers are counted by each allocator, under its own fence."""
 
     fence: int
     number: int
 
 
 class ReturnedRight(msgspec.Struct, array_like=True, frozen=True):
-    """A right that its holder has written off; `unused` units of it were not spent."""
+    """A right that its holder no longer spends; `unused_units` of it were not spent."""
 
     right_id: RightId
     unused_units: float
@@ -137,7 +146,7 @@
 
 
 class AllocatorAnnouncement(msgspec.Struct, tag="r-serve", array_like=True, frozen=True):
-    """I give out the rights of this part of all limits. `left_ms`: for how long, unless I say so again."""
+    """Announces the allocator of a partition of the limits. It is valid for `lifetime_ms` after receipt."""
 
     partition: int
     fence: int
@@ -145,9 +154,10 @@
 
 
 class RightsRequest(msgspec.Struct, tag="r-ask", array_like=True, frozen=True):
-    """Give me `want` units, or none under `least`. To the allocator of `fence`, with what is given up.
+    """Requests `wanted_units` of a limit, or none if fewer than `min_units` can be granted.
 
-    `holder`: one process that spends, by a number that it drew; `number`: of its asks.
+    It is addressed to the allocator under `fence`, and returns the rights in `returned`. `holder` is the
+    random ID of the process that spends; `request_number` counts its requests.
     """
 
     partition: int
@@ -161,36 +171,36 @@
 
 
 class RightsReply(msgspec.Struct, tag="r-given", array_like=True, frozen=True):
-    """The answer: units of a right, or none and when to ask again."""
+    """Reply to a `RightsRequest`: a right with its units, or no units and the delay before a retry."""
 
     holder: int
     request_number: int
     limit: str
     right_id: RightId
     units: float
-    holder_lease_s: float  # seconds from the first ask, by the holder's clock, by what the allocator goes by
+    holder_lease_s: float  # from the first request, by the holder's clock and the allocator's settings
     retry_after_ms: int = 0
 
 
-# ---- between an allocator that hands its duty over and the next ----
+# ---- handover between allocators ----
 
 
 class HandoverOffer(msgspec.Struct, tag="r-heir", array_like=True, frozen=True):
-    """I hand this part over, and you may be next: ask for my books."""
+    """The allocator of a partition offers its ledgers to its likely successor."""
 
     partition: int
     fence: int
 
 
 class HandoverRequest(msgspec.Struct, tag="r-hask", array_like=True, frozen=True):
-    """Seal your books, and show me them."""
+    """The successor asks the allocator to seal its ledgers and to send snapshots of them."""
 
     partition: int
     fence: int
 
 
 class LedgerSnapshot(msgspec.Struct, tag="r-legacy", array_like=True, frozen=True):
-    """One sealed book: what was left, and rights that are out (units, and seconds until they have ended)."""
+    """One sealed ledger. `outstanding` holds the units and the seconds to expiry of each granted right."""
 
     partition: int
     fence: int
@@ -204,17 +214,17 @@
 )
 
 
-# ---- between an instance and the processes beside it that spend ----
+# ---- between an instance and the local processes that spend ----
 
 
 class Hello(msgspec.Struct, tag="r-hello", array_like=True, frozen=True):
-    """Here is a holder. Said again and again, so that an instance that restarts learns of it."""
+    """Registers a holder. It is repeated, so that a restarted instance learns of the holder."""
 
     holder: int
 
 
 class Welcome(msgspec.Struct, tag="r-welcome", array_like=True, frozen=True):
-    """By what settings rights are asked for."""
+    """Reply to `Hello`: the settings by which a holder requests rights."""
 
     partitions: int
     times: Times
--- a/roadpulley/fleet/rights/service.py
+++ b/roadpulley/fleet/rights/service.py
@@ -1,7 +1,7 @@
-"""The shell of rights at one instance: gives out those of the parts that it holds, passes the rest on.
+"""Runs the allocators of one instance, and forwards requests for other partitions to their allocators.
 
-An instance remembers nothing for the processes beside it: a right is between a holder and an allocator. If
-the instance breaks, what is held can be spent until it ends.
+An instance keeps no state for the local holders: a right concerns a holder and an allocator only. If the
+instance fails, its local holders can spend their rights until these expire.
 """
 
 from __future__ import annotations
@@ -38,19 +38,22 @@
 from .settings import RightsSettings
 from .work import AllocatorWork
 
-ANNOUNCE_INTERVAL_S = 0.25  # between two words of an allocator that it serves
-ANNOUNCEMENT_LIFETIME_S = 1.0  # for which one word counts
+ANNOUNCE_INTERVAL_S = 0.25
+ANNOUNCEMENT_LIFETIME_S = 1.0  # validity of one announcement
 HANDOVER_RETRY_INTERVAL_S, HANDOVER_TIMEOUT_S = (
     0.05,
     0.3,
-)  # between two words to an heir; for how long it is waited for at most
-SNAPSHOT_DELIVERY_S = 0.05  # that books are left to reach it
+)  # retries of a handover offer, and the time after which it is abandoned
+SNAPSHOT_DELIVERY_S = 0.05  # time for the snapshots to arrive before the duty is released
 
 log = structlog.get_logger("roadpulley.fleet.rights")
 
 
 class RightsService:
-    """`tell` sends a body to an instance; `everybody` gives the routes to all others."""
+    """`send` sends a message to another instance; `peer_routes` returns the routes to all others.
+
+    `call_in_loop` runs a function in the event loop; it may be called from any thread.
+    """
 
     def __init__(
         self,
@@ -66,19 +69,21 @@
         self.settings, self.local_processes, self.clock, self.rng = settings, local_processes, clock, rng
         self.send, self.peer_routes, self.call_in_loop = send, peer_routes, call_in_loop
         self.allocators: dict[int, tuple[HeldDuty, Allocator]] = {}
-        self.announced: dict[int, tuple[int, Route, MonotonicTime]] = {}  # by part: fence, where, until when
+        self.announced: dict[
+            int, tuple[int, Route, MonotonicTime]
+        ] = {}  # by partition: fence, route and expiry of the announced allocator
         self.counts: Counter[str] = Counter()
         self.announce_timer: asyncio.TimerHandle | None = None
         self.handover_requests: dict[
             int, asyncio.Event
-        ] = {}  # by part that is handed over: the next one has asked
+        ] = {}  # by partition: set when the successor has requested the ledgers
         self.inherited: dict[int, InheritedLedgers] = {}
         self.limits: dict[str, Limit] = dict(settings.allocated_limits)
         for work in works.values():
             if isinstance(work, AllocatorWork):
                 work.on_start = self._on_duty_started
 
-    # ---- life ----
+    # ---- lifecycle ----
 
     def open(self) -> None:
         self._announce_periodically()
@@ -87,15 +92,15 @@
         if self.announce_timer is not None:
             self.announce_timer.cancel()
 
-    # ---- to give out ----
+    # ---- allocation ----
 
     def _on_duty_started(self, part: int, duty: HeldDuty) -> None:
-        """From the thread of the work."""
+        """Called in the thread of the duty's work."""
         self.call_in_loop(lambda: self._start_allocator(part, duty))
 
     def _start_allocator(self, part: int, duty: HeldDuty) -> None:
-        # Danger: it counts what its forerunners gave out from its own beginning, which is not before theirs
-        # ended: only who holds the duty comes here.
+        # The waiting period of the allocator starts here. Rights of earlier allocators could outlive it if
+        # one of them still granted: this runs only after the duty has been acquired.
         settings = self.settings
         now, left = self.clock.now(), self.inherited.pop(part, None)
         books = left.usable_snapshots(now, duty.fence, settings.times) if left is not None else {}
@@ -104,10 +109,13 @@
         log.info("gives out rights", part=part, fence=duty.fence, books=len(books))
         self._announce()
 
-    # ---- to hand over ----
+    # ---- handover ----
 
     async def hand_over(self, part: int, heir: Route) -> None:
-        """Pass the books on, before the duty is let go of. Where the next one is silent, it waits as ever."""
+        """Transfers the ledgers before the duty is released.
+
+        If the successor does not respond, it waits as after a failure.
+        """
         _, allocator = self.allocators.get(part, (None, None))
         if allocator is None or self.active_allocator(part) is not allocator:
             return
@@ -127,7 +135,8 @@
     def _handle_handover_offer(self, route: Route, heir: HandoverOffer) -> None:
         left = self.inherited.get(heir.partition)
         if left is None or left.fence < heir.fence:
-            # Danger: books count from when they were first asked for, whichever ask had them sealed.
+            # Snapshots are valid from the first request on, as that one may have sealed the ledgers. A later
+            # time would accept them after another allocator has granted their units.
             self.inherited[heir.partition] = InheritedLedgers(heir.fence, self.clock.now())
         elif left.fence > heir.fence:
             return
@@ -151,13 +160,13 @@
             left.add(self.clock.now(), legacy)
 
     def set_order_limits(self, limits: Mapping[str, Limit]) -> None:
-        """Operators have other limits now, beside those of the settings."""
+        """Applies the limits of operators' orders, in addition to those of the settings."""
         self.limits = {**self.settings.allocated_limits, **limits}
         for _, allocator in self.allocators.values():
             allocator.set_limits(self.clock.now(), self.limits)
 
     def active_allocator(self, part: int) -> Allocator | None:
-        """Of a part that this instance gives out, now."""
+        """The allocator of a partition, while this instance holds its duty."""
         duty, allocator = self.allocators.get(part, (None, None))
         if duty is None:
             return None
@@ -189,10 +198,10 @@
                     self.send(route, serving)
                 self.local_processes.send_to_all(serving)
 
-    # ---- between instances ----
+    # ---- messages between instances ----
 
     def handle_peer_message(self, route: Route, body: Body) -> None:
-        """A body of another instance."""
+        """Processes a message of another instance."""
         if isinstance(body, AllocatorAnnouncement):
             self._handle_announcement(route, body)
         elif isinstance(body, RightsReply):
@@ -215,10 +224,10 @@
         self.announced[serving.partition] = serving.fence, route, now + serving.lifetime_ms / 1000
         self.local_processes.send_to_all(serving)
 
-    # ---- the processes beside ----
+    # ---- local processes ----
 
     def handle_local_message(self, body: FromHolder) -> None:
-        """From a process beside this instance."""
+        """Processes a message of a local holder: replies, or forwards it to the allocator."""
         if isinstance(body, Hello):
             return self._welcome(body.holder)
         if len(body.limit.encode()) > MAX_LIMIT_NAME_BYTES:
@@ -245,10 +254,10 @@
                     holder, AllocatorAnnouncement(part, fence, int((until - now) * 1000))
                 )
 
-    # ---- people ----
+    # ---- reporting ----
 
     def report(self) -> dict[str, Any]:
-        """What this instance gives out, and who else does, as far as it knows."""
+        """The limits that this instance allocates, and the known allocators of all partitions."""
         now, rows, parts = self.clock.now(), [], []
         for part in range(self.settings.partitions):
             allocator = self.active_allocator(part)
--- a/roadpulley/fleet/rights/settings.py
+++ b/roadpulley/fleet/rights/settings.py
@@ -1,4 +1,4 @@
-"""`[rights]` of `fleet.toml`: which limits hold over all gateways together, and how long a right lasts."""
+"""Reads `[rights]` of `fleet.toml`: limits over all gateways together, and the timing of rights."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 @dataclass(frozen=True)
 class RightsSettings:
-    """`limits` by name of a plan: each of its customers has one, `PLAN/CUSTOMER`."""
+    """`limits` are by plan; each customer of a plan has its own limit, `PLAN/CUSTOMER`."""
 
     partitions: int
-    ceiling_ratio: float  # the part of hard ceilings that is spent by rights; the rest is split evenly
+    ceiling_ratio: float  # part of the hard ceilings that is spent by rights; the rest is split evenly
     times: Times
     limits: Mapping[str, Limit]
 
     @property
     def allocated_limits(self) -> dict[str, Limit]:
-        """What an allocator has of each limit; the rest every gateway has a part of without asking."""
+        """The part of each limit that allocators grant. The gateways split the rest without requesting it."""
         part = self.ceiling_ratio
         return {name: Limit(part * one.rate, part * one.burst) for name, one in self.limits.items()}
 
--- a/roadpulley/fleet/verdicts/__init__.py
+++ b/roadpulley/fleet/verdicts/__init__.py
@@ -1,1 +1,1 @@
-"""What instances find out of backends, told to all of them, with evidence, an age and an end."""
+"""Outlier detection over all gateways: health reports of backends, and the verdicts that follow from them."""
--- a/roadpulley/fleet/verdicts/client.py
+++ b/roadpulley/fleet/verdicts/client.py
@@ -1,4 +1,4 @@
-"""Verdicts at a gateway's process: what it sees is told beside it, what holds is given to its module."""
+"""Verdicts in a gateway process: reports its observations, and passes verdicts to its decision module."""
 
 from __future__ import annotations
 
@@ -14,12 +14,15 @@
 from .evidence import FAILURES, BackendObservations
 from .messages import ObservationBatch, VerdictSnapshot
 
-MIN_REPORT_INTERVAL_S = 0.02  # between two words, where something fails
-MAX_MISSED_SNAPSHOTS = 4.0  # words missed after which no verdict holds any more
+MIN_REPORT_INTERVAL_S = 0.02  # minimum interval of reports on failures
+MAX_MISSED_SNAPSHOTS = 4.0  # report intervals without a snapshot, after which the verdicts are dropped
 
 
 class VerdictClient:
-    """See `core.driver.AttemptObserver`. `report_interval_s`: seconds between two reports."""
+    """Implements `core.driver.AttemptObserver`.
+
+    It reports every `report_interval_s`, and earlier on failures.
+    """
 
     def __init__(
         self, line: AgentLink, driver: Driver, report_interval_s: float, clock: Clock | None = None
@@ -27,8 +30,8 @@
         self.line, self.driver, self.report_interval_s = line, driver, report_interval_s
         self.clock = clock or from_environment()
         self.evidence = BackendObservations()
-        self.reported_at = 0.0  # by our clock
-        self.snapshot_at = 0.0  # by our clock; 0: nothing holds
+        self.reported_at = 0.0  # by `clock`
+        self.snapshot_at = 0.0  # by `clock`; 0 if there are no verdicts
         line.listeners.append(self._handle_message)
         self.task = asyncio.get_running_loop().create_task(self._run())
 
@@ -54,7 +57,7 @@
             await asyncio.sleep(self.report_interval_s)
             now = self.clock.now()
             self._report(now)
-            # Danger: an instance that is gone would leave its last verdicts here for good.
+            # The last verdicts of an instance that has failed would otherwise apply here forever.
             if self.snapshot_at and now - self.snapshot_at > MAX_MISSED_SNAPSHOTS * self.report_interval_s:
                 self._apply_verdicts({})
 
--- a/roadpulley/fleet/verdicts/evidence.py
+++ b/roadpulley/fleet/verdicts/evidence.py
@@ -1,4 +1,4 @@
-"""What one process sees of backends: tries and failures of the last moments. Pure."""
+"""Recent tries and failures of backends, as one process observes them. Pure."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 
 from .messages import MAX_ROWS, ObservationRow
 
-WINDOW_S = 1.5  # memory of tries and failures
-CARRY_RATIO = 0.6  # of what came before, at each try: a backend that begins to fail served until then
-MIN_TRIES = 0.2  # tries: under this it was not observation lately
-# Danger: a full queue is load, and a request that its client or this gateway called off says nothing.
+WINDOW_S = 1.5  # time constant of the decay of tries and failures
+CARRY_RATIO = 0.6  # of the past that each try leaves: a failing backend served until it began to fail
+MIN_TRIES = 0.2  # decayed tries, below which an observation is dropped
+# Other outcomes don't count: a full queue is a sign of load, and a request that its client or this gateway
+# cancelled says nothing about the backend. Counted as failures, they would condemn a healthy backend.
 FAILURES = {Outcome.FAILED, Outcome.RESET, Outcome.CONNECT, Outcome.TIMED_OUT}
 
 
@@ -23,7 +24,7 @@
     tries: float
     failures: float
     tried_at: MonotonicTime
-    failure_run: float = 0.0  # consecutive failures up to now
+    failure_run: float = 0.0  # consecutive failures up to the last try
 
     def fade(self, now: MonotonicTime) -> float:
         return math.exp((self.tried_at - now) / WINDOW_S)
@@ -46,7 +47,7 @@
         known.tried_at = now
 
     def rows(self, now: MonotonicTime) -> list[ObservationRow]:
-        """Of what was observation lately, the ones that fail most first."""
+        """Recent observations, those with the most failures first."""
         found = []
         for backend, observation in list(self.observations.items()):
             fade = observation.fade(now)
--- a/roadpulley/fleet/verdicts/messages.py
+++ b/roadpulley/fleet/verdicts/messages.py
@@ -1,23 +1,25 @@
-"""What instances tell each other of backends.
-
-A report is what one instance (its name and boot: an observer) saw of one backend lately. Only the observer
-makes its reports, each with a higher version than the one before; everybody else keeps the highest that it
-was told. So merging is commutative, associative and idempotent, and an older report does nothing.
-
-| who      | remembers                                    | refuses                                         |
-| -------- | -------------------------------------------- | ----------------------------------------------- |
-| observer | what it saw in the last moments, by its      | to report at all, while most of what it uses    |
-|          | workers; its last version                    | seems to fail: then the fault is likely its own |
-| instance | the reports of all, with when they came; for | a report of a version that is not above the one |
-|          | a while also those that have ended           | known; one whose time was over when it came     |
-| gateway  | the verdicts told last, with their age       | one of an earlier start of a backend; one from  |
-|          |                                              | before its own last answer; any that was not    |
-|          |                                              | told again within `told_s`                      |
-
-Staleness: a report counts for `life` from when its evidence was seen, by the wall clocks of observer and
-reader, and for no longer than `life` from when it came, by the reader's own; so nobody acts on one that is
-older than `life` and the skew of the two clocks. Safety does not rest on it: a verdict makes a backend dear,
-and verdicts never take more than a stated share of them.
+"""Messages about the health of backends, between instances and to their gateway processes.
+
+A report is what one instance (an observer, identified by name and boot) has recently observed of one backend.
+Only the observer creates its reports, each with a higher version than the one before; all others keep the
+highest version. So merging is commutative, associative and idempotent, and an older report has no effect.
+
+| role     | remembers                                  | refuses                                           |
+| -------- | ------------------------------------------ | ------------------------------------------------- |
+| observer | the recent observations of its workers;    | to report failures while most backends that it    |
+|          | its last version                           | uses seem to fail: the fault is likely its own    |
+| instance | the reports of all, with their time of     | a report whose version is not above the known     |
+|          | receipt, for a while also expired ones     | one; a report that had expired when it arrived    |
+| gateway  | the last snapshot of verdicts, with their  | a verdict on an earlier process of a backend; one |
+|          | age                                        | older than its own last response from the         |
+|          |                                            | backend; all, if no snapshot arrives for some     |
+|          |                                            | report intervals                                  |
+
+Staleness: a report counts for its lifetime (`VerdictSettings.report_lifetime_s`) from its last observation,
+by the wall clocks of observer and reader, and no longer than its lifetime from its receipt, by the reader's
+monotonic clock. So no instance acts on a report older than its lifetime plus the skew of the two clocks.
+Safety does not depend on that: a verdict only makes a backend less preferred, and verdicts never affect more
+than a set ratio of the backends.
 """
 
 from __future__ import annotations
@@ -28,18 +30,18 @@
 
 from roadpulley.fleet.duties.terms import ProcessId
 
-MAX_REPORTS_PER_BATCH = 12  # reports in one datagram's body
-MAX_ROWS = 64  # backends that one process tells of, the ones that fail most first
+MAX_REPORTS_PER_BATCH = 12  # so that a batch fits into a datagram
+MAX_ROWS = 64  # backends in one report of a process, those with the most failures first
 
 
 class HealthReport(msgspec.Struct, array_like=True, frozen=True):
-    """Tries and failures in the observer's window; `seen_ms`: wall clock of the last of them.
+    """Decayed tries and failures of one observer; `seen_ms` is the wall clock time of the last try.
 
-    `run`: consecutive failures up to the last try; 0 if that was served, or its observer does not tell.
+    `failure_run`: consecutive failures up to the last try; 0 if that succeeded or an older version sent this.
     """
 
     backend: int
-    started: float  # of the backend's process: reports on an earlier one say nothing
+    started: float  # start of the backend's process; reports on an earlier one don't count
     version: int
     tries: float
     failures: float
@@ -48,7 +50,7 @@
 
 
 class HealthReportBatch(msgspec.Struct, tag="v-claims", array_like=True, frozen=True):
-    """Of one observer, from itself."""
+    """Reports of one observer, sent by itself."""
 
     owner: ProcessId
     reports: tuple[HealthReport, ...]
@@ -57,7 +59,7 @@
 Body: TypeAlias = HealthReportBatch
 
 
-# ---- between an instance and the processes beside it ----
+# ---- between an instance and its local processes ----
 
 
 class ObservationRow(msgspec.Struct, array_like=True, frozen=True):
@@ -66,11 +68,11 @@
     tries: float
     failures: float
     age_ms: int  # of the last try
-    failure_run: float = 0.0  # consecutive failures up to it
+    failure_run: float = 0.0  # consecutive failures up to the last try
 
 
 class ObservationBatch(msgspec.Struct, tag="v-saw", array_like=True, frozen=True):
-    """What a gateway's process saw lately. `ready`: backends that it knows to be there."""
+    """The recent observations of a gateway process. `ready` is the number of backends that are ready."""
 
     holder: int
     ready: int
@@ -78,7 +80,7 @@
 
 
 class Verdict(msgspec.Struct, array_like=True, frozen=True):
-    """`level`: how likely it fails, 0 to 1."""
+    """A verdict on one backend; `level` is the likelihood that it fails, from 0 to 1."""
 
     backend: int
     started: float
@@ -87,6 +89,6 @@
 
 
 class VerdictSnapshot(msgspec.Struct, tag="v-told", array_like=True, frozen=True):
-    """All verdicts that hold now; told again and again, as none is kept without."""
+    """All current verdicts. It is sent repeatedly, as gateways drop verdicts without it."""
 
     verdicts: tuple[Verdict, ...]
--- a/roadpulley/fleet/verdicts/service.py
+++ b/roadpulley/fleet/verdicts/service.py
@@ -1,4 +1,4 @@
-"""The shell of verdicts at one instance: what its gateway sees goes to all, what all say goes to it."""
+"""Exchanges health reports with other instances and sends verdicts to the local gateway processes."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 from .messages import Body, ObservationBatch, ObservationRow, Verdict, VerdictSnapshot
 from .state_machine import HealthReportTable, VerdictSettings
 
-MIN_JUDGE_INTERVAL_S = 0.03  # after news: doubled each time, up to the usual interval
-OBSERVATION_LIFETIME_S = 1.0  # for which what a process said counts
-MAX_AGES = 4_096  # of verdicts as they were told here, the latest
+MIN_JUDGE_INTERVAL_S = 0.03  # after new failures; doubles each time, up to the report interval
+OBSERVATION_LIFETIME_S = 1.0  # of the observations of a local process
+MAX_AGES = 4_096  # the latest ages of sent verdicts
 
 log = structlog.get_logger("roadpulley.fleet.verdicts")
 
@@ -38,7 +38,7 @@
 
 
 def merge_observations(one: ObservationRow, other: ObservationRow) -> ObservationRow:
-    """What two processes of one instance saw of one backend; the run is of who tried it last."""
+    """Merges the observations of two processes; the later try decides whether the run continues."""
     last, before = (one, other) if one.age_ms <= other.age_ms else (other, one)
     run = last.failure_run + before.failure_run if last.failure_run else 0.0
     tries, failures = one.tries + other.tries, one.failures + other.failures
@@ -63,16 +63,18 @@
         )
         self.send, self.peer_routes = send, peer_routes
         self.table = HealthReportTable(identity, settings)
-        self.observations: dict[int, tuple[MonotonicTime, ObservationBatch]] = {}  # by process beside
+        self.observations: dict[
+            int, tuple[MonotonicTime, ObservationBatch]
+        ] = {}  # by local process: time of receipt and observations
         self.verdicts: list[Verdict] = []
         self.age_samples_ms: deque[int] = deque(maxlen=MAX_AGES)
-        self.foreign_reports = 0  # reports in another's name
+        self.foreign_reports = 0  # count of batches sent in the name of another observer
         self.ticked_at: MonotonicTime = 0.0
         self.judge_interval_s = MIN_JUDGE_INTERVAL_S
         self.judge_timer: asyncio.TimerHandle | None = None
         self.task: asyncio.Task[None] | None = None
 
-    # ---- life ----
+    # ---- lifecycle ----
 
     def open(self) -> None:
         self.task = asyncio.get_running_loop().create_task(self._run())
@@ -90,9 +92,9 @@
             await asyncio.sleep(self.settings.report_interval_s)
 
     def _schedule_tick(self) -> None:
-        """Look at once, if the last look is not just over: a failing backend is met again every moment."""
+        """Runs the next tick early, as requests reach a failing backend all the time."""
         if self.judge_timer is None:
-            # Danger: where many backends fail at once, words at each failure would be a storm to all others.
+            # If many backends fail at once, a report on each failure would flood all other instances.
             wait = max(0.0, self.ticked_at + self.judge_interval_s - self.clock.now())
             self.judge_interval_s = min(self.settings.report_interval_s, 2 * self.judge_interval_s)
             self.judge_timer = asyncio.get_running_loop().call_later(wait, self._tick)
@@ -115,7 +117,7 @@
             self.local_processes.send_to_all(VerdictSnapshot(tuple(self.verdicts)))
 
     def _merge_observations(self, now: MonotonicTime) -> tuple[int, Iterable[ObservationRow]]:
-        """What the processes beside saw, together."""
+        """Merges the observations of the local processes."""
         self.observations = {
             holder: (at, saw)
             for holder, (at, saw) in self.observations.items()
@@ -142,7 +144,7 @@
 
     def handle_peer_message(self, who: ProcessId, body: Body) -> None:
         if body.owner != who:
-            # Danger: what one says of another's evidence could outlive it, or be made up.
+            # Reports in the name of another observer could outlive that observer's own, or be forged.
             self.foreign_reports += 1
             return
         self.table.merge_remote(self.clock.now(), wall_ms(), body)
@@ -155,7 +157,7 @@
         if total_failures(saw) > (total_failures(before) if before is not None else 0.0):
             self._schedule_tick()
 
-    # ---- people ----
+    # ---- reporting ----
 
     def report(self) -> dict[str, Any]:
         now, wall = self.clock.now(), wall_ms()
--- a/roadpulley/fleet/verdicts/state_machine.py
+++ b/roadpulley/fleet/verdicts/state_machine.py
@@ -1,8 +1,8 @@
 """Health reports of all observers and the verdicts that follow. Pure: time and reports in, verdicts out.
 
-Known rules weighed: Envoy's outlier ejection (a share that is never exceeded, a panic threshold), phi accrual
-(levels, not yes or no), Prequal's probes (few requests go on to a suspected backend and bring it back). See
-docs/design/verdicts.md.
+It follows Envoy's outlier ejection (a maximum ratio of backends, a panic threshold), phi accrual (levels
+instead of a binary decision) and Prequal's probes (a suspected backend still gets a few requests, which
+restore it). See docs/design/verdicts.md.
 """
 
 from __future__ import annotations
@@ -15,34 +15,36 @@
 
 from .messages import MAX_REPORTS_PER_BATCH, HealthReport, HealthReportBatch, ObservationRow, Verdict
 
-MAX_TRIES_PER_OBSERVER = 6.0  # tries of one observer that count: none outweighs all others
-PRIOR_TRIES = 1.0  # tries without a failure that each backend is granted
-ENTER_RATIO = 0.5  # of the tries failed: a verdict begins
-LEAVE_RATIO = 0.25  # of the tries failed: it ends
-FAILING_RATIO = 0.5  # of the tries of one observer, where its last one was served: it has found it failing
-MIN_FAILURES_ALONE = 2.5  # failures that one observer alone needs, where there are two
-MAX_OWN_FAILING_RATIO = 0.5  # of what an observer uses: more that seems to fail is likely its own fault
-MIN_OWN_BACKENDS = 3  # backends that it has to have met, for that to be told
-SERVED_BEFORE_MARGIN_MS = 200.0  # an answer so long before a failure of others says nothing any more
-PANIC_RATIO = 0.5  # of all backends: more that seem to fail are none
-RETENTION_LIFETIMES = 10.0  # times the life, for which an ended report is kept against older ones
-MAX_REPORTS = 20_000  # reports; beyond that none of new backends is taken up
+MAX_TRIES_PER_OBSERVER = 6.0  # so that no observer outweighs all others
+PRIOR_TRIES = 1.0  # successful tries that every backend starts with
+ENTER_RATIO = 0.5  # of failed tries, at which a verdict begins
+LEAVE_RATIO = 0.25  # of failed tries, below which a verdict ends
+FAILING_RATIO = 0.5  # of failed tries: an observer finds a backend failing though its last try succeeded
+MIN_FAILURES_ALONE = 2.5  # failures for a verdict by a single observer, if there are at most two
+MAX_OWN_FAILING_RATIO = (
+    0.5  # of the backends an observer uses; if more seem to fail, the fault is likely its own
+)
+MIN_OWN_BACKENDS = 3  # backends that an observer must use for that check
+SERVED_BEFORE_MARGIN_MS = 200.0  # a success this long before a failure of other observers is ignored
+PANIC_RATIO = 0.5  # of all backends; if more seem to fail, there are no verdicts
+RETENTION_LIFETIMES = 10.0  # report lifetimes for which a report is kept, so that no older one replaces it
+MAX_REPORTS = 20_000  # at this number, reports of further backends are rejected
 
 
 def is_failing(evidence: HealthReport | ObservationRow) -> bool:
-    """Whether one observer's evidence is of a backend that fails.
+    """Whether one observer finds a backend failing.
 
-    A failure that nothing has followed is enough. Danger: an observer keeps off a backend from its first
-    failure on, so that a second one, which would outweigh what was served before, may never come.
+    A failure as its last try is enough. An observer avoids a backend from its first failure on, so a second
+    failure, which would outweigh the earlier successes, may never occur.
     """
     return evidence.failure_run > 0 or evidence.failures >= FAILING_RATIO * evidence.tries
 
 
 def capped_counts(report: HealthReport) -> tuple[float, float]:
-    """The tries and failures of a report that say something of the backend as it is now.
+    """The tries and failures of a report that are relevant to the current state of the backend.
 
-    Of one that has begun to fail, those since then: like what others were served before, what this observer
-    was served before says nothing any more.
+    If the backend has begun to fail, only those since then count: earlier successes of this observer are as
+    outdated as those of other observers. The tries are limited to `MAX_TRIES_PER_OBSERVER`.
     """
     tries, failures = report.tries, report.failures
     if report.failure_run > 0:
@@ -53,7 +55,7 @@
 
 @dataclass(frozen=True)
 class VerdictSettings:
-    """Seconds. `share`: of the backends, that verdicts take at most."""
+    """Timing in seconds. `max_share` is the maximum ratio of the backends with a verdict."""
 
     report_interval_s: float = 0.25
     report_lifetime_s: float = 3.0
@@ -68,7 +70,7 @@
 
 @dataclass
 class HealthReportTable:
-    """All reports that are known, by observer and backend."""
+    """All known reports, by observer and backend."""
 
     identity: ProcessId
     settings: VerdictSettings
@@ -76,18 +78,20 @@
     reports_by_observer: dict[ProcessId, dict[int, StoredReport]] = field(default_factory=dict)
     own_rows: dict[int, ObservationRow] = field(
         default_factory=dict
-    )  # own evidence, as it was last told here
+    )  # latest observations of the local processes, by backend
     ready: int = 0
-    active_levels: dict[int, float] = field(default_factory=dict)  # verdicts of the last look, by backend
+    active_levels: dict[int, float] = field(
+        default_factory=dict
+    )  # levels of the current verdicts, by backend
     report_count: int = 0
     rejected_count: int = 0
 
-    # ---- own evidence ----
+    # ---- local observations ----
 
     def record_local(
         self, now: MonotonicTime, wall_ms: int, ready: int, rows: Iterable[ObservationRow]
     ) -> list[HealthReportBatch]:
-        """What the processes beside saw lately; gives what to tell all others."""
+        """Stores the local observations; returns the batches to send to all other instances."""
         self.ready, self.own_rows = ready, {row.backend: row for row in rows}
         disputed = {
             b
@@ -98,8 +102,8 @@
         failing = {b for b, row in self.own_rows.items() if is_failing(row)}
         told = {b: self.own_rows[b] for b in sorted(failing | (disputed & set(self.own_rows)))}
         if self.is_self_suspect():
-            # Danger: a gateway with a broken card finds all backends failing, and would take them from all
-            # others. It takes back what it has said.
+            # A gateway with a broken network interface finds all backends failing, and would make all others
+            # avoid them. It withdraws its earlier reports by reports without tries.
             mine = self.reports_by_observer.get(self.identity, {}).values()
             told = {
                 k.report.backend: ObservationRow(k.report.backend, k.report.started, 0.0, 0.0, 0)
@@ -122,7 +126,7 @@
         ]
 
     def is_self_suspect(self) -> bool:
-        """Whether most of what is met from here fails, so that the fault is likely here."""
+        """Whether most backends that this instance uses seem to fail, so that the fault is likely its own."""
         failing = sum(is_failing(row) for row in self.own_rows.values())
         return len(self.own_rows) >= MIN_OWN_BACKENDS and failing > MAX_OWN_FAILING_RATIO * len(self.own_rows)
 
@@ -149,7 +153,7 @@
         known[report.backend] = StoredReport(report, now)
 
     def expire(self, now: MonotonicTime) -> None:
-        """What has ended so long ago that nothing older can come any more."""
+        """Drops reports that are so old that no older ones can arrive any more."""
         for owner, reports in list(self.reports_by_observer.items()):
             for backend, kept in list(reports.items()):
                 if now - kept.received_at > RETENTION_LIFETIMES * self.settings.report_lifetime_s:
@@ -165,23 +169,24 @@
                 if now - kept.received_at < life and wall_ms - kept.report.seen_ms < 1000 * life:
                     yield owner, kept.report
 
-    # ---- to judge ----
+    # ---- verdicts ----
 
     def judge(self, now: MonotonicTime, wall_ms: int, instances: int) -> list[Verdict]:
-        """What holds now, for a fleet of so many instances that are seen."""
+        """The current verdicts, for a fleet of `instances` live instances."""
         by_backend: dict[int, list[HealthReport]] = {}
         for _, report in self.iter_fresh(now, wall_ms):
             by_backend.setdefault(report.backend, []).append(report)
         found = []
         for backend, reports in by_backend.items():
-            # Danger: reports on an earlier process at this address say nothing of the one that is there now.
+            # Reports on an earlier process at this address don't apply to the current one. They would
+            # condemn a backend that has been restarted.
             started = max(report.started for report in reports)
             of_it = [report for report in reports if report.started == started]
             verdict = self._judge_backend(wall_ms, backend, started, of_it, instances)
             if verdict is not None:
                 found.append(verdict)
         found.sort(key=lambda v: (-v.level, v.backend))
-        # Danger: verdicts that took most of the capacity would do more harm than the backends.
+        # Verdicts on most of the capacity would do more harm than the failing backends.
         if len(found) > PANIC_RATIO * self.ready:
             found = []
         found = found[: max(1, int(self.settings.max_share * self.ready))]
@@ -197,13 +202,14 @@
         for report in reports:
             failing = is_failing(report)
             if report.seen_ms < seen - SERVED_BEFORE_MARGIN_MS and not failing:
-                continue  # it was served before it began to fail, and has not met it since
+                continue  # its last success was before the failures began, and it has not tried since
             more_tries, more_failures = capped_counts(report)
             tries, failures = tries + more_tries, failures + more_failures
             agree += failing
         level = failures / (tries + PRIOR_TRIES)
         least = LEAVE_RATIO if backend in self.active_levels else ENTER_RATIO
-        # Danger: one observer alone may have a fault of its own. It is enough where there is no third to ask.
+        # A single observer may have a fault of its own. Its reports are sufficient only if there is no third
+        # instance.
         enough = agree >= 2 or (agree == 1 and instances <= 2 and failures >= MIN_FAILURES_ALONE)
         if level < least or not (enough or (agree and backend in self.active_levels)):
             return None
