--- a/roadpulley/fleet/__init__.py
+++ b/roadpulley/fleet/__init__.py
@@ -1,1 +1,4 @@
-"""Several instances as one: who is there, and who does what only one may do. Off in `run`."""
+"""Cooperation of several instances: membership, leases on singleton tasks, shared limits and orders.
+
+`roadpulley run` works without it.
+"""
--- a/roadpulley/fleet/agent.py
+++ b/roadpulley/fleet/agent.py
@@ -376,7 +376,7 @@
             if self._is_awaited_voter(who.name, address):
                 self.reconfiguration.handle_response(who.name, body)
         elif isinstance(body, Prepare | Accept | Release):
-            if body.ballot.who != who:
+            if body.ballot.process != who:
                 return DropReason.UNKNOWN_SENDER
             if answer := self.duties.handle_voter_request(body):
                 self.endpoint.send(address, who.boot, answer)
--- a/roadpulley/fleet/duties/__init__.py
+++ b/roadpulley/fleet/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duties that one instance holds at a time: leases by a majority of the voters, fences at all they touch."""
+"""Duties: singleton tasks under leases of a majority of voters, with fencing tokens."""
--- a/roadpulley/fleet/duties/candidate.py
+++ b/roadpulley/fleet/duties/candidate.py
@@ -1,15 +1,16 @@
-"""One duty at one instance that may hold it. Pure: answers and the time come in, actions go out.
-
-| state     | what it waits for                 | then                                                     |
-| --------- | --------------------------------- | -------------------------------------------------------- |
-| idle      | `due`; never, if it is not wanted | preparing                                                |
-| preparing | promises of a majority            | accepting                                                |
-| accepting | a majority's grants for one ask   | claiming: it is held, and not acted on yet               |
-| claiming  | the registers that it touches     | holding; idle where the fence is too low, or out of time |
-| holding   | told to finish, or out of time    | idle                                                     |
-
-Claiming and holding ask anew every third of the time that they may hold. Each ask is counted by itself: only
-grants of one ask, by a majority, from when it was made, give more time.
+"""A candidate for one duty: it acquires, renews and releases the lease. Pure: events in, actions out.
+
+| state     | waits for                                  | next state                                        |
+| --------- | ------------------------------------------ | ------------------------------------------------- |
+| idle      | `due_at`; never, if the duty isn't wanted  | preparing                                         |
+| preparing | promises of a majority                     | accepting                                         |
+| accepting | a majority's grants for one accept request | claiming: the duty is held, but not acted on yet  |
+| claiming  | claims of the fence at all registers       | holding; idle if the fence is too low, or expired |
+| holding   | a release, or the expiry                   | idle                                              |
+
+In the states claiming and holding the lease is renewed every third of `hold_duration`. Grants are counted for
+each accept request separately: only a majority's grants for one request extend the holding, and they extend
+it from when that request was sent.
 """
 
 from __future__ import annotations
@@ -37,16 +38,16 @@
 )
 
 NO_DEADLINE = float("inf")
-# Backoff after a failed try: the upper bound doubles with each try, and the wait is drawn at random below it.
+# Bounds of the random backoff after a failed attempt; its upper limit doubles with each attempt in a row.
 MIN_BACKOFF_S = 0.04
 MAX_BACKOFF_S = 1.0
-MAX_JITTER_S = 0.02  # of a try whose time is known
-MAX_PENDING_ACCEPTS = (
-    64  # of which the answers are still awaited; older ones than a holding lasts are worth nothing
-)
+MAX_JITTER_S = 0.02  # added to an attempt at a known time, so that candidates do not collide
+MAX_PENDING_ACCEPTS = 64  # accept requests whose grants are still counted
 
 
 class State(Enum):
+    """State of a candidate; the values are shown to operators."""
+
     IDLE = "idle"
     PREPARING = "preparing"
     ACCEPTING = "accepting"
@@ -56,13 +57,15 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
+    """Send the message to this voter."""
+
     voter: str
     message: VoterRequest
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimRegisters:
-    """Have every register take this fence up; then call `claimed`, `too_low` or `finish`."""
+    """Claim the fence at all registers; then call `handle_claimed`, `handle_low_fence` or `release`."""
 
     duty: str
     fence: int
@@ -70,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldingStarted:
-    """It may be acted on, while `until` is ahead."""
+    """The work may act on the duty, until the holding expires or ends."""
 
     duty: str
     fence: int
@@ -78,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldingRenewed:
-    """It may be acted on until then, by this process's own clock."""
+    """The holding expires at `until`, by this process's own clock."""
 
     duty: str
     fence: int
@@ -87,11 +90,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HoldingEnded:
-    """It may not be acted on any more. `why` for people."""
+    """The work must not act on the duty any more. `reason` is for operators."""
 
     duty: str
     fence: int
-    why: str
+    reason: str
 
 
 Action = SendMessage | ClaimRegisters | HoldingStarted | HoldingRenewed | HoldingEnded
@@ -99,6 +102,8 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingAccept:
+    """An accept request to all voters, and the voters that granted it."""
+
     number: int
     sent_at: MonotonicTime
     granted_by: frozenset[str] = frozenset()
@@ -106,7 +111,10 @@
 
 @dataclass
 class Candidate:
-    """`chance` gives numbers from 0 to 1; `voters` are the names of `roll`'s voters."""
+    """The candidate state machine of one duty in one process.
+
+    `voters`: names of the voters of the configuration `config_id`; `random` returns numbers from 0 to 1.
+    """
 
     duty: str
     process: ProcessId
@@ -115,55 +123,64 @@
     random: Callable[[], float]
     config_id: tuple[int, int] = (0, 0)
     state: State = State.IDLE
-    due_at: MonotonicTime = NO_DEADLINE  # idle: when to try; else: when to ask again
+    due_at: MonotonicTime = NO_DEADLINE  # idle: time of the next attempt; otherwise: time of the next request
     ballot: Ballot = NO_BALLOT
-    highest_round: int = 0  # the highest round that was heard of
-    held_until: MonotonicTime = 0.0  # when this holding ends
-    held_since: MonotonicTime = 0.0  # when it began
+    highest_round: int = 0  # the highest round that is known to be in use
+    held_until: MonotonicTime = 0.0  # when this holding expires
+    held_since: MonotonicTime = 0.0  # when a majority first granted this holding
     promised_by: frozenset[str] = frozenset()
-    rejected_by: frozenset[str] = frozenset()  # voters that refused this ballot
+    rejected_by: frozenset[str] = frozenset()  # voters that rejected this ballot
     pending_accepts: tuple[PendingAccept, ...] = ()
     last_request_number: int = 0
-    failed_tries: int = 0  # in a row that were crossed
-    priority_delay_s: float = 0.0  # seconds that better candidates are left to try first
-    known_holder: ProcessId = NO_PROCESS  # as a voter told last
-    retry_delay_ms: int = 0  # the longest that a voter told for this ballot
-    claim_deadline: MonotonicTime = NO_DEADLINE  # claiming: when its registers count as out of reach
+    failed_tries: int = 0  # consecutive attempts that failed
+    priority_delay_s: float = 0.0  # gives candidates of a higher rank the first attempt
+    known_holder: ProcessId = NO_PROCESS  # the holder that a voter reported last
+    retry_delay_ms: int = 0  # the longest one that a voter gave for this ballot
+    claim_deadline: MonotonicTime = NO_DEADLINE  # claiming: when the registers count as unreachable
 
-    # ---- questions ----
+    # ---- queries ----
 
     def is_held(self, now: MonotonicTime) -> bool:
-        """Whether it may be acted on. Danger: it is the fence that makes an act safe, not this."""
+        """Whether the work may act now.
+
+        The process may pause after this check and act late: only the fence makes an act safe.
+        """
         return self.state is State.HOLDING and now < self.held_until
 
     def next_tick_at(self) -> MonotonicTime:
+        """When `tick` is due next."""
         if self.state in (State.CLAIMING, State.HOLDING):
             return min(self.due_at, self.held_until, self.claim_deadline)
         return self.due_at
 
     @property
     def majority(self) -> int:
+        """The number of voters that are a majority."""
         return len(self.voters) // 2 + 1
 
     # ---- events ----
 
     def schedule_try(self, now: MonotonicTime, delay_s: float) -> None:
-        """Try after so many seconds, also in later tries; sooner if one was due sooner."""
+        """Schedules an attempt in `delay_s` seconds, unless one is due earlier.
+
+        Later attempts are delayed by as much.
+        """
         self.priority_delay_s = delay_s
         if self.state is State.IDLE:
             self.due_at = min(self.due_at, now + delay_s + self.random() * MAX_JITTER_S)
 
     def observe_round(self, fence: int) -> None:
-        """So high a number was used."""
+        """Notes that a fence is in use, so that the next ballot has a higher round."""
         self.highest_round = max(self.highest_round, min(fence, MAX_ROUND - 1))
 
     def stop_trying(self) -> None:
-        """Try no more; what is held stays held."""
+        """Makes no further attempt; a current holding or attempt goes on."""
         if self.state is State.IDLE:
             self.due_at = NO_DEADLINE
 
     def tick(self, now: MonotonicTime) -> list[Action]:
-        out: list[Action] = []
+        """Handles expiry, timeouts, and attempts and renewals that are due."""
+        actions: list[Action] = []
         if self.state in (State.CLAIMING, State.HOLDING) and now >= self.held_until:
             return self._end_holding(now, "its time ran out before a majority renewed it", False)
         if self.state is State.CLAIMING and now >= self.claim_deadline:
@@ -171,81 +188,81 @@
                 now, f"its registers were not reached within {self.times.claim:g} s", True
             )
         if now < self.due_at:
-            return out
+            return actions
         if self.state is State.IDLE:
-            self._start_prepare(now, out)
+            self._start_prepare(now, actions)
         elif self.state is State.PREPARING or self.state is State.ACCEPTING:
-            self._back_off(now, out)
+            self._back_off(now, actions)
         else:
-            self._send_accepts(now, out)
-        return out
+            self._send_accepts(now, actions)
+        return actions
 
-    def handle_response(self, now: MonotonicTime, voter: str, answer: VoterResponse) -> list[Action]:
-        """An answer of one of the voters, known to be that one's."""
-        if answer.duty != self.duty or voter not in self.voters:
+    def handle_response(self, now: MonotonicTime, voter: str, response: VoterResponse) -> list[Action]:
+        """Handles a response whose sender was verified to be this voter."""
+        if response.duty != self.duty or voter not in self.voters:
             return []
-        if isinstance(answer, LeaseRejection):
-            self.observe_round(answer.round)
-        # Danger: an answer to an earlier ballot, counted for this one, would be a vote that nobody gave.
-        if answer.ballot != self.ballot:
+        if isinstance(response, LeaseRejection):
+            self.observe_round(response.round)
+        # A late response to an earlier ballot must not count as a vote for this one.
+        if response.ballot != self.ballot:
             return []
-        out: list[Action] = []
-        if isinstance(answer, Promise) and self.state is State.PREPARING:
+        actions: list[Action] = []
+        if isinstance(response, Promise) and self.state is State.PREPARING:
             self.promised_by |= {voter}
             if len(self.promised_by) >= self.majority:
                 self.state = State.ACCEPTING
-                self._send_accepts(now, out)
+                self._send_accepts(now, actions)
                 self.due_at = now + self.times.answer
-        elif isinstance(answer, LeaseGrant) and self.state not in (State.IDLE, State.PREPARING):
-            self._handle_grant(now, voter, answer.request_number, out)
-        elif isinstance(answer, LeaseRejection) and self.state in (State.PREPARING, State.ACCEPTING):
-            self._handle_rejection(now, voter, answer, out)
-        return out
+        elif isinstance(response, LeaseGrant) and self.state not in (State.IDLE, State.PREPARING):
+            self._handle_grant(now, voter, response.request_number, actions)
+        elif isinstance(response, LeaseRejection) and self.state in (State.PREPARING, State.ACCEPTING):
+            self._handle_rejection(now, voter, response, actions)
+        return actions
 
     def handle_claimed(self, now: MonotonicTime, fence: int) -> list[Action]:
-        """All registers have taken it up."""
+        """Handles that all registers have accepted the fence: the work may begin."""
         if self.state is not State.CLAIMING or fence != self.ballot.round or now >= self.held_until:
             return []
         self.state, self.claim_deadline, self.failed_tries = State.HOLDING, NO_DEADLINE, 0
         return [HoldingStarted(self.duty, fence)]
 
     def handle_low_fence(self, now: MonotonicTime, fence: int, highest: int) -> list[Action]:
-        """A register has seen a higher one: after all voters lost their memory, or a clock stepped back."""
+        """Handles a rejected claim: the voters had lost their state, or a clock had stepped back."""
         if self.state not in (State.CLAIMING, State.HOLDING) or fence != self.ballot.round:
             return []
         self.observe_round(highest)
-        out = self._end_holding(
+        actions = self._end_holding(
             now, f"fence {fence} is not above {highest}, which was taken up before", False
         )
-        self.due_at = now  # at once, with a higher one
-        return out
+        self.due_at = now  # retries at once, with a higher fence
+        return actions
 
-    def release(self, now: MonotonicTime, why: str, failed: bool = False) -> list[Action]:
-        """Let go of it, if it is held; `failed`: nobody should hurry to take it."""
+    def release(self, now: MonotonicTime, reason: str, failed: bool = False) -> list[Action]:
+        """Releases the duty, if it is held; `failed`: voters impose a cooldown."""
         if self.state in (State.CLAIMING, State.HOLDING):
-            return self._end_holding(now, why, failed)
+            return self._end_holding(now, reason, failed)
         return []
 
     def set_voters(
         self, now: MonotonicTime, config_id: tuple[int, int], voters: frozenset[str]
     ) -> list[Action]:
-        """Other voters from now on. What is held is kept for what it was granted, and renewed by them."""
+        """Uses another voter configuration. A holding keeps its granted time, and the new voters renew it."""
         if config_id <= self.config_id:
             return []
         self.config_id, self.voters, self.pending_accepts = config_id, voters, ()
         self.promised_by &= voters
         if self.state in (State.PREPARING, State.ACCEPTING):
-            out: list[Action] = []
-            self._back_off(now, out)
-            return out
+            actions: list[Action] = []
+            self._back_off(now, actions)
+            return actions
         if self.state is not State.IDLE:
             self.due_at = now
             return self.tick(now)
         return []
 
-    # ---- inside ----
+    # ---- private ----
 
-    def _start_prepare(self, now: MonotonicTime, out: list[Action]) -> None:
+    def _start_prepare(self, now: MonotonicTime, actions: list[Action]) -> None:
         self.state, self.promised_by, self.rejected_by, self.pending_accepts = (
             State.PREPARING,
             frozenset(),
@@ -255,12 +272,15 @@
         self.highest_round = max(self.highest_round, self.ballot.round) + 1
         self.ballot, self.retry_delay_ms = Ballot(self.highest_round, self.process), 0
         self.due_at = now + self.times.answer
-        out += [SendMessage(v, Prepare(self.duty, self.ballot, self.config_id)) for v in sorted(self.voters)]
+        actions += [
+            SendMessage(v, Prepare(self.duty, self.ballot, self.config_id)) for v in sorted(self.voters)
+        ]
 
-    def _send_accepts(self, now: MonotonicTime, out: list[Action]) -> None:
+    def _send_accepts(self, now: MonotonicTime, actions: list[Action]) -> None:
         self.last_request_number += 1
-        # Danger: time counts from here. Counted from the answers, a slow one would have it held too long.
-        # Danger: forgotten sooner, a link that is slower than a few asks would lose what it could hold.
+        # The holding is counted from the time of sending. Counted from the response, a slow response would
+        # extend it beyond the grants. Requests stay pending for the whole hold duration: on a link whose
+        # round trip is longer than a few requests, dropping them earlier would lose the holding.
         unexpired = [a for a in self.pending_accepts if now < a.sent_at + self.times.hold_duration]
         self.pending_accepts = (
             *unexpired[-MAX_PENDING_ACCEPTS + 1 :],
@@ -276,9 +296,9 @@
             int(self.times.lease * 1000),
             held,
         )
-        out += [SendMessage(v, message) for v in sorted(self.voters)]
+        actions += [SendMessage(v, message) for v in sorted(self.voters)]
 
-    def _handle_grant(self, now: MonotonicTime, voter: str, number: int, out: list[Action]) -> None:
+    def _handle_grant(self, now: MonotonicTime, voter: str, number: int, actions: list[Action]) -> None:
         accept = next((a for a in self.pending_accepts if a.number == number), None)
         if accept is None:
             return
@@ -288,7 +308,7 @@
             return
         until = accept.sent_at + self.times.hold_duration
         if now >= until:
-            return  # too late to be worth anything
+            return  # the grants arrived after their expiry
         self.held_until = max(self.held_until, until) if self.state is not State.ACCEPTING else until
         self.due_at = max(
             self.due_at, accept.sent_at + self.times.renewal_interval * (0.9 + 0.2 * self.random())
@@ -297,29 +317,29 @@
         if self.state is State.ACCEPTING:
             self.state, self.held_since, self.known_holder = State.CLAIMING, now, self.process
             self.claim_deadline = now + self.times.claim
-            out.append(ClaimRegisters(self.duty, self.ballot.round))
-        out.append(HoldingRenewed(self.duty, self.ballot.round, self.held_until))
+            actions.append(ClaimRegisters(self.duty, self.ballot.round))
+        actions.append(HoldingRenewed(self.duty, self.ballot.round, self.held_until))
 
     def _handle_rejection(
-        self, now: MonotonicTime, voter: str, answer: LeaseRejection, out: list[Action]
+        self, now: MonotonicTime, voter: str, response: LeaseRejection, actions: list[Action]
     ) -> None:
         self.rejected_by |= {voter}
-        self.retry_delay_ms = max(self.retry_delay_ms, answer.retry_after_ms)
-        if answer.holder != NO_PROCESS:
-            self.known_holder = answer.holder
+        self.retry_delay_ms = max(self.retry_delay_ms, response.retry_after_ms)
+        if response.holder != NO_PROCESS:
+            self.known_holder = response.holder
         if len(self.voters) - len(self.rejected_by) >= self.majority:
-            return  # the others may still be enough
+            return  # the remaining voters may still be a majority
         if self.retry_delay_ms <= self.times.answer * 1000 / 2:
-            return self._back_off(now, out)
-        self._release_partial_grants(out)
+            return self._back_off(now, actions)
+        self._release_partial_grants(actions)
         self.state = State.IDLE
         self.due_at = now + min(self.retry_delay_ms / 1000, self.times.lease * 2) + self.priority_delay_s
         self.due_at += self.random() * MAX_JITTER_S
         return None
 
-    def _back_off(self, now: MonotonicTime, out: list[Action]) -> None:
-        """Others were in the way, or nobody answered: again, after a wait by chance."""
-        self._release_partial_grants(out)
+    def _back_off(self, now: MonotonicTime, actions: list[Action]) -> None:
+        """Ends an attempt that conflicted or timed out; the next one follows after a random backoff."""
+        self._release_partial_grants(actions)
         max_backoff = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2.0 ** min(self.failed_tries, 10))
         self.failed_tries += 1
         self.state, self.due_at = (
@@ -327,15 +347,16 @@
             now + self.priority_delay_s + max_backoff * (0.25 + 0.75 * self.random()),
         )
 
-    def _release_partial_grants(self, out: list[Action]) -> None:
-        """Give back what single voters may have granted, so that it blocks nobody."""
+    def _release_partial_grants(self, actions: list[Action]) -> None:
+        """Releases the grants of a minority, so that they do not block other candidates."""
         if self.state is State.ACCEPTING:
-            out += [SendMessage(v, Release(self.duty, self.ballot, False)) for v in sorted(self.voters)]
+            actions += [SendMessage(v, Release(self.duty, self.ballot, False)) for v in sorted(self.voters)]
 
-    def _end_holding(self, now: MonotonicTime, why: str, failed: bool) -> list[Action]:
+    def _end_holding(self, now: MonotonicTime, reason: str, failed: bool) -> list[Action]:
         fence, self.state, self.claim_deadline = self.ballot.round, State.IDLE, NO_DEADLINE
         self.held_until, self.pending_accepts, self.known_holder = 0.0, (), NO_PROCESS
         self.due_at = NO_DEADLINE
-        # Danger: first it ends here, then the voters hear of it; the other way round two could hold it.
+        # The holding ends here before the voters are notified. In the other order two processes could hold
+        # the duty.
         releases = [SendMessage(v, Release(self.duty, self.ballot, failed)) for v in sorted(self.voters)]
-        return [HoldingEnded(self.duty, fence, why), *releases]
+        return [HoldingEnded(self.duty, fence, reason), *releases]
--- a/roadpulley/fleet/duties/reconfiguration.py
+++ b/roadpulley/fleet/duties/reconfiguration.py
@@ -1,5 +1,7 @@
-"""The shell of changes to the voters: what this instance goes by, and the change that it makes, if it
-does."""
+"""Runs changes of the voter configuration: this instance's own state, and a change that it makes.
+
+The decisions are in `voter_config.py`.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +34,7 @@
 
 log = structlog.get_logger("roadpulley.fleet.voters")
 
-LOOK_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 
 class VoterConfigFile:
@@ -45,28 +47,28 @@
         self.path = folder / f"{name}.roll" if folder is not None else None
         self.state = VoterConfigState(
             initial_config(dict.fromkeys(voters, ""))
-        )  # where they are, the settings say
+        )  # addresses are in the settings
         if self.path is not None and self.path.exists():
             try:
                 raw = json.loads(self.path.read_bytes())
-                both = [{str(k): str(v) for k, v in raw[key].items()} for key in ("voters", "before")]
-                config = VoterConfig(VoterConfigId(*map(int, raw["id"])), *both)
+                voter_maps = [{str(k): str(v) for k, v in raw[key].items()} for key in ("voters", "before")]
+                config = VoterConfig(VoterConfigId(*map(int, raw["id"])), *voter_maps)
                 self.state = VoterConfigState(config, int(raw["promised"]))
             except (OSError, ValueError, KeyError, TypeError, AttributeError) as error:
-                right = "bring it back, or remove it where the settings name today's voters"
-                raise ValidationError(str(self.path), f"can't be read ({error})", right) from error
+                hint = "bring it back, or remove it where the settings name today's voters"
+                raise ValidationError(str(self.path), f"can't be read ({error})", hint) from error
 
     def adopt(self, state: VoterConfigState) -> bool:
-        """From now on, once it is on disk; gives whether it is.
+        """Uses this state once it is on disk; returns whether it is.
 
-        Danger: what is told to others and not kept can be broken after a restart; what is kept half, as a
-        roll that is named and not voted by, would let two generations be granted at once.
+        A promise that was sent but not stored could be broken after a restart. A configuration that was
+        reported but not used for voting would let two generations grant leases at once.
         """
         if state is not self.state and self.path is not None:
             try:
                 self._write(self.path, state)
             except OSError as error:
-                log.error("the voters cannot be remembered", path=str(self.path), why=str(error))
+                log.error("the voter configuration cannot be stored", path=str(self.path), why=str(error))
                 return False
         self.state = state
         return True
@@ -81,12 +83,17 @@
 
 @dataclass
 class ChangeRequest:
+    """An operator's request: voters to add, by name with their addresses, or the name of one to remove."""
+
     add: dict[str, str]
     remove: str
 
 
 class Reconfiguration:
-    """`send` takes a voter's name, its address and a body; `taken` is called with each new roll."""
+    """The voter configuration at one instance, and the change that it makes while it holds the duty.
+
+    `send` takes a voter's name, its address and a body. `on_config_change` gets each new configuration.
+    """
 
     def __init__(
         self,
@@ -109,15 +116,20 @@
 
     @property
     def config(self) -> VoterConfig:
+        """The configuration that this instance uses."""
         return self.config_file.state.config
 
     # ---- datagrams ----
 
     def handle_query(self, query: VoterConfigQuery) -> VoterConfig | None:
-        """None: nothing is said, as what would be promised could not be kept."""
+        """Promises and reports the configuration;
+
+        None, without a response, if the promise can't be stored.
+        """
         return self.config if self.config_file.adopt(self.config_file.state.after_query(query)) else None
 
     def handle_config(self, config: VoterConfig) -> VoterConfigAck:
+        """Uses a newer configuration; acknowledges the one that is in use then."""
         before = self.config
         if self.config_file.adopt(self.config_file.state.after_config(config)) and self.config is not before:
             log.info(
@@ -127,7 +139,7 @@
         return VoterConfigAck(self.config.id)
 
     def handle_response(self, voter: str, body: VoterConfig | VoterConfigAck) -> None:
-        """What a voter answers to the change that is under way here."""
+        """Handles a voter's response to the change that is in progress here."""
         if self.change is None:
             return
         now = self.clock.now()
@@ -140,6 +152,7 @@
     # ---- one change ----
 
     def start_change(self, fence: int) -> None:
+        """Starts the requested change under the fence of the holding."""
         request = self.request
         if request is not None:
             self.change = VoterChange(
@@ -148,6 +161,7 @@
             self.tick()
 
     def tick(self) -> None:
+        """Sends what the change has to send now, and ends it if it is done."""
         change = self.change
         if change is None:
             return
@@ -158,6 +172,7 @@
             self.finish_change(change.step is ChangeStep.DONE, change.reason)
 
     def finish_change(self, done: bool, reason: str) -> None:
+        """Ends the change and its request, and keeps the result for `status`."""
         change, self.change, self.request = self.change, None, None
         voters = change.config.voters if change is not None and done else self.config.voters
         self.result = {"step": "done" if done else "failed", "why": reason, "voters": dict(voters)}
@@ -166,6 +181,7 @@
             self.handle_config(change.config)
 
     def status(self) -> dict[str, Any]:
+        """The change in progress, or the result of the last one, for operators."""
         if self.change is not None:
             return {
                 "step": self.change.step.value,
@@ -176,34 +192,38 @@
 
 
 class ReconfigurationWork:
-    """The work of the duty: to see one change through. It touches the voters, which go by the fence."""
+    """The work of the duty: completes one change. Its registers are the voters, which check the fence."""
 
-    def __init__(self, reconfiguration: Reconfiguration, soon: Callable[[Callable[[], None]], None]) -> None:
-        self.reconfiguration, self.soon = reconfiguration, soon
+    def __init__(
+        self, reconfiguration: Reconfiguration, call_soon: Callable[[Callable[[], None]], None]
+    ) -> None:
+        self.reconfiguration, self.call_soon = reconfiguration, call_soon
         self.name = VOTERS_DUTY
 
     def claim(self, fence: int, owner: str) -> int | None:
+        """Claims nothing: the change itself makes the voters promise this fence."""
         return None
 
     def act(self, duty: HeldDuty) -> float | None:
-        over = threading.Event()
+        """Runs the change to its end; raises WorkCompleted then."""
+        finished = threading.Event()
 
-        begun = False
+        started = False
 
-        def look() -> None:
-            nonlocal begun
-            if not begun:
-                # Danger: what an earlier holding had begun was promised under a lower fence.
-                begun, self.reconfiguration.change = True, None
+        def advance() -> None:
+            nonlocal started
+            if not started:
+                # A change of an earlier holding used a lower fence, which voters may reject now.
+                started, self.reconfiguration.change = True, None
             if self.reconfiguration.change is None and self.reconfiguration.request is not None:
                 self.reconfiguration.start_change(duty.fence)
             self.reconfiguration.tick()
             if self.reconfiguration.request is None:
-                over.set()
-
-        while duty.is_still_held() and not over.is_set():
-            self.soon(look)
-            over.wait(LOOK_S)
-        if over.is_set():
-            raise WorkCompleted("the voters are changed, or stay as they are")
-        return LOOK_S
+                finished.set()
+
+        while duty.is_still_held() and not finished.is_set():
+            self.call_soon(advance)
+            finished.wait(POLL_INTERVAL_S)
+        if finished.is_set():
+            raise WorkCompleted("the change of the voters has ended")
+        return POLL_INTERVAL_S
--- a/roadpulley/fleet/duties/terms.py
+++ b/roadpulley/fleet/duties/terms.py
@@ -1,21 +1,22 @@
-"""What voters and candidates say to each other about duties, and the times that all of them keep.
+"""The lease protocol of duties: its messages and its times.
 
 Invariant: at any moment at most one process believes, by its own clock, that it holds a duty.
 
-| role      | remembers                                   | refuses                                    |
-| --------- | ------------------------------------------- | ------------------------------------------ |
-| voter     | by duty: the highest ballot promised; the   | a grant while another's runs; a ballot     |
-|           | one grant that runs, until when by its own  | below its promise; all, before it may      |
-|           | clock; when it may speak                    | speak                                      |
-| candidate | its ballot; each ask under it, when it was  | answers of another ballot, of an ask that  |
-|           | asked and who granted it                    | it does not know, of one from outside      |
-| register  | highest fence taken up where a duty acts    | a fence that is not above it               |
-
-Why it holds. A holder believes at t because a majority granted one ask, made at a <= t by its clock, and
-t < a + `holds`. Each of these voters granted after a and keeps that grant for `lease` by its own clock, which
-is longer than `holds` by any clock within `drift`. Two majorities share a voter, and a voter never has two
-grants that run; one that lost its memory keeps silent for `silence`, after which whatever it granted is over.
-No ballot is needed for that: ballots keep candidates from blocking each other, and number the holdings.
+| role      | state                                        | rejects                                     |
+| --------- | -------------------------------------------- | ------------------------------------------- |
+| voter     | by duty: the highest promised ballot, and    | a grant while a grant to another process is |
+|           | the active grant with its expiry by the      | active; a ballot below the promised one;    |
+|           | voter's clock; when the voter may vote       | everything before it may vote               |
+| candidate | its ballot; each accept request under it,    | responses to another ballot, to an unknown  |
+|           | when it was sent and which voters granted it | request, or from a process that has no vote |
+| register  | the highest fence that was claimed           | a fence that is not above it                |
+
+Proof. A holder believes at time t that it holds the duty because a majority granted one accept request, which
+it sent at a <= t by its own clock, and t < a + `hold_duration`. Each of these voters granted after a, and
+keeps the grant for `lease` by its own clock. This is longer than `hold_duration` by any clock within `drift`.
+Two majorities share a voter, and a voter never has two active grants. A voter that lost its state doesn't
+vote for `silence`, and all its earlier grants have expired by then. This proof needs no ballots: they keep
+candidates from blocking each other, and they number the holdings.
 
 After Lamport, "The part-time parliament"; Trencseni, Gazso, Reinhardt, "PaxosLease: Diskless Paxos for
 Leases" (2012). See docs/design/fleet-duties.md for what differs, and why.
@@ -27,22 +28,25 @@
 
 import msgspec
 
-MonotonicTime: TypeAlias = float  # seconds of a process's own monotonic clock: how long may I. Never sent.
-MAX_ROUND = 2**53  # a sink may read fences as JSON numbers
+MonotonicTime: TypeAlias = float  # seconds of a process's own monotonic clock; never sent to another process
+MAX_ROUND = 2**53  # rounds become fences, and a sink may parse fences as JSON numbers
 
 
 class ProcessId(NamedTuple):
-    """One process. Another process of the same name, after a restart or in an upgrade, has another boot."""
+    """Identity of a process.
+
+    After a restart or in an upgrade, a process keeps its name and gets a new boot.
+    """
 
     name: str
     boot: int
 
 
 class Ballot(NamedTuple):
-    """Of one try to take a duty. `round` becomes the fence of the holding."""
+    """Number of one attempt to acquire a duty. `round` becomes the fence of the holding."""
 
     round: int
-    who: ProcessId
+    process: ProcessId
 
 
 NO_PROCESS = ProcessId("", 0)
@@ -50,15 +54,18 @@
 
 
 class LeaseTimes(msgspec.Struct, frozen=True):
-    """Seconds, and a share for `drift`. Raises ValueError where they don't leave a holder any time."""
+    """Times of the lease protocol in seconds; `drift` is a ratio.
+
+    Raises ValueError where they leave a holder no time.
+    """
 
-    lease: float = 4.0  # for which a voter keeps a grant, by its own clock
-    silence: float = 0.0  # of a voter that lost its memory; the longest lease of any version. 0: `lease`
-    drift: float = 0.02  # how much faster or slower than true time any clock may run
-    margin: float = 0.2  # before any other may begin, by which a holder has stopped
-    answer: float = 0.25  # for which an answer is waited for before it is asked again
-    claim: float = 5.0  # for which registers may take to be reached; renewals go on meanwhile
-    steady: float = 10.0  # after which a holding that ends is no failure
+    lease: float = 4.0  # how long a voter keeps a grant, by its own clock
+    silence: float = 0.0  # how long a voter without state doesn't vote: the longest lease in use. 0: `lease`
+    drift: float = 0.02  # the largest deviation of any clock's rate from true time
+    margin: float = 0.2  # a holder stops this long before another process may begin
+    answer: float = 0.25  # timeout of a request, after which it is sent again
+    claim: float = 5.0  # timeout for claiming all registers; the lease is renewed meanwhile
+    steady: float = 10.0  # a holding that lasted longer resets the count of failures
 
     def __post_init__(self) -> None:
         if not 0 <= self.drift <= 0.25:
@@ -71,74 +78,79 @@
             )
         if self.answer <= 0 or self.margin < 0:
             raise ValueError("answer and margin are seconds; give an answer above 0 and a margin from 0")
-        least = (self.margin + 3 * self.answer) * (1 + self.drift) / (1 - self.drift)
-        if self.lease < least:
-            right = f"with this drift, margin and answer it takes {least:.2f} or more"
-            raise ValueError(f"lease is {self.lease:g}; {right}")
+        min_lease = (self.margin + 3 * self.answer) * (1 + self.drift) / (1 - self.drift)
+        if self.lease < min_lease:
+            hint = f"with this drift, margin and answer it takes {min_lease:.2f} or more"
+            raise ValueError(f"lease is {self.lease:g}; {hint}")
 
     @property
     def hold_duration(self) -> float:
-        """For which a holder may act, from when it asked, by its own clock.
+        """Seconds by its own clock that a holder may act, counted from when it sent the accept request.
 
-        Danger: a slow holder and a fast voter run apart by twice the drift. Without both factors the holder
-        would go on while another begins.
+        The clocks of a slow holder and a fast voter diverge by twice the drift. Without both factors the
+        holder would still act when another process begins.
         """
         return self.lease * (1 - self.drift) / (1 + self.drift) - self.margin
 
     @property
     def renewal_interval(self) -> float:
-        """After an ask that was granted, the next is made. Two thirds are left for those that get lost."""
+        """Seconds from a granted request to the next one.
+
+        Two thirds of the holding remain for lost requests.
+        """
         return self.hold_duration / 3
 
 
-# ---- messages: from a candidate to one voter ----
+# ---- messages from a candidate to a voter ----
 
 
 class Prepare(msgspec.Struct, tag="prep", array_like=True, frozen=True):
-    """May I take this duty under this ballot? Changes nothing for who holds it."""
+    """Asks for a promise for this ballot. It doesn't affect the current holder."""
 
     duty: str
     ballot: Ballot
-    config_id: tuple[int, int]  # the id of the roll whose voters the candidate counts
+    config_id: tuple[int, int]  # of the voter configuration in which the candidate counts a majority
 
 
 class Accept(msgspec.Struct, tag="acc", array_like=True, frozen=True):
-    """Grant it to me for a lease. Also the renewal: the same ballot, another ask."""
+    """Asks for a lease. A renewal has the same ballot and another request number."""
 
     duty: str
     ballot: Ballot
     request_number: int
     config_id: tuple[int, int]
     lease_ms: int
-    is_renewal: bool  # it is held under this ballot: by a majority that may have been without this voter
+    is_renewal: bool  # the sender holds the duty under this ballot, perhaps without this voter's grant
 
 
 class Release(msgspec.Struct, tag="rel", array_like=True, frozen=True):
-    """I hold it no more. `failed`: its work could not be done here, the next one should not hurry."""
+    """Ends a holding or an attempt. `failed`: the work failed, so a cooldown precedes the next holding."""
 
     duty: str
     ballot: Ballot
     failed: bool
 
 
-# ---- messages: back ----
+# ---- messages from a voter to a candidate ----
 
 
 class Promise(msgspec.Struct, tag="prom", array_like=True, frozen=True):
-    """Nobody holds it as far as I know, and I take no lower ballot."""
+    """The voter has no active grant to another process, and accepts no lower ballot from now on."""
 
     duty: str
     ballot: Ballot
 
 
 class LeaseGrant(msgspec.Struct, tag="ok", array_like=True, frozen=True):
+    """The voter granted the lease that this accept request asked for."""
+
     duty: str
     ballot: Ballot
     request_number: int
 
 
 class LeaseRejection(msgspec.Struct, tag="no", array_like=True, frozen=True):
-    """`round`: the highest that this voter knows of; `left_ms`: until it might say yes."""
+    """`retry_after_ms`: when the voter may grant at the earliest; `round`: the highest one that it knows."""
 
     duty: str
     ballot: Ballot
--- a/roadpulley/fleet/duties/voter_config.py
+++ b/roadpulley/fleet/duties/voter_config.py
@@ -1,19 +1,19 @@
-"""Who votes, as numbered rolls: one voter is added or taken away at a time, by the holder of one duty.
-
-Invariant: at any moment at most two generations can be granted anything, and any majority of the one shares a
-voter with any majority of the other.
-
-| what            | rule                                                                               |
-| --------------- | ---------------------------------------------------------------------------------- |
-| a roll's id     | generation, then the fence of the holding that made it: the higher one counts      |
-| the next one    | has one voter more or less, so that majorities of both meet                        |
-| a voter         | votes for who counts by exactly its own roll; keeps what it granted before         |
-| a voter that is | takes no roll of a lower fence any more: what a holder that stood still sends late |
-| read by a change| is refused, also by those who have not heard of the new roll yet                   |
-| a new voter     | keeps silent first, as one that lost its memory                                    |
-| before a change | majorities of the last roll and of the one before it go by the last, so that the   |
-|                 | one before can be granted nothing any more; then the longest lease passes, after   |
-|                 | which nothing of it is held                                                        |
+"""Numbered voter configurations: the holder of one duty adds or removes one voter at a time.
+
+Invariant: at any moment leases can be granted in at most two generations, and any majority of one generation
+shares a voter with any majority of the other.
+
+| subject           | rule                                                                             |
+| ----------------- | -------------------------------------------------------------------------------- |
+| configuration id  | generation, then the fence of the holding that made it; the higher id wins       |
+| next generation   | has one voter more or fewer, so that majorities of both intersect                |
+| voter             | grants requests of exactly its own configuration; keeps its earlier grants       |
+| voter that a      | accepts no configuration of a lower fence from then on, so that a paused holder  |
+| change has read   | can't apply its change late                                                      |
+| new voter         | doesn't vote for `silence` at first, like a voter that lost its state            |
+| before a change   | majorities of the last configuration and of the one before it use the last one,  |
+|                   | so that the one before can grant nothing any more; then the longest lease passes |
+|                   | so that nothing that it granted is held                                          |
 
 After Ongaro, "Consensus: bridging theory and practice" (2014), section 4.1: single-server changes, and its
 erratum of 2015 (a change only once one of the same term is settled): here every change is of a new fence.
@@ -30,44 +30,47 @@
 
 from .terms import MAX_ROUND, LeaseTimes, MonotonicTime
 
-VOTERS_DUTY = "fleet.voters"  # of changing them; no duty of the settings has a dot first, or this name
+VOTERS_DUTY = "fleet.voters"  # the duty of changing the voters; settings can't name a duty `fleet.*`
 
 
 class VoterConfigId(NamedTuple):
+    """Orders configurations: by generation, then by the fence of the holding that made them."""
+
     generation: int
     fence: int
 
 
-INITIAL_CONFIG_ID = VoterConfigId(0, 0)  # of the settings
-MAX_VOTERS = 9  # a roll with the one before it has to fit into a datagram
+INITIAL_CONFIG_ID = VoterConfigId(0, 0)  # of the configuration in the settings file
+MAX_VOTERS = 9  # a configuration and the one before it have to fit into a datagram
 
 
 class VoterConfig(msgspec.Struct, tag="roll", array_like=True, frozen=True):
-    """Voters by name, with their addresses; empty: where the settings of each instance have that name."""
+    """Voters by name, with their addresses. Where one is empty, each instance takes it from its settings."""
 
     id: VoterConfigId
     voters: dict[str, str]
-    before: dict[str, str]  # the voters of the generation before
+    before: dict[str, str]  # the voters of the previous generation
 
 
 class VoterConfigQuery(msgspec.Struct, tag="rask", array_like=True, frozen=True):
-    """Tell me the roll that you go by. `fence`: of a holding that will change it, 0 of one who only asks."""
+    """Asks for the receiver's configuration. `fence`: of the holding that will change it; 0: only reads."""
 
     fence: int
 
 
 class VoterConfigAck(msgspec.Struct, tag="rok", array_like=True, frozen=True):
-    """I go by this one now, or by a higher one."""
+    """The sender uses this configuration now, or a higher one."""
 
     id: VoterConfigId
 
 
 def majority_size(voters: Mapping[str, str]) -> int:
+    """The number of voters that are a majority."""
     return len(voters) // 2 + 1
 
 
 def next_config(config: VoterConfig, fence: int, add: Mapping[str, str], remove: str = "") -> VoterConfig:
-    """The next generation. Raises ValueError for what is no single change."""
+    """The next generation. Raises ValueError for anything but the change of one voter."""
     if len(add) + bool(remove) != 1:
         raise ValueError("one voter at a time")
     voters = dict(config.voters)
@@ -89,35 +92,39 @@
 
 
 def initial_config(voters: Mapping[str, str]) -> VoterConfig:
-    """That of the settings."""
+    """The configuration of the settings file."""
     return VoterConfig(INITIAL_CONFIG_ID, dict(voters), dict(voters))
 
 
 @dataclass(frozen=True)
 class VoterConfigState:
-    """What one instance goes by. Asked or told something, it gives what is gone by then, itself if the same.
+    """The configuration that one instance uses, and its promise. Methods return the next state.
 
-    Lost with its memory, where it has no disk.
+    They return `self` if nothing changes. An instance without a state folder loses this state in a restart.
     """
 
     config: VoterConfig
-    promised_fence: int = 0  # no roll of a lower fence is taken
+    promised_fence: int = 0  # configurations of a lower fence are not accepted
 
     def after_query(self, query: VoterConfigQuery) -> VoterConfigState:
+        """The state with the promise that the query asks for."""
         promised_fence = min(query.fence, MAX_ROUND)
         return VoterConfigState(self.config, promised_fence) if promised_fence > self.promised_fence else self
 
     def after_config(self, config: VoterConfig) -> VoterConfigState:
+        """The state with this configuration, unless it is older or its fence is below the promised one."""
         if config.id <= self.config.id or config.id.fence < self.promised_fence or len(config.voters) < 2:
             return self
         return VoterConfigState(config, self.promised_fence)
 
 
 class ChangeStep(Enum):
-    READING = "reading"  # the newest roll that a majority of it, and of the one before it, knows of
-    MENDING = "mending"  # that one is spread anew, under our fence: a change may have been left half made
-    WAITING = "waiting"  # until nothing of the one before it is held
-    SPREADING = "spreading"  # the one that is wished for
+    """Steps of a change; operators see the values."""
+
+    READING = "reading"  # reads the newest configuration from majorities of it and of the one before it
+    MENDING = "mending"  # distributes that one again under our fence, as an earlier change may be incomplete
+    WAITING = "waiting"  # until no lease of the configuration before it is held
+    SPREADING = "spreading"  # distributes the requested configuration
     DONE = "done"
     FAILED = "failed"
 
@@ -137,16 +144,16 @@
     ) -> None:
         self.times, self.fence, self.add, self.remove = times, fence, dict(add), remove
         self.step, self.config, self.reason = ChangeStep.READING, config, ""
-        self.responded: set[str] = set()  # voters that were read, or that took `roll`
+        self.responded: set[str] = set()  # voters that were read, or that acknowledged `config`
         self.next_tick_at = now
         self.quiet_at: MonotonicTime = 0.0
 
     def handle_reported_config(self, now: MonotonicTime, voter: str, config: VoterConfig) -> None:
-        """A voter tells the roll that it goes by; it has promised to take none of a lower fence than ours."""
+        """Handles a voter's configuration; the voter has promised to accept no lower fence than ours."""
         if self.step is not ChangeStep.READING:
             return
         if config.id > self.config.id:
-            # Danger: a change made on top of an older roll would undo what was settled since.
+            # A change on top of an older configuration would undo the changes made since.
             self.config, self.responded = config, set()
         self.responded.add(voter)
         if not self._has_majorities():
@@ -162,7 +169,7 @@
             )
 
     def handle_ack(self, now: MonotonicTime, voter: str, id: VoterConfigId) -> None:
-        """A voter goes by the roll that is spread, or by another."""
+        """Handles that a voter uses the distributed configuration, or another one."""
         if self.step not in (ChangeStep.MENDING, ChangeStep.SPREADING) or id < self.config.id:
             return
         if id > self.config.id:
@@ -174,18 +181,19 @@
         if self.step is ChangeStep.SPREADING or self._is_change_present():
             self.step = ChangeStep.DONE
         else:
-            # Danger: the change before may have been made a moment ago, by a holder that is gone.
+            # A holder that has since failed may have made the previous change just now: leases of the
+            # configuration before it may still be held.
             self.step, self.next_tick_at = ChangeStep.WAITING, now + settling_time_s(self.times)
 
     def tick(self, now: MonotonicTime) -> dict[str, str]:
-        """Whom to ask or tell now, by name; call it at `due`."""
+        """Voters to send the query or configuration to, name to address; call it at `next_tick_at`."""
         if now < self.next_tick_at or self.step in (ChangeStep.DONE, ChangeStep.FAILED):
             return {}
         if self.step is ChangeStep.WAITING and not self._apply_change(now):
             return {}
         self.next_tick_at = now + self.times.answer
         everyone = {**self.config.before, **self.config.voters}
-        return {name: at for name, at in everyone.items() if name not in self.responded}
+        return {name: address for name, address in everyone.items() if name not in self.responded}
 
     def _has_majorities(self) -> bool:
         configs = (self.config.before, self.config.voters)
@@ -208,5 +216,5 @@
 
 
 def settling_time_s(times: LeaseTimes) -> float:
-    """Seconds by any clock after which no grant of before is held, and a new voter has begun to speak."""
+    """Seconds by any clock until all earlier grants have expired, and a new voter has begun to vote."""
     return max(times.lease, times.silence) * (1 + times.drift) / (1 - times.drift) + times.margin
--- a/roadpulley/fleet/report.py
+++ b/roadpulley/fleet/report.py
@@ -84,8 +84,8 @@
             }
         elif duty_state is not None and now < duty_state.granted_until:
             row |= {
-                "holder": duty_state.granted_ballot.who.name,
-                "boot": duty_state.granted_ballot.who.boot,
+                "holder": duty_state.granted_ballot.process.name,
+                "boot": duty_state.granted_ballot.process.boot,
                 "since_s": round(now - duty_state.granted_since, 1),
                 "fence": duty_state.granted_ballot.round,
                 "left_s": round(duty_state.granted_until - now, 2),
