--- a/roadpulley/fleet/duties/assignment.py
+++ b/roadpulley/fleet/duties/assignment.py
@@ -1,8 +1,11 @@
-"""Who should take which duty: the same answer wherever the same members are seen. Pure; decides nothing safe.
+"""Ranks the candidates of each duty; instances with the same view of the members get the same result.
 
-Highest random weight (Thaler and Ravishankar, 1998) with a bound on each one's load (Mirrokni, Thorup,
-Zadimoghaddam, "Consistent hashing with bounded loads", 2016): a duty goes to its preferred instances first,
-then by weight, to the first that has room; nobody takes more than its even part, rounded up.
+Pure. Safety doesn't depend on it: only the lease decides who holds a duty.
+
+Rendezvous hashing (Thaler and Ravishankar, 1998) with bounded loads (Mirrokni, Thorup, Zadimoghaddam,
+"Consistent hashing with bounded loads", 2016): a duty is assigned to its preferred instances first, then by
+weight, to the first process that has capacity. A process gets more than an even
+share, rounded up, only by preference or if no eligible process has capacity.
 """
 
 from __future__ import annotations
@@ -12,45 +15,44 @@
 
 from .terms import ProcessId
 
-MAX_ACTIVE_CANDIDATES = (
-    3  # that try to take a duty nobody seems to hold; the others wait until these are dead
-)
-RANK_DELAY_S = 0.15  # between their tries: the first has taken it by then
+MAX_ACTIVE_CANDIDATES = 3  # processes that try to acquire a free duty; others wait until these have failed
+RANK_DELAY_S = 0.15  # between attempts of adjacent ranks: enough for the first one to acquire the duty
 
 
 def rendezvous_weight(duty: str, name: str) -> int:
+    """The weight of an instance for a duty: the highest one is preferred."""
     return int.from_bytes(hashlib.blake2b(f"{duty}\0{name}".encode(), digest_size=8).digest())
 
 
-def rank_candidates(duty: str, able: Sequence[ProcessId], preferred: Sequence[str]) -> list[ProcessId]:
-    """All that may hold it, first choice first. Of processes of one name, the higher boot."""
+def rank_candidates(duty: str, eligible: Sequence[ProcessId], preferred: Sequence[str]) -> list[ProcessId]:
+    """All eligible processes, the preferred ones first, then by weight; of one name the higher boot first."""
 
-    def key(who: ProcessId) -> tuple[int, int, int]:
-        rank = preferred.index(who.name) if who.name in preferred else len(preferred)
-        return rank, -rendezvous_weight(duty, who.name), -who.boot
+    def key(process: ProcessId) -> tuple[int, int, int]:
+        rank = preferred.index(process.name) if process.name in preferred else len(preferred)
+        return rank, -rendezvous_weight(duty, process.name), -process.boot
 
-    return sorted(able, key=key)
+    return sorted(eligible, key=key)
 
 
 def assign_candidates(
-    able: Mapping[str, Sequence[ProcessId]], preferred: Mapping[str, Sequence[str]]
+    eligible: Mapping[str, Sequence[ProcessId]], preferred: Mapping[str, Sequence[str]]
 ) -> dict[str, list[ProcessId]]:
-    """By duty: in which order its candidates should try, the one that has room for it first.
+    """By duty: the order in which its candidates should try, the process that it is assigned to first.
 
-    `able`: by duty, the live processes that may hold it.
+    `eligible`: by duty, the live processes that may hold it; `preferred`: names of instances, in order.
     """
-    everyone = {who for those in able.values() for who in those}
-    room = -(-sum(1 for those in able.values() if those) // max(1, len(everyone)))
+    everyone = {process for processes in eligible.values() for process in processes}
+    capacity = -(-sum(1 for processes in eligible.values() if processes) // max(1, len(everyone)))
     load = dict.fromkeys(everyone, 0)
-    found: dict[str, list[ProcessId]] = {}
-    # Preferences first: they should not lose their place to duties that would go anywhere.
-    for duty in sorted(able, key=lambda d: (not preferred.get(d), d)):
-        wanted = rank_candidates(duty, able[duty], preferred.get(duty, ()))
-        if not wanted:
-            found[duty] = []
+    rankings: dict[str, list[ProcessId]] = {}
+    # Duties with preferences come first, so that others don't use up the capacity of their instances.
+    for duty in sorted(eligible, key=lambda d: (not preferred.get(d), d)):
+        ranked = rank_candidates(duty, eligible[duty], preferred.get(duty, ()))
+        if not ranked:
+            rankings[duty] = []
             continue
-        wishes = preferred.get(duty, ())
-        first = next((w for w in wanted if load[w] < room or w.name in wishes), wanted[0])
-        load[first] += 1
-        found[duty] = [first, *(w for w in wanted if w != first)]
-    return found
+        preferences = preferred.get(duty, ())
+        assigned = next((w for w in ranked if load[w] < capacity or w.name in preferences), ranked[0])
+        load[assigned] += 1
+        rankings[duty] = [assigned, *(w for w in ranked if w != assigned)]
+    return rankings
--- a/roadpulley/fleet/duties/fence_store.py
+++ b/roadpulley/fleet/duties/fence_store.py
@@ -1,9 +1,10 @@
-"""What a voter remembers on disk, where it has one: below which number every fence may have been used.
+"""A voter's record on disk of the fences that may have been used.
 
-Not promises, not grants: for those it keeps silent after a start. Numbers are set aside in blocks, so that
-the disk is written once for many holdings. Without a disk, or with an empty one, the wall clock gives the
-number: holdings are far fewer than milliseconds pass, so it is above all earlier ones unless the clock
-stepped back meanwhile. Then the registers refuse it, and the next is taken above what they have seen.
+Promises and grants aren't stored: the voter doesn't vote for some time after a start instead. Numbers are
+reserved in blocks, so that one write covers many holdings. Without a state folder, or with an empty one, the
+first number is the wall clock's milliseconds: holdings are much rarer than milliseconds, so it is above all
+earlier numbers unless the clock stepped back. In that case the registers reject it, and the next ballot is
+above the highest fence that they report.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 
 from roadpulley.checks import ValidationError
 
-RESERVED_BLOCK = 1_000
+RESERVED_BLOCK = 1_000  # fences reserved by one write
 
 
 class FenceStore:
+    """Reserves fences of one voter: all below `reserved_until` may have been promised."""
+
     def __init__(self, folder: Path | None, name: str, wall_ms: int) -> None:
-        """Raises ValidationError for a file that is none of ours: to vote with less than was used would be a
-        lie.
-        """
+        """Raises ValidationError for an unreadable file: the voter might promise used fences."""
         self.path = folder / f"{name}.fences" if folder is not None else None
         self.floor = wall_ms
         if self.path is not None:
@@ -36,8 +37,8 @@
         try:
             found = json.loads(path.read_bytes())["used"]
         except (OSError, ValueError, KeyError, TypeError) as error:
-            right = "remove it: the wall clock and the registers give the next number"
-            raise ValidationError(str(path), f"can't be read ({error})", right) from error
+            hint = "remove it: the wall clock and the registers give the next number"
+            raise ValidationError(str(path), f"can't be read ({error})", hint) from error
         if not isinstance(found, int) or isinstance(found, bool) or found < 0:
             raise ValidationError(
                 str(path), f"says {found!r}", "remove it: the wall clock and the registers give the next"
@@ -45,20 +46,21 @@
         return found
 
     def reserve(self, number: int) -> None:
-        """On disk before a number beyond the block is promised. Raises OSError, and nothing is promised.
+        """Writes a new reservation before a number beyond the current one is promised.
 
-        Danger: a number that was promised and not set aside could be promised again after a restart.
+        Raises OSError; the number must not be promised then. A number that was promised without a reservation
+        could be promised again after a restart.
         """
         if number < self.reserved_until:
             return
-        upto = number + RESERVED_BLOCK
+        end = number + RESERVED_BLOCK
         if self.path is not None:
-            write_atomically(self.path, json.dumps({"used": upto}).encode())
-        self.reserved_until = upto
+            write_atomically(self.path, json.dumps({"used": end}).encode())
+        self.reserved_until = end
 
 
 def write_atomically(path: Path, data: bytes) -> None:
-    """Whole and on disk, or as it was. Raises OSError."""
+    """Replaces the file durably and atomically. Raises OSError, and the file is unchanged then."""
     part = path.with_name(path.name + ".part")
     with part.open("wb") as file:
         file.write(data)
--- a/roadpulley/fleet/duties/probe.py
+++ b/roadpulley/fleet/duties/probe.py
@@ -1,6 +1,7 @@
-"""A duty that only shows who holds it: for trying a fleet out before anything real rests on it.
+"""The `probe` work: it writes to a test register, to try out a fleet without a real task.
 
-Its register speaks lines over TCP:   claim DUTY FENCE OWNER    act DUTY FENCE WORDS    ->    ok | low HIGHEST
+The register's protocol is lines over TCP:   claim DUTY FENCE OWNER    act DUTY FENCE WORDS    ->    ok | low
+HIGHEST
 """
 
 from __future__ import annotations
@@ -13,36 +14,49 @@
 
 REGISTER_TIMEOUT_S = 2.0
 MAX_LINE_BYTES = 256
-PAUSE_ENV = "ROADPULLEY_PROBE_PAUSE_S"  # of the testbed: between check and act, where a stop does most harm
+PAUSE_ENV = (
+    "ROADPULLEY_PROBE_PAUSE_S"  # set by tests: a pause between check and act, to stop the process there
+)
 
 
 class Probe:
-    def __init__(self, name: str, address: str, who: str, every_s: float) -> None:
+    """Work that sends one act a round to the register at `address` (HOST:PORT)."""
+
+    def __init__(self, name: str, address: str, owner_name: str, every_s: float) -> None:
         host, _, port = address.rpartition(":")
-        self.name, self.at, self.who, self.every_s = name, (host, int(port)), who, every_s
-        self.acts = 0
+        self.name, self.register_address, self.owner_name, self.every_s = (
+            name,
+            (host, int(port)),
+            owner_name,
+            every_s,
+        )
+        self.act_count = 0
         self.pause_s = float(os.environ.get(PAUSE_ENV, "0"))
 
     def claim(self, fence: int, owner: str) -> int | None:
-        return self._ask(f"claim {self.name} {fence} {owner}")
+        """Claims the fence at the register. Raises WorkError if it can't be reached."""
+        return self._send_line(f"claim {self.name} {fence} {owner}")
 
     def act(self, duty: HeldDuty) -> float | None:
+        """Sends one act. Raises StaleFenceError, WorkError."""
         if not duty.is_still_held():
             return None
-        self.acts += 1
+        self.act_count += 1
         time.sleep(self.pause_s)
-        highest = self._ask(f"act {self.name} {duty.fence} {self.who}.{self.acts}")
+        highest = self._send_line(f"act {self.name} {duty.fence} {self.owner_name}.{self.act_count}")
         if highest is not None:
             raise StaleFenceError(highest)
         return self.every_s
 
-    def _ask(self, line: str) -> int | None:
+    def _send_line(self, line: str) -> int | None:
         try:
-            with socket.create_connection(self.at, REGISTER_TIMEOUT_S) as sock:
+            with socket.create_connection(self.register_address, REGISTER_TIMEOUT_S) as sock:
                 sock.sendall(line.encode() + b"\n")
                 words = sock.makefile("rb").readline(MAX_LINE_BYTES).split()
         except OSError as error:
-            raise WorkError(f"the register at {self.at[0]}:{self.at[1]}: {error}") from error
+            raise WorkError(
+                f"the register at {self.register_address[0]}:{self.register_address[1]}: {error}"
+            ) from error
         if words == [b"ok"]:
             return None
         if len(words) == 2 and words[0] == b"low" and words[1].isdigit():
--- a/roadpulley/fleet/duties/registers.py
+++ b/roadpulley/fleet/duties/registers.py
@@ -1,4 +1,4 @@
-"""A fence beside files that a duty writes: for what is no store and refuses nothing by itself."""
+"""A fencing register in a file: for resources that can't check fences themselves, such as plain files."""
 
 from __future__ import annotations
 
@@ -15,13 +15,16 @@
 
 
 class FileRegister:
-    """{"fence", "owner"} in a file, under a lock of the kernel's that ends with the process that has it."""
+    """The highest fence and its owner as JSON, under an flock, which the kernel releases with its process."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
 
     def claim(self, fence: int, owner: str) -> int | None:
-        """Take it up. None: it is; else the highest that was before. Raises WorkError, OSError."""
+        """Claims the fence; returns None, or the highest fence if this one is too low.
+
+        Raises WorkError, OSError.
+        """
         with self._locked() as fd:
             highest, before = self._read(fd)
             if (fence, owner) == (highest, before):
@@ -29,15 +32,18 @@
             if fence <= highest:
                 return highest
             data = json.dumps({"fence": fence, "owner": owner}).encode()
-            os.pwrite(fd, data.ljust(256), 0)  # in one piece, and never shorter than what stood there
+            os.pwrite(
+                fd, data.ljust(256), 0
+            )  # one write of a fixed size, so that no rest of longer content remains
             os.fsync(fd)
         return None
 
     @contextmanager
     def guard(self, fence: int) -> Iterator[None]:
-        """For one act: while it lasts nobody takes up another. Raises StaleFenceError, WorkError, OSError.
+        """Locks the register for one act, so that no other fence is claimed meanwhile.
 
-        Danger: without the lock the act could come after another's claim, which nothing would refuse then.
+        Without the lock the act could follow another process's claim, and nothing would reject it. Raises
+        StaleFenceError, WorkError, OSError.
         """
         with self._locked() as fd:
             highest, _ = self._read(fd)
@@ -53,7 +59,7 @@
             try:
                 fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except BlockingIOError as error:
-                raise WorkError(f"{self.path}: another process acts there") from error
+                raise WorkError(f"{self.path}: another process has locked it") from error
             yield fd
         finally:
             os.close(fd)
--- a/roadpulley/fleet/duties/work.py
+++ b/roadpulley/fleet/duties/work.py
@@ -1,4 +1,4 @@
-"""What a holder does, and what tells it whether it may: each act goes under the fence of its holding."""
+"""The interface between a held duty and its work. Every act carries the fence of the holding."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class WorkError(Exception):
-    """It can't be done here, or now: one line for people."""
+    """The work can't be done on this instance or at this time; the message is one line for operators."""
 
 
 class WorkCompleted(Exception):
-    """There is nothing left to do: the duty is let go of, and nobody has to take it."""
+    """Nothing remains to be done: the duty is released, and no instance has to acquire it."""
 
 
 class HeldDuty:
-    """One holding, as its work sees it, from any thread."""
+    """One holding of a duty, for use by its work. Its methods are thread-safe."""
 
     def __init__(
         self, name: str, fence: int, until: Callable[[], MonotonicTime], clock: Callable[[], MonotonicTime]
@@ -31,23 +31,26 @@
         self.ended = threading.Event()
 
     def is_still_held(self) -> bool:
-        """Ask it right before each act. Danger: the process may be stopped between this and the act, for as
-        long as it takes another to act; what refuses the act then is the fence that goes with it."""
+        """Whether the duty is held now; call it right before each act.
+
+        The process may be paused between this check and the act, until another process acts. The register
+        rejects the late act by its fence.
+        """
         return not self.ended.is_set() and self._clock() < self._until()
 
 
 class Work(Protocol):
-    """Blocking calls, made from a thread of their own, one at a time for one duty."""
+    """The task of a duty. Methods may block: they run in a worker thread, one at a time for each duty."""
 
     def claim(self, fence: int, owner: str) -> int | None:
-        """Have all registers take the fence up. None: they did; else the highest that one had taken up.
+        """Claims the fence at all registers; returns None, or the highest fence of one that rejects it.
 
-        `owner` tells a holding's own claim, asked again, from another that came by the same number.
-        Raises WorkError where one can't be reached.
+        `owner` distinguishes a repeated claim of one holding from another claim of the same fence.
+        Raises WorkError if a register can't be reached.
         """
 
     def act(self, duty: HeldDuty) -> float | None:
-        """One round; gives the seconds until the next, None for as set.
+        """Runs one round; returns the seconds until the next one, or None for the interval of the settings.
 
         Raises StaleFenceError, WorkError.
         """
