--- a/roadpulley/fleet/counts/__init__.py
+++ b/roadpulley/fleet/counts/__init__.py
@@ -1,1 +1,1 @@
-"""Counts without a leader: numbers that every instance adds to, and that all come to see alike."""
+"""Replicated counters without a leader: every instance adds to them, and all replicas converge."""
--- a/roadpulley/fleet/counts/client.py
+++ b/roadpulley/fleet/counts/client.py
@@ -1,4 +1,4 @@
-"""A counter for the decision module that the instances of a fleet are together, in place of the service."""
+"""The counter client of a worker whose counters are replicated by the fleet, without a counter service."""
 
 from __future__ import annotations
 
@@ -15,37 +15,39 @@
 
 from .messages import AddReply, AddRequest
 
-RETRY_INTERVAL_MS = 15.0  # after which an addition is asked for again
+RETRY_INTERVAL_MS = 15.0  # between two sends of an addition that is not answered
 NO_ADDRESS: Address = ("", 0)
 
 
 class ReplicatedCounter(CounterClient):
-    """Its calls go to the instance beside this process; all else is as at the counter service's client."""
+    """Sends additions to the instance on its machine; otherwise like the client of the counter service."""
 
-    def __init__(self, line: AgentLink, timers: Timers, wait: float) -> None:
+    def __init__(self, link: AgentLink, timers: Timers, wait: float) -> None:
         super().__init__(asyncio.get_running_loop(), timers, NO_ADDRESS, wait)
-        self.agent_link = line
-        self.pending: dict[int, CounterCall] = {}  # by their numbers
+        self.agent_link = link
+        self.pending: dict[int, CounterCall] = {}  # by sequence number
         self.last_sequence = 0
-        line.listeners.append(self._handle_message)
+        link.listeners.append(self._handle_message)
 
     def add(self, name: str, amount: float, expire_in: float, done: CounterCallback) -> None:
         self.last_sequence += 1
-        ask = AddRequest(self.agent_link.worker_id, self.last_sequence, name, amount, max(1, int(expire_in)))
+        request = AddRequest(
+            self.agent_link.worker_id, self.last_sequence, name, amount, max(1, int(expire_in))
+        )
         call = self.pending[self.last_sequence] = CounterCall(self, name, b"", done)
         self.calls.setdefault(name, deque()).append(call)
-        self._send(call, ask, now_ms() + self.wait)
+        self._send(call, request, now_ms() + self.wait)
 
-    def _send(self, call: CounterCall, ask: AddRequest, due: float) -> None:
-        self.agent_link.send(ask)
+    def _send(self, call: CounterCall, request: AddRequest, deadline: float) -> None:
+        self.agent_link.send(request)
         call.timer = self.timers.at(
-            min(now_ms() + RETRY_INTERVAL_MS, due), partial(self._retry, call, ask, due)
+            min(now_ms() + RETRY_INTERVAL_MS, deadline), partial(self._retry, call, request, deadline)
         )
 
-    def _retry(self, call: CounterCall, ask: AddRequest, due: float) -> None:
-        if now_ms() < due:
-            return self._send(call, ask, due)  # an instance takes each number once
-        del self.pending[ask.sequence]
+    def _retry(self, call: CounterCall, request: AddRequest, deadline: float) -> None:
+        if now_ms() < deadline:
+            return self._send(call, request, deadline)  # an instance applies each sequence number once
+        del self.pending[request.sequence]
         call.end(Outcome.TIMED_OUT)
 
     def _handle_message(self, body: Any) -> None:
@@ -54,4 +56,4 @@
                 call.end(Outcome.OK, body.total)
 
     def move(self, address: Address) -> None:
-        """A counter service of another address is none of its business."""
+        """Ignored: there is no counter service whose address could change."""
--- a/roadpulley/fleet/counts/messages.py
+++ b/roadpulley/fleet/counts/messages.py
@@ -1,12 +1,12 @@
-"""What instances say to each other about counts.
+"""Messages that replicate counters.
 
-A number is the sum of what each process of an instance (its name and boot: an owner) has added. Only the
-owner changes its part, and gives each change a higher version; everybody else keeps the highest that it was
-told. So merging takes the higher version, in any order, again and again: commutative, associative and
-idempotent. What an owner that is gone had told somebody stays counted until the number itself ends.
+A counter is the sum of its parts, one for each owner: a process of an instance, by name and boot. Only the
+owner changes its part, and it raises the version with each change; the other replicas keep the part of the
+highest version. Merging is therefore commutative, associative and idempotent. The part of an owner that has
+ended stays counted at every replica that received it, until the counter expires.
 
-After Shapiro and others, "Conflict-free Replicated Data Types" (2011); Almeida, Shoker, Baquero, "Delta State
-Replicated Data Types" (2018). See docs/design/fleet-limits.md.
+See Shapiro and others, "Conflict-free Replicated Data Types" (2011); Almeida, Shoker, Baquero, "Delta State
+Replicated Data Types" (2018); docs/design/fleet-limits.md.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 from roadpulley.fleet.duties.terms import ProcessId
 
-MAX_NAME_BYTES = 80  # bytes of a number's name
-MAX_PARTS_PER_BATCH = 16  # parts in one body, so that it fits into a datagram
-BUCKET_COUNT = 16  # of the numbers of one owner, compared by one hash each
+MAX_NAME_BYTES = 80  # of the name of a counter
+MAX_PARTS_PER_BATCH = 16  # so that a batch fits into a datagram
+BUCKET_COUNT = 16  # an owner's parts are compared by one hash for each bucket
 
 
 class CounterPart(msgspec.Struct, array_like=True, frozen=True):
-    """What one owner has added to one number. `remaining_ms`: until everybody forgets the number."""
+    """What one owner has added to one counter. `remaining_ms`: time until the counter expires."""
 
     name: str
     version: int
@@ -32,14 +32,14 @@
 
 
 class PartBatch(msgspec.Struct, tag="c-parts", array_like=True, frozen=True):
-    """Of one owner, whoever sends them."""
+    """Parts of one owner, sent by any replica."""
 
     owner: ProcessId
     parts: tuple[CounterPart, ...]
 
 
 class Digest(msgspec.Struct, tag="c-digest", array_like=True, frozen=True):
-    """One hash for each bucket of an owner's numbers; an empty one where nothing is known of it."""
+    """Anti-entropy digest: a hash of each bucket of an owner's parts; 0 for an empty bucket."""
 
     owner: ProcessId
     buckets: tuple[int, ...]
@@ -48,11 +48,14 @@
 ReplicaMessage: TypeAlias = PartBatch | Digest
 
 
-# ---- between an instance and the processes beside it ----
+# ---- between an instance and the workers on its machine ----
 
 
 class AddRequest(msgspec.Struct, tag="c-add", array_like=True, frozen=True):
-    """Add to a number, once: asked again it has the same `number`, counted by the process that asks."""
+    """Add to a counter once: a retry has the same `sequence`, which is counted by the worker.
+
+    `holder`: the number of the worker. `ttl_ms`: time until a new counter expires.
+    """
 
     holder: int
     sequence: int
@@ -62,7 +65,7 @@
 
 
 class AddReply(msgspec.Struct, tag="c-added", array_like=True, frozen=True):
-    """The number as this instance sees it, with what was added."""
+    """The total of the counter at this instance, including the addition."""
 
     holder: int
     sequence: int
--- a/roadpulley/fleet/counts/service.py
+++ b/roadpulley/fleet/counts/service.py
@@ -1,7 +1,7 @@
-"""The shell of counts at one instance: answers the processes beside it, tells others what was added.
+"""Replicates counters at one instance: answers its workers and sends their additions to the other instances.
 
-News goes to all others every few milliseconds; what was lost on the way is found by digests, which one other
-instance gets each second.
+Changes go to all other instances every few milliseconds. Lost messages are repaired by anti-entropy: each
+second one other instance receives digests and answers with what differs.
 """
 
 from __future__ import annotations
@@ -26,61 +26,73 @@
 
 @dataclass(frozen=True)
 class ReplicationSettings:
-    """Seconds. `say`: between two words of what was added; `compare`: between two digests."""
+    """Intervals at which changes are sent to all, and digests to one other instance."""
 
     send_interval_s: float
     compare_interval_s: float
 
 
 def read_replication_settings(table: Table) -> ReplicationSettings:
-    """Raises ValidationError."""
-    say, compare = table.read_number("say_s", 0.05, 0.005, 5), table.read_number("compare_s", 1.0, 0.05, 60)
+    """Read the section `counts` of the fleet's settings. Raises ValidationError."""
+    send_interval, compare_interval = (
+        table.read_number("say_s", 0.05, 0.005, 5),
+        table.read_number("compare_s", 1.0, 0.05, 60),
+    )
     table.reject_unknown_keys()
-    return ReplicationSettings(say, compare)
+    return ReplicationSettings(send_interval, compare_interval)
 
 
 class CounterReplicator:
+    """Connects the state machine to timers, workers and the other instances."""
+
     def __init__(
         self,
         settings: ReplicationSettings,
-        me: ProcessId,
-        beside: WorkerSocket,
+        own_id: ProcessId,
+        socket: WorkerSocket,
         clock: Clock,
         rng: random.Random,
-        tell: Callable[[Route, ReplicaMessage], None],
-        everybody: Callable[[], list[Route]],
+        send_message: Callable[[Route, ReplicaMessage], None],
+        routes: Callable[[], list[Route]],
     ) -> None:
-        self.settings, self.worker_socket, self.clock, self.rng = settings, beside, clock, rng
-        self.send, self.list_routes = tell, everybody
-        self.machine = ReplicatedCounters(me)
+        self.settings, self.worker_socket, self.clock, self.rng = settings, socket, clock, rng
+        self.send, self.list_routes = send_message, routes
+        self.machine = ReplicatedCounters(own_id)
         self.adds = self.rejected_adds = 0
-        self.send_timer: asyncio.TimerHandle | None = None  # while there is something to say
+        self.send_timer: asyncio.TimerHandle | None = None  # runs while changes are unsent
         self.compare_timer: asyncio.TimerHandle | None = None
         self.next_sweep: MonotonicTime = 0.0
 
     def open(self) -> None:
+        """Start the periodic work."""
         self._run_periodic_work()
 
     def close(self) -> None:
-        """What was added last is told before the end."""
+        """Stop, after sending the last changes."""
         for timer in (self.send_timer, self.compare_timer):
             if timer is not None:
                 timer.cancel()
         self._send_changes()
 
-    def handle_add(self, ask: AddRequest) -> None:
+    def handle_add(self, request: AddRequest) -> None:
+        """Apply an addition of a worker and answer it. An invalid addition gets no answer."""
         self.adds += 1
-        answer = self.machine.add(self.clock.now(), ask) if len(ask.name.encode()) <= MAX_NAME_BYTES else None
+        answer = (
+            self.machine.add(self.clock.now(), request)
+            if len(request.name.encode()) <= MAX_NAME_BYTES
+            else None
+        )
         if answer is None:
             self.rejected_adds += 1
         else:
-            self.worker_socket.send_to(ask.holder, answer)
+            self.worker_socket.send_to(request.holder, answer)
             if self.send_timer is None and self.machine.unsent_changes:
                 self.send_timer = asyncio.get_running_loop().call_later(
                     self.settings.send_interval_s, self._send_changes
                 )
 
     def handle_message(self, route: Route, body: ReplicaMessage) -> None:
+        """Handle a message of another instance."""
         for answer in self.machine.handle_message(self.clock.now(), body):
             self.send(route, answer)
 
@@ -90,15 +102,17 @@
         if now >= self.next_sweep:
             self.next_sweep = now + SWEEP_INTERVAL_S
             self.machine.remove_expired(now)
-        wait = self.settings.compare_interval_s * self.rng.uniform(0.5, 1.5)  # not all at once
+        wait = self.settings.compare_interval_s * self.rng.uniform(
+            0.5, 1.5
+        )  # jitter, so that the instances do not send at the same time
         self.compare_timer = asyncio.get_running_loop().call_later(wait, self._run_periodic_work)
 
     def _send_changes(self) -> None:
         self.send_timer = None
-        news = self.machine.take_changes(self.clock.now())
-        for route in self.list_routes() if news else ():
-            for parts in news:
-                self.send(route, parts)
+        batches = self.machine.take_changes(self.clock.now())
+        for route in self.list_routes() if batches else ():
+            for batch in batches:
+                self.send(route, batch)
 
     def _send_digests(self) -> None:
         if routes := self.list_routes():
@@ -107,6 +121,7 @@
                 self.send(route, digest)
 
     def report(self) -> dict[str, Any]:
+        """Figures for `roadpulley fleet limits`."""
         machine = self.machine
         return {
             "numbers": len(machine.counters),
--- a/tests/fleet/test_counters_processes.py
+++ b/tests/fleet/test_counters_processes.py
@@ -1,4 +1,4 @@
-"""Counts over several real processes: additions at each, faults between them, what all see after healing."""
+"""Replicated counters over real processes: additions at each, link faults, convergence after healing."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 KEEP_MS = 60_000.0
 WAIT_MS = 200.0
 PLAN = FleetPlan(voters=3, others=2, duties=0, counts=True)
-HEALED_S = 8.0  # until all see the same, on a machine under load; told by the benchmark in quiet
+CONVERGENCE_TIMEOUT_S = 8.0  # allows for a machine under load
 
 
 class Adder:
-    """Beside one instance; remembers what was surely added."""
+    """A worker of one instance; records confirmed additions and those whose outcome is unknown."""
 
-    def __init__(self, line: AgentLink, counter: ReplicatedCounter) -> None:
-        self.line, self.counter = line, counter
-        self.sure: dict[str, float] = dict.fromkeys(NAMES, 0.0)
-        self.unsure: dict[str, float] = dict.fromkeys(NAMES, 0.0)
+    def __init__(self, link: AgentLink, counter: ReplicatedCounter) -> None:
+        self.link, self.counter = link, counter
+        self.confirmed: dict[str, float] = dict.fromkeys(NAMES, 0.0)
+        self.uncertain: dict[str, float] = dict.fromkeys(NAMES, 0.0)
 
     async def add(self, name: str, amount: float) -> float | None:
         done: asyncio.Future[tuple[Outcome, float]] = asyncio.get_running_loop().create_future()
@@ -38,103 +38,103 @@
             name, amount, KEEP_MS, lambda _, outcome, reading: done.set_result((outcome, reading))
         )
         outcome, reading = await done
-        sure = outcome is Outcome.OK
-        (self.sure if sure else self.unsure)[name] += amount
-        return reading if sure else None
+        confirmed = outcome is Outcome.OK
+        (self.confirmed if confirmed else self.uncertain)[name] += amount
+        return reading if confirmed else None
 
 
-async def adders(fleet: Fleet) -> list[Adder]:
-    timers, found = Timers(asyncio.get_running_loop()), []
+async def start_adders(fleet: Fleet) -> list[Adder]:
+    timers, adders = Timers(asyncio.get_running_loop()), []
     for name in fleet.plan.names:
-        line = AgentLink(fleet.folder / f"run-{name}" / f"{name}.beside")
-        await line.open()
-        found.append(Adder(line, ReplicatedCounter(line, timers, WAIT_MS)))
-    return found
+        link = AgentLink(fleet.folder / f"run-{name}" / f"{name}.beside")
+        await link.open()
+        adders.append(Adder(link, ReplicatedCounter(link, timers, WAIT_MS)))
+    return adders
 
 
-async def some(fleet: Fleet, who: list[Adder], rounds: int) -> None:
+async def add_randomly(fleet: Fleet, adders: list[Adder], rounds: int) -> None:
     for _ in range(rounds):
         await asyncio.gather(
-            *(a.add(fleet.rng.choice(NAMES), fleet.rng.choice((0.5, 1.0, 2.0))) for a in who)
+            *(a.add(fleet.rng.choice(NAMES), fleet.rng.choice((0.5, 1.0, 2.0))) for a in adders)
         )
         await asyncio.sleep(0.01)
 
 
-async def alike(fleet: Fleet, who: list[Adder]) -> dict[str, float]:
-    """What all see, once they see the same."""
-    end = asyncio.get_running_loop().time() + HEALED_S
+async def wait_until_equal(fleet: Fleet, adders: list[Adder]) -> dict[str, float]:
+    """Wait until all replicas agree; returns the totals."""
+    end = asyncio.get_running_loop().time() + CONVERGENCE_TIMEOUT_S
     while True:
-        views = [[await a.add(name, 0.0) for name in NAMES] for a in who]
+        views = [[await a.add(name, 0.0) for name in NAMES] for a in adders]
         if None not in views[0] and all(view == views[0] for view in views):
             return {name: total for name, total in zip(NAMES, views[0], strict=True) if total is not None}
         assert asyncio.get_running_loop().time() < end, views
         await asyncio.sleep(0.05)
 
 
-def played(folder: Path, play: Callable[[Fleet, list[Adder]], Awaitable[None]]) -> None:
+def run_fleet(folder: Path, play: Callable[[Fleet, list[Adder]], Awaitable[None]]) -> None:
     async def run() -> None:
         async with Fleet(PLAN, folder) as fleet:
             await fleet.start()
-            who = await adders(fleet)
-            for adder in who:
+            adders = await start_adders(fleet)
+            for adder in adders:
                 while await adder.add(NAMES[0], 0.0) is None:
                     await asyncio.sleep(0.05)
-            await play(fleet, who)
-            for adder in who:
-                adder.line.close()
+            await play(fleet, adders)
+            for adder in adders:
+                adder.link.close()
 
     uvloop.run(run())
 
 
-def sums(who: list[Adder]) -> tuple[dict[str, float], dict[str, float]]:
-    """What is surely there, and what may be there as well."""
-    sure = {name: sum(a.sure[name] for a in who) for name in NAMES}
-    return sure, {name: sure[name] + sum(a.unsure[name] for a in who) for name in NAMES}
+def confirmed_bounds(adders: list[Adder]) -> tuple[dict[str, float], dict[str, float]]:
+    """Bounds of the totals: confirmed additions, and those plus the additions of unknown outcome."""
+    confirmed = {name: sum(a.confirmed[name] for a in adders) for name in NAMES}
+    return confirmed, {name: confirmed[name] + sum(a.uncertain[name] for a in adders) for name in NAMES}
 
 
-def test_two_halves_add_by_themselves_and_come_together(tmp_path: Path) -> None:
-    async def play(fleet: Fleet, who: list[Adder]) -> None:
-        await some(fleet, who, 20)
+def test_both_sides_of_a_partition_add_and_converge_after_healing(tmp_path: Path) -> None:
+    async def play(fleet: Fleet, adders: list[Adder]) -> None:
+        await add_randomly(fleet, adders, 20)
         fleet.links.part(fleet.plan.names[:2], fleet.plan.names[2:])
-        await some(fleet, who, 30)
+        await add_randomly(fleet, adders, 30)
         fleet.links.heal()
-        views = await alike(fleet, who)
-        sure, most = sums(who)
-        assert all(sure[name] <= views[name] <= most[name] for name in NAMES)
+        views = await wait_until_equal(fleet, adders)
+        confirmed, maximum = confirmed_bounds(adders)
+        assert all(confirmed[name] <= views[name] <= maximum[name] for name in NAMES)
         assert sum(views.values()) > 200
 
-    played(tmp_path, play)
+    run_fleet(tmp_path, play)
 
 
-def test_what_links_lose_repeat_and_reorder_is_added_once(tmp_path: Path) -> None:
-    async def play(fleet: Fleet, who: list[Adder]) -> None:
+def test_additions_over_lossy_reordering_links_count_once(tmp_path: Path) -> None:
+    async def play(fleet: Fleet, adders: list[Adder]) -> None:
         fleet.links.disturb(loss=0.4, delay_ms=1, jitter_ms=150, repeats=0.4)
-        await some(fleet, who, 40)
+        await add_randomly(fleet, adders, 40)
         fleet.links.disturb()
-        views = await alike(fleet, who)
-        sure, most = sums(who)
-        assert all(sure[name] <= views[name] <= most[name] for name in NAMES)
+        views = await wait_until_equal(fleet, adders)
+        confirmed, maximum = confirmed_bounds(adders)
+        assert all(confirmed[name] <= views[name] <= maximum[name] for name in NAMES)
 
-    played(tmp_path, play)
+    run_fleet(tmp_path, play)
 
 
-def test_an_instance_that_is_killed_takes_nothing_back_that_it_had_told(tmp_path: Path) -> None:
-    """It restarts with nothing, under another boot; what it had added before stays counted."""
+def test_replicated_additions_of_a_killed_instance_stay_counted(tmp_path: Path) -> None:
+    """It restarts without state under another boot; the parts that other replicas received stay counted."""
 
-    async def play(fleet: Fleet, who: list[Adder]) -> None:
-        await some(fleet, who, 20)
-        before = await alike(fleet, who)
+    async def play(fleet: Fleet, adders: list[Adder]) -> None:
+        await add_randomly(fleet, adders, 20)
+        before = await wait_until_equal(fleet, adders)
         killed = fleet.plan.names[0]
         fleet.kill(killed)
         await fleet.gone(killed)
         await fleet.start(killed)
-        while await who[0].add(NAMES[0], 0.0) is None:
+        while await adders[0].add(NAMES[0], 0.0) is None:
             await asyncio.sleep(0.05)
-        after = await alike(fleet, who)
+        after = await wait_until_equal(fleet, adders)
         assert after == before
-        await some(fleet, who, 10)
-        views = await alike(fleet, who)
-        sure, most = sums(who)
-        assert all(sure[name] <= views[name] <= most[name] for name in NAMES)
+        await add_randomly(fleet, adders, 10)
+        views = await wait_until_equal(fleet, adders)
+        confirmed, maximum = confirmed_bounds(adders)
+        assert all(confirmed[name] <= views[name] <= maximum[name] for name in NAMES)
 
-    played(tmp_path, play)
+    run_fleet(tmp_path, play)
