--- a/roadpulley/fleet/duties/service.py
+++ b/roadpulley/fleet/duties/service.py
@@ -1,4 +1,4 @@
-"""The shell of the duties at one instance: its vote, its candidates, and the work of what it holds."""
+"""Runs the duties of one instance: its voter, its candidates, and the work of the duties that it holds."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import structlog
 
 from roadpulley.fleet.clock import Clock
-from roadpulley.fleet.members.messages import Claim as Member
+from roadpulley.fleet.members.messages import Claim
 from roadpulley.fleet.settings import DutySettings, FleetSettings
 
 from .assignment import MAX_ACTIVE_CANDIDATES, RANK_DELAY_S, assign_candidates
@@ -35,15 +35,15 @@
 from .work import HeldDuty, StaleFenceError, Work, WorkCompleted, WorkError
 
 CLAIM_RETRY_INTERVAL_S = 0.2
-POLL_INTERVAL_S = 0.05  # between two looks whether a holding has ended
-HAND_OVER_TIMEOUT_S = 5.0  # that a planned hand-over waits for the round of work that is under way
+POLL_INTERVAL_S = 0.05  # between checks whether a holding has ended
+HAND_OVER_TIMEOUT_S = 5.0  # a planned hand-over waits this long for the current round
 
 log = structlog.get_logger("roadpulley.fleet.duties")
 
 
 @dataclass
 class LocalDuty:
-    """One duty at this instance, held or not."""
+    """One duty that this instance may hold, and its current holding, if any."""
 
     settings: DutySettings
     candidate: Candidate
@@ -52,17 +52,20 @@
     task: asyncio.Task[None] | None = None
     held_since: MonotonicTime = 0.0
     act_count: int = 0
-    end_reason: str = ""  # how the last holding ended, or why work failed
-    better_since: MonotonicTime = math.inf  # since when another instance should have it
-    handed_over_at: MonotonicTime = -math.inf  # when it was handed over
+    end_reason: str = ""  # why the last holding ended, for operators
+    better_since: MonotonicTime = math.inf  # since when another instance is the better holder
+    handed_over_at: MonotonicTime = -math.inf  # when this instance last handed it over
     is_handing_over: bool = False
-    run_requested: bool = False  # the next round is wanted now
+    run_requested: bool = False  # the next round begins now
 
 
 @dataclass
 class DutyManager:
-    """`ask` sends a question to a voter, `offer` tells another instance that a duty is free,
-    and under which fence it was held last."""
+    """The voter, the candidates and the holdings of one process.
+
+    `send_request` sends a request to a voter. `send_offer` tells another process that a duty is free, and the
+    fence under which it was held last.
+    """
 
     settings: FleetSettings
     process_id: ProcessId
@@ -70,16 +73,16 @@
     works: Mapping[str, Work]
     send_request: Callable[[str, VoterRequest], None]
     send_offer: Callable[[ProcessId, str, int], None]
-    on_due_change: Callable[[], None]  # a timer is to be set anew
+    on_due_change: Callable[[], None]  # called when `next_due_at` may have changed
     executor: Executor
     rng: random.Random
     voter_config: VoterConfig
-    is_change_requested: Callable[[], bool]  # whether the voters are to be changed from here
-    before_hand_over: Callable[[str, ProcessId], Awaitable[None]] | None = (
-        None  # what the next holder is told before
-    )
-    fence_store: FenceStore | None = None  # of one that may vote; None: nobody would find it
-    voter: Voter | None = None  # also of who is no voter yet: once it is one, it need not keep silent first
+    is_change_requested: Callable[[], bool]  # whether an operator asked this instance to change the voters
+    # Called with the duty and the next holder before a duty is released.
+    before_hand_over: Callable[[str, ProcessId], Awaitable[None]] | None = None
+    fence_store: FenceStore | None = None  # None: this process doesn't vote
+    # Also set at an instance that is no voter yet: after its addition it need not wait out the silence.
+    voter: Voter | None = None
     local_duties: dict[str, LocalDuty] = field(default_factory=dict)
     rankings: dict[str, list[ProcessId]] = field(default_factory=dict)
     is_leaving: bool = False
@@ -90,6 +93,7 @@
             self.add_duty(self.settings.duties[name], work)
 
     def add_duty(self, settings: DutySettings, work: Work) -> None:
+        """Adds a duty that this instance may hold."""
         voters = frozenset(self.voter_config.voters)
         candidate = Candidate(
             settings.name, self.process_id, voters, self.settings.times, self.rng.random, self.voter_config.id
@@ -97,7 +101,7 @@
         self.local_duties[settings.name] = LocalDuty(settings, candidate, work)
 
     def adopt_voter_config(self, voter_config: VoterConfig) -> None:
-        """Other voters count from now on. What is held stays held, and is renewed by them."""
+        """Uses another voter configuration. Holdings continue, and the new voters renew them."""
         self.voter_config = voter_config
         if self.voter is not None:
             self.voter.config_id = voter_config.id
@@ -108,14 +112,15 @@
                 candidate.set_voters(self.clock.now(), voter_config.id, frozenset(voter_config.voters)),
             )
 
-    # ---- the vote ----
+    # ---- voting ----
 
     def start_voting(self, now: MonotonicTime) -> None:
-        """Begin to vote, with nothing in memory but which fences may have been used."""
+        """Starts a voter without any state but the fences that may have been used."""
         assert self.fence_store is not None
         self.voter = Voter(self.settings.times, now, self.fence_store.floor, self.voter_config.id)
 
     def handle_voter_request(self, request: VoterRequest) -> VoterResponse | None:
+        """The response of the own voter; None: no response is sent."""
         if self.voter is None or self.fence_store is None:
             return None
         if isinstance(request, Prepare | Accept):
@@ -133,36 +138,42 @@
 
     # ---- candidates ----
 
-    def handle_voter_response(self, voter: str, answer: VoterResponse) -> None:
-        if local_duty := self.local_duties.get(answer.duty):
+    def handle_voter_response(self, voter: str, response: VoterResponse) -> None:
+        """Passes a voter's response to the candidate that it is for."""
+        if local_duty := self.local_duties.get(response.duty):
             self.apply_actions(
-                local_duty, local_duty.candidate.handle_response(self.clock.now(), voter, answer)
+                local_duty, local_duty.candidate.handle_response(self.clock.now(), voter, response)
             )
 
     def handle_offer(self, name: str, rank: int, fence: int) -> None:
-        """Another instance has let go of it."""
+        """Tries to acquire a duty that another instance has released; `rank`: place among those notified."""
         if (local_duty := self.local_duties.get(name)) and not self.is_leaving:
-            # Danger: a try under a number that was used is refused, and while it waits the one that let go of
-            # it takes it again.
+            # An attempt with a round that was used before is rejected, and during its backoff the instance
+            # that released the duty would acquire it again.
             local_duty.candidate.observe_round(fence)
-            local_duty.candidate.stop_trying()  # what it waited for is over
+            local_duty.candidate.stop_trying()  # cancels the scheduled attempt, which may be later
             local_duty.candidate.schedule_try(self.clock.now(), rank * RANK_DELAY_S)
             self.on_due_change()
 
     def tick(self) -> None:
+        """Runs the candidates whose time has come."""
         now = self.clock.now()
         for local_duty in self.local_duties.values():
             if now >= local_duty.candidate.next_tick_at():
                 self.apply_actions(local_duty, local_duty.candidate.tick(now))
 
     def next_due_at(self) -> MonotonicTime:
+        """When `tick` is due next."""
         return min((h.candidate.next_tick_at() for h in self.local_duties.values()), default=NO_DEADLINE)
 
-    def update_assignments(self, members: list[Member], bits: Mapping[str, int]) -> None:
-        """Who tries to take what, by the members that are seen; and what should go to another instance."""
+    def update_assignments(self, members: list[Claim], bits: Mapping[str, int]) -> None:
+        """Reassigns candidates for the live members, and starts hand-overs to better holders.
+
+        `bits`: the number of each duty's bit in the members' `duty_bits`.
+        """
         now, names = self.clock.now(), list(bits)
-        able = {n: [m.process for m in members if m.duty_bits >> bits[n] & 1] for n in names}
-        self.rankings = assign_candidates(able, {n: self.settings.duties[n].prefer for n in names})
+        eligible = {n: [m.process for m in members if m.duty_bits >> bits[n] & 1] for n in names}
+        self.rankings = assign_candidates(eligible, {n: self.settings.duties[n].prefer for n in names})
         for name, local_duty in self.local_duties.items():
             if name == VOTERS_DUTY:
                 if (
@@ -171,48 +182,50 @@
                     and not self.is_leaving
                 ):
                     local_duty.candidate.schedule_try(now, 0.0)
-                continue  # taken only by who has something to change
-            order, candidate = self.rankings.get(name, []), local_duty.candidate
-            rank = order.index(self.process_id) if self.process_id in order else len(order)
+                continue  # acquired only by an instance that has a change to make
+            ranking, candidate = self.rankings.get(name, []), local_duty.candidate
+            rank = ranking.index(self.process_id) if self.process_id in ranking else len(ranking)
             if self.is_leaving or rank >= MAX_ACTIVE_CANDIDATES:
                 candidate.stop_trying()
             elif candidate.due_at == NO_DEADLINE:
-                # Danger: who has just handed it over may be the first choice still, and would take it back.
-                others_first = (
+                # The instance that has just handed it over may still rank first, and would acquire it again.
+                extra_ranks = (
                     MAX_ACTIVE_CANDIDATES
                     if now - local_duty.handed_over_at < self.settings.times.lease
                     else 0
                 )
-                candidate.schedule_try(now, (rank + others_first) * RANK_DELAY_S)
+                candidate.schedule_try(now, (rank + extra_ranks) * RANK_DELAY_S)
             else:
                 candidate.priority_delay_s = rank * RANK_DELAY_S
         self._rebalance(now)
         self.on_due_change()
 
     def _rebalance(self, now: MonotonicTime) -> None:
-        """Hand over what another should have, one at a time, once that has stood for a while."""
+        """Hands over one duty that another instance has been the better holder of for `hand_over_delay_s`."""
         held = [h for name, h in self.local_duties.items() if h.held_duty is not None and name != VOTERS_DUTY]
         for local_duty in held:
-            name, order = local_duty.settings.name, self.rankings.get(local_duty.settings.name, [])
-            mine = self._count_first_choices(self.process_id)
-            is_change_requested = order and order[0].name in local_duty.settings.prefer
-            if order and order[0] != self.process_id and (is_change_requested or len(held) > mine):
+            name, ranking = local_duty.settings.name, self.rankings.get(local_duty.settings.name, [])
+            own_share = self._count_first_choices(self.process_id)
+            is_preferred = ranking and ranking[0].name in local_duty.settings.prefer
+            if ranking and ranking[0] != self.process_id and (is_preferred or len(held) > own_share):
                 local_duty.better_since = min(local_duty.better_since, now)
             else:
                 local_duty.better_since = math.inf
             due = max(local_duty.better_since + self.settings.hand_over_delay_s, self.next_hand_over_at)
             if now >= due and not local_duty.is_handing_over:
-                # Danger: all at once, as soon as a member shows, would make a bad link a storm of hand-overs.
+                # Handing over all at once, as soon as a member appears, would cause hand-over storms on a bad
+                # link.
                 self.next_hand_over_at = now + min(2.0, self.settings.hand_over_delay_s)
                 local_duty.better_since = math.inf
-                self.hand_over(name, f"{order[0].name} should have it")
+                self.hand_over(name, f"{ranking[0].name} should have it")
 
-    def _count_first_choices(self, who: ProcessId) -> int:
-        return sum(1 for order in self.rankings.values() if order and order[0] == who)
+    def _count_first_choices(self, process: ProcessId) -> int:
+        return sum(1 for ranking in self.rankings.values() if ranking and ranking[0] == process)
 
     # ---- actions ----
 
     def apply_actions(self, local_duty: LocalDuty, actions: list[Action]) -> None:
+        """Executes the actions of a candidate."""
         name = local_duty.settings.name
         for action in actions:
             match action:
@@ -231,8 +244,8 @@
                         boot=self.process_id.boot,
                         until=until / self.clock.rate,
                     )
-                case HoldingEnded(_, fence, why):
-                    self._end_holding(local_duty, fence, why)
+                case HoldingEnded(_, fence, reason):
+                    self._end_holding(local_duty, fence, reason)
         self.on_due_change()
 
     def _start_holding(self, local_duty: LocalDuty, fence: int) -> None:
@@ -245,35 +258,39 @@
             lambda: candidate.held_until if candidate.state is State.HOLDING else -math.inf,
             self.clock.now,
         )
-        local_duty.held_duty, before = duty, local_duty.task
-        local_duty.task = asyncio.get_running_loop().create_task(self._serve(local_duty, duty, before))
+        local_duty.held_duty, previous_task = duty, local_duty.task
+        local_duty.task = asyncio.get_running_loop().create_task(self._serve(local_duty, duty, previous_task))
 
-    def _end_holding(self, local_duty: LocalDuty, fence: int, why: str) -> None:
+    def _end_holding(self, local_duty: LocalDuty, fence: int, reason: str) -> None:
         if local_duty.held_duty is not None:
             local_duty.held_duty.ended.set()
             local_duty.held_duty = None
-        local_duty.end_reason = why
-        self._log_holding("stops", local_duty, fence, why=why)
+        local_duty.end_reason = reason
+        self._log_holding("stops", local_duty, fence, why=reason)
 
-    def _log_holding(self, event: str, local_duty: LocalDuty, fence: int, **more: Any) -> None:
-        log.info(event, duty=local_duty.settings.name, fence=fence, boot=self.process_id.boot, **more)
+    def _log_holding(self, event: str, local_duty: LocalDuty, fence: int, **fields: Any) -> None:
+        log.info(event, duty=local_duty.settings.name, fence=fence, boot=self.process_id.boot, **fields)
 
     # ---- the work ----
 
-    async def _serve(self, local_duty: LocalDuty, duty: HeldDuty, before: asyncio.Task[None] | None) -> None:
-        """One holding: claim it at its registers, then its rounds, until it ends."""
-        if before is not None:
-            await asyncio.wait({before})  # one round at a time: the last may still be under way
+    async def _serve(
+        self, local_duty: LocalDuty, duty: HeldDuty, previous_task: asyncio.Task[None] | None
+    ) -> None:
+        """Runs one holding: claims its fence at the registers, then runs rounds of work until it ends."""
+        if previous_task is not None:
+            await asyncio.wait(
+                {previous_task}
+            )  # one round at a time: that of the previous holding may still run
         candidate, fence = local_duty.candidate, duty.fence
         try:
             if not await self._claim_registers(local_duty, duty):
                 return
             self.apply_actions(local_duty, candidate.handle_claimed(self.clock.now(), fence))
             while not duty.ended.is_set():
-                wait = await self._run_in_thread(local_duty.work.act, duty)
+                delay_s = await self._run_in_thread(local_duty.work.act, duty)
                 local_duty.act_count += 1
                 await self._wait_for_next_round(
-                    local_duty, duty, local_duty.settings.every_s if wait is None else wait
+                    local_duty, duty, local_duty.settings.every_s if delay_s is None else delay_s
                 )
         except StaleFenceError as low:
             if not duty.ended.is_set():
@@ -283,9 +300,9 @@
         except WorkCompleted as done:
             if not duty.ended.is_set():
                 self.apply_actions(local_duty, candidate.release(self.clock.now(), str(done)))
-        except Exception as error:  # whatever it is: the duty is not done here, and the next one should try
+        except Exception as error:  # whatever the failure, another instance should try
             if not isinstance(error, WorkError):
-                log.exception("work broke", duty=duty.name, fence=fence)
+                log.exception("work raised an unexpected exception", duty=duty.name, fence=fence)
             if not duty.ended.is_set():
                 self.apply_actions(
                     local_duty, candidate.release(self.clock.now(), f"its work failed: {error}", failed=True)
@@ -309,16 +326,18 @@
         return await asyncio.get_running_loop().run_in_executor(self.executor, call, *args)
 
     async def _wait_for_next_round(self, local_duty: LocalDuty, duty: HeldDuty, seconds: float) -> None:
-        """Until the next round, or the end of the holding, or somebody asks for a round."""
+        """Waits until the next round is due or requested, or the holding ends."""
         end = self.clock.now() + seconds
         while (
-            not duty.ended.is_set() and not local_duty.run_requested and (left := end - self.clock.now()) > 0
+            not duty.ended.is_set()
+            and not local_duty.run_requested
+            and (remaining_s := end - self.clock.now()) > 0
         ):
-            await asyncio.sleep(min(left, POLL_INTERVAL_S))
+            await asyncio.sleep(min(remaining_s, POLL_INTERVAL_S))
         local_duty.run_requested = False
 
     def run_now(self, name: str) -> dict[str, Any]:
-        """Begin the next round at once, if it is held here; else tell who was heard to hold it."""
+        """Begins the next round now, if the duty is held here; otherwise reports the last known holder."""
         local_duty = self.local_duties.get(name)
         held = local_duty is not None and local_duty.held_duty is not None
         if local_duty is not None:
@@ -331,18 +350,18 @@
 
     # ---- hand-over ----
 
-    def hand_over(self, name: str, why: str) -> bool:
-        """Let another have it, once the round that is under way has ended. Gives whether it is held here."""
+    def hand_over(self, name: str, reason: str) -> bool:
+        """Hands over the duty after the current round; returns False if it isn't held here."""
         local_duty = self.local_duties.get(name)
         if local_duty is None or local_duty.held_duty is None or local_duty.is_handing_over:
             return False
         local_duty.is_handing_over = True
-        asyncio.get_running_loop().create_task(self._hand_over(local_duty, local_duty.held_duty, why))
+        asyncio.get_running_loop().create_task(self._hand_over(local_duty, local_duty.held_duty, reason))
         return True
 
-    async def _hand_over(self, local_duty: LocalDuty, duty: HeldDuty, why: str) -> None:
+    async def _hand_over(self, local_duty: LocalDuty, duty: HeldDuty, reason: str) -> None:
         name, task = local_duty.settings.name, local_duty.task
-        others = [who for who in self.rankings.get(name, []) if who != self.process_id][
+        others = [process for process in self.rankings.get(name, []) if process != self.process_id][
             :MAX_ACTIVE_CANDIDATES
         ]
         if others and self.before_hand_over is not None:
@@ -351,16 +370,16 @@
         if task is not None:
             await asyncio.wait({task}, timeout=HAND_OVER_TIMEOUT_S)
         if local_duty.held_duty is not duty:
-            return  # it ended by itself meanwhile
+            return  # it has expired or failed meanwhile
         local_duty.handed_over_at = self.clock.now()
         self.apply_actions(
-            local_duty, local_duty.candidate.release(local_duty.handed_over_at, f"handed over: {why}")
+            local_duty, local_duty.candidate.release(local_duty.handed_over_at, f"handed over: {reason}")
         )
-        for who in others:
-            self.send_offer(who, name, duty.fence)
+        for process in others:
+            self.send_offer(process, name, duty.fence)
 
     async def hand_over_all(self) -> None:
-        """SIGTERM, drain, upgrade: all that is held goes to others, now."""
+        """Hands over all duties, before the process ends in a drain or an upgrade."""
         self.is_leaving = True
         for local_duty in self.local_duties.values():
             local_duty.candidate.stop_trying()
