--- a/mintford/load.py
+++ b/mintford/load.py
@@ -190,7 +190,7 @@
         elapsed: float,
         timeout: float,
     ) -> None:
-        """Update the health of a backend and the latencies by the outcome of an attempt, `elapsed` ms long."""
+        """Update the health of a backend and the latencies by an attempt that took `elapsed` ms."""
         ok, slow, overdue = (
             outcome is api.Outcome.OK,
             self.get_mark(now, backend, "slow"),
@@ -256,7 +256,7 @@
     # ---- choice ----
 
     def choose_cheapest(self, now: float, marks: Sequence[str], candidates: list[Backend]) -> Backend | None:
-        """Choose the lowest cost: the expected latency, raised by failures and zone crossing, times chance."""
+        """Choose the lowest cost: the expected latency, raised by failures and zone crossing, and chance."""
         best, least, chance = (
             None,
             math.inf,
@@ -310,7 +310,7 @@
         )
 
     def draw_candidates(self, backends: list[Backend]) -> list[Backend]:
-        """Draw a few of many backends, each equally likely: every n-th from a random start, n being random."""
+        """Draw a few backends, each equally likely: every n-th from a random start, with a random n."""
         size = len(backends)
         first, step = (
             int(self.random.random() * size),
--- a/mintford/rules.py
+++ b/mintford/rules.py
@@ -151,7 +151,7 @@
         )
         self.fleet.record_outcome(now, attempt.backend, request.marks, api.Outcome.OK, lag, patience)
         if self.attempts.requests.pop(event.request, None):
-            self.attempts.cancel_all(request, out, but=event.attempt)
+            self.attempts.cancel_all(request, out, except_number=event.attempt)
 
     def on_attempt_ended(self, now: float, event: api.AttemptEnded, out: api.Actions) -> None:
         attempt = self.attempts.remove_attempt(event)
