--- a/mintford/attempts.py
+++ b/mintford/attempts.py
@@ -120,7 +120,7 @@
                 yield request
 
     def finish(self, request: Request, out: api.Actions, wait: float = 0.0) -> None:
-        """Give the final answer: a refusal only where a new try is known to do no harm, otherwise a failure."""
+        """Give the final answer: a refusal where a new try is known to do no harm, otherwise a failure."""
         del self.requests[request.id]
         refusal = api.Refuse(request.id, min(wait, self.settings.max_retry_after))
         out.append(
--- a/mintford/shedding.py
+++ b/mintford/shedding.py
@@ -1,4 +1,4 @@
-"""Shedding: which requests are refused because the backends or this gateway's own loop can't keep up."""
+"""Load shedding: refuses requests because the backends or this gateway's own event loop are overloaded."""
 
 from __future__ import annotations
 
@@ -16,57 +16,51 @@
     Fleet,
 )
 
-SHED_START_RATIO, SHED_BAND_RATIO, LOW_WORTH_SHED_RATIO = (
-    0.6,
-    0.5,
-    0.9,
-)  # of the aim: refusals begin; to all; earlier for low worth
-MAX_RESERVED_BURST_RATIO, MAX_RESERVING_CLASS_WEIGHT_RATIO = (
-    0.5,
-    0.2,
-)  # of a burst: left to the class worth most; up to this weight of the worst one
-MIN_FREE_ATTEMPTS, LATENCY_PRIOR_ANSWERS = (
-    2.0,
-    6.0,
-)  # out: too few to tell anything; answers that the recent latency weighs as
-SPARE_CAPACITY_RATIO = 0.1  # of the aim: latency under which capacity counts as clearly spare
-TARGET_LAG_MS, LAG_WEIGHT_RATIO = (
-    20.0,
-    0.5,
-)  # of the gateway's own loop: more than this is strain; weight of one look
-LAG_MEASUREMENT_INTERVAL_MS = 20.0  # about how often it is looked at
-INTEGRAL_GAIN_RATIO, PROPORTIONAL_GAIN_RATIO, MAX_EXCESS_RATIO, MAX_SHED_LEVEL = (
-    0.02,
-    0.12,
-    3.0,
-    0.95,
-)  # gains on the excess; the most
+SHED_START_RATIO = 0.6  # of the latency target: refusals begin at this expected latency
+SHED_BAND_RATIO = 0.5  # of the latency target: refusals become more likely over this range
+LOW_WORTH_SHED_RATIO = 0.9  # by how much earlier refusals begin for requests worth nothing
+MAX_RESERVED_BURST_RATIO = 0.5  # of a customer's burst, reserved for the classes worth most
+# The reservation shrinks as the class with the worst result gains weight, and ends at this weight.
+MAX_RESERVING_CLASS_WEIGHT_RATIO = 0.2
+MIN_FREE_ATTEMPTS = 2.0  # with fewer free attempts, the number in flight says nothing about the load
+LATENCY_PRIOR_ANSWERS = 6.0  # the recent latency counts as much as this many answers
+SPARE_CAPACITY_RATIO = 0.1  # of the latency target: below it the backends clearly have spare capacity
+TARGET_LAG_MS = 20.0  # lag of the gateway's own event loop that is still no overload
+LAG_WEIGHT_RATIO = 0.5  # weight of one measurement
+LAG_MEASUREMENT_INTERVAL_MS = 20.0  # approximate
+INTEGRAL_GAIN_RATIO = 0.02
+PROPORTIONAL_GAIN_RATIO = 0.12
+MAX_EXCESS_RATIO = 3.0
+MAX_SHED_LEVEL = 0.95
 
 
 class LoopLagController:
-    """Of this gateway's own loop: how much a request must be worth to be let in."""
+    """A PI controller on the lag of the gateway's own event loop.
+
+    Its output, the shed level, is how much a request must be worth to be admitted, from 0 to 1.
+    """
 
     def __init__(self, settings: api.Settings, chance: random.Random) -> None:
         self.random = chance
         self.apply_settings(settings)
-        self.lag, self.integral = 0.0, 0.0  # own lag of late; its excess, summed up
-        self.shed_level = 0.0  # how much a request must be worth to be let in
+        self.lag, self.integral = 0.0, 0.0  # smoothed lag in ms, and the sum of its excess
+        self.shed_level = 0.0  # how much a request must be worth to be admitted
 
     def apply_settings(self, settings: api.Settings) -> None:
+        """Use other settings from now on."""
         self.settings = settings
         self.classes = {c.name: c for c in settings.classes}
         self.top_importance = max((c.importance for c in settings.classes), default=1.0)
 
     def update(self, lag: float) -> None:
-        """Raise the level while the loop lags, lower it while it does not: by sum and by present excess."""
-        looks = max(
-            1.0, lag / LAG_MEASUREMENT_INTERVAL_MS
-        )  # that were missed: a slow loop must not slow this down too
-        self.lag += (lag - self.lag) * (1 - (1 - LAG_WEIGHT_RATIO) ** looks)
+        """Take a measured lag: raise the shed level above the target lag, lower it below."""
+        # A slow loop misses measurements. Counting them keeps a slow loop from slowing down the controller.
+        missed = max(1.0, lag / LAG_MEASUREMENT_INTERVAL_MS)
+        self.lag += (lag - self.lag) * (1 - (1 - LAG_WEIGHT_RATIO) ** missed)
         excess = min(MAX_EXCESS_RATIO, self.lag / TARGET_LAG_MS - 1)
         self.integral = min(
             MAX_SHED_LEVEL,
-            max(0.0, self.integral + INTEGRAL_GAIN_RATIO * excess * min(looks, MAX_EXCESS_RATIO)),
+            max(0.0, self.integral + INTEGRAL_GAIN_RATIO * excess * min(missed, MAX_EXCESS_RATIO)),
         )
         self.shed_level = (
             min(MAX_SHED_LEVEL, max(0.0, self.integral + PROPORTIONAL_GAIN_RATIO * excess))
@@ -75,11 +69,11 @@
         )
 
     def get_early_refusal(self, request_class: str) -> float | None:
-        """The time to come back for a request that is refused at the door, None for one that is let in.
+        """The milliseconds to retry after if a request is refused before it is read, None if it is admitted.
 
-        Danger: where the core itself is the bottleneck, queues form in its sockets, unseen by anything that
-        counts what is out, and every request is late. What is refused must cost far less than what is
-        served, so it is judged by its class alone, before it is read whole; the least worth goes first.
+        When the core itself is the bottleneck, queues form in its sockets. Counting the attempts in flight
+        does not see them, and every request is late. A refusal must then cost far less than an answer, so it
+        depends on the request class alone, before the request is read whole. Requests worth least go first.
         """
         kind = self.classes.get(request_class)
         if not self.shed_level or kind is None:
@@ -91,44 +85,45 @@
 
 
 class Shedding:
-    """Of the backends: what would be answered too late is refused early, the least worth first."""
+    """Refuses early the requests that the backends would answer too late, those worth least first."""
 
     def __init__(
-        self, fleet: Fleet, attempts: Attempts, own: LoopLagController, chance: random.Random
+        self, fleet: Fleet, attempts: Attempts, controller: LoopLagController, chance: random.Random
     ) -> None:
-        self.fleet, self.attempts, self.loop_lag, self.random = fleet, attempts, own, chance
+        self.fleet, self.attempts, self.loop_lag, self.random = fleet, attempts, controller, chance
         self.apply_settings()
 
     def apply_settings(self) -> None:
-        own = self.loop_lag
-        even = (
-            own.settings.capabilities.worst_class_weight / MAX_RESERVING_CLASS_WEIGHT_RATIO
-            if own.top_importance
+        """Compute the limits that follow from the settings."""
+        controller = self.loop_lag
+        class_weight_ratio = (
+            controller.settings.capabilities.worst_class_weight / MAX_RESERVING_CLASS_WEIGHT_RATIO
+            if controller.top_importance
             else 1.0
         )
-        self.max_reserved_ratio = MAX_RESERVED_BURST_RATIO * max(0.0, 1 - even)
-        self.max_waits = {kind.name: self.compute_max_wait(kind) for kind in own.settings.classes}
+        self.max_reserved_ratio = MAX_RESERVED_BURST_RATIO * max(0.0, 1 - class_weight_ratio)
+        self.max_waits = {kind.name: self.compute_max_wait(kind) for kind in controller.settings.classes}
 
-    def compute_max_wait(self, kind: api.RequestClass, earns: float = 1.0) -> tuple[float, float]:
-        """The longest wait at which a class is still let in, and the aim that this is a part of, in ms.
+    def compute_max_wait(self, kind: api.RequestClass, earned_ratio: float = 1.0) -> tuple[float, float]:
+        """The longest expected latency at which a class is admitted, and its latency target, both in ms.
 
-        `earns`: the part of its worth that such a request earns, net; under 1 for one beyond its quota.
+        `earned_ratio`: the net part of its worth that the request earns, below 1 for one beyond the quota.
 
-        Danger: all classes stand in the same queues. Judged by its own longer aim, a class of little worth
-        holds out until those worth more than it are late. So the tightest aim counts of those worth as much
-        as this one or more; and the less a class is worth, the less queue it may find.
+        All classes wait in the same queues. If a class of little worth were judged by its own longer latency
+        target, it would be admitted until requests worth more are late. So the tightest target of the classes
+        worth as much or more applies, and a class worth less is admitted only to shorter queues.
         """
         top = self.loop_lag.top_importance
-        lesser = 1 - kind.importance * earns / top if top else 0.0
+        lesser = 1 - kind.importance * earned_ratio / top if top else 0.0
         equals = (c.latency_target for c in self.loop_lag.settings.classes if c.importance >= kind.importance)
-        aim = min((kind.latency_target, *equals))
-        return SHED_START_RATIO * (1 - LOW_WORTH_SHED_RATIO * lesser) * aim, aim
+        target = min((kind.latency_target, *equals))
+        return SHED_START_RATIO * (1 - LOW_WORTH_SHED_RATIO * lesser) * target, target
 
     def compute_reserved_ratio(self, kind: api.RequestClass) -> float:
-        """The part of a customer's burst that a class leaves to those worth more.
+        """The ratio of a customer's burst that a class must leave to classes worth more.
 
-        A unit of quota is spent once. A customer near its quota gets the most for it where the classes that
-        are worth little wait until there is enough for those worth more.
+        A unit of quota can be spent only once. A customer close to its quota gets the most for it if the
+        classes worth little wait until enough is available for those worth more.
         """
         return (
             self.max_reserved_ratio * (1 - kind.importance / self.loop_lag.top_importance)
@@ -137,24 +132,26 @@
         )
 
     def is_too_late(
-        self, now: float, kind: api.RequestClass, earns: float, aim_at: float, expected: float
+        self, now: float, kind: api.RequestClass, earned_ratio: float, target_at: float, expected: float
     ) -> bool:
-        """Whether a request that should take `expected` ms, and earns this part of its worth, is refused."""
-        known = self.max_waits.get(kind.name) if earns == 1.0 else None
-        wait, aim = known or self.compute_max_wait(kind, earns)
+        """Whether a request that should take `expected` ms is refused, as it would be answered too late."""
+        known = self.max_waits.get(kind.name) if earned_ratio == 1.0 else None
+        wait, target = known or self.compute_max_wait(kind, earned_ratio)
+        # Without a usable count of attempts in flight, a random band spreads the refusals.
         band = (
-            SHED_BAND_RATIO * self.random.random() * aim
+            SHED_BAND_RATIO * self.random.random() * target
             if self.fleet.free_attempts < MIN_FREE_ATTEMPTS
             else 0.0
         )
-        return expected > wait + band or now + expected > aim_at
+        return expected > wait + band or now + expected > target_at
 
     def estimate_latency(self, now: float) -> float:
-        """What is out over the rate of answers: how long one more request should take (Little's law).
+        """The expected latency of one more request in ms: attempts in flight / answer rate (Little's law).
 
-        Danger: judged by the latency of answers, overload and its end are seen a whole queue too late. What
-        is out is known at once. It covers floods, slow backends and lost capacity; it could refuse too much
-        where traffic multiplies in a second. Where one gateway's few tell nothing, recent latency decides.
+        The latency of answers shows an overload and its end only after the whole queue has passed. The
+        number of attempts in flight is known at once, and it covers floods, slow backends and lost capacity.
+        It may refuse too much when traffic multiplies within a second. Where a gateway has too few attempts
+        for it to mean anything, the recent latency decides.
         """
         fleet = self.fleet
         waiting = 1 + self.attempts.count_waiting(
@@ -163,8 +160,8 @@
         if fleet.free_attempts >= MIN_FREE_ATTEMPTS:
             if waiting <= fleet.free_attempts:
                 return 0.0
-            # Danger: where few answers come, their rate is mostly chance, and one in three requests would be
-            # refused by it. So it is taken together with what those that came have taken.
+            # With few answers, their rate is mostly chance, and alone it would refuse one request in three. So
+            # it is combined with the recent latency of the answers.
             rate = fleet.answer_rate * math.exp((fleet.last_answer_at - now) / RATE_DECAY_MS)
             prior = LATENCY_PRIOR_ANSWERS if fleet.recent_latency else 0.0
             return (waiting + prior) * 1000 / max(rate + prior * 1000 / max(1.0, fleet.recent_latency), 1e-9)
@@ -172,7 +169,7 @@
         for attempt in self.attempts.in_flight.values():
             age = now - attempt.sent_at
             if age <= answer:
-                break  # those sent later raise it no more
+                break  # attempts sent later are younger and raise it no further
             if not attempt.is_lost:
                 answer *= (age / answer) ** RECENT_LATENCY_WEIGHT_RATIO
         return answer * max(1.0, waiting / MIN_FREE_ATTEMPTS) ** 2
