--- a/mintford/guards.py
+++ b/mintford/guards.py
@@ -1,11 +1,11 @@
-"""Guards of the rules: effects never repeat, refusals are true, cold backends are spared. Without state."""
+"""Stateless checks of the safety rules: effects never repeat, refusals do no harm, cold backends are spared."""
 
 from __future__ import annotations
 
 from . import interface as api
 
-LEASE_MS = 15_000.0  # the design's lease; a backend that is met seldom is remembered no longer
-EXPIRY_MARGIN_MS = 50.0  # a request is ended this long before it expires; small beside any aim
+LEASE_MS = 15_000.0  # length of a quota lease, and the longest decay time of a backend's health marks
+EXPIRY_MARGIN_MS = 50.0  # a request gets its final answer this long before it expires
 NOT_RUN_OUTCOMES = {api.Outcome.FULL, api.Outcome.CONNECT, api.Outcome.IGNORED}
 CANCELLED_OUTCOMES = {api.Outcome.TIMED_OUT, api.Outcome.CANCELLED}
 
@@ -13,10 +13,11 @@
 def can_repeat(
     kind: api.RequestClass, first: api.BackendEntry, sent_at: float, to: api.BackendEntry, now: float
 ) -> bool:
-    """May a request whose earliest attempt that may have run went to `first` at `sent_at` go to another now?
+    """Whether a request may be sent to `to`, as its earliest attempt that may have run went to `first` then.
 
-    Danger: an effect happening twice. Unsafe work is never sent again once it may have run, keyed work only
-    inside the group that drops the repeat, and a little before that group forgets.
+    Without this check an effect could happen twice. An unsafe request is never sent again once it may have
+    run. A keyed one is sent again only to backends that drop the repeat, and only until shortly before they
+    forget the first attempt.
     """
     if kind.effect is api.Effect.SAFE or now >= get_repeat_deadline(kind, sent_at):
         return kind.effect is api.Effect.SAFE
@@ -25,28 +26,35 @@
 
 
 def get_repeat_deadline(kind: api.RequestClass, sent_at: float) -> float:
-    """Until when what may have run, first sent then, may be sent again: a little before it is forgotten."""
-    left = {api.Effect.KEYED: kind.repeat_window - EXPIRY_MARGIN_MS, api.Effect.UNSAFE: 0.0}
-    return sent_at + left.get(kind.effect, float("inf"))
+    """Until when a request that may have run, first sent at that time, may be sent again.
+
+    For a keyed request this is a margin before the backends forget it.
+    """
+    remaining = {api.Effect.KEYED: kind.repeat_window - EXPIRY_MARGIN_MS, api.Effect.UNSAFE: 0.0}
+    return sent_at + remaining.get(kind.effect, float("inf"))
 
 
 def is_refusal_safe(kind: api.RequestClass, may_have_run: bool) -> bool:
-    """Whether a refusal is true: a new try of this request would do no harm."""
+    """Whether this request may be refused, because a new try of it would do no harm."""
     keyed_by_all = kind.effect is api.Effect.KEYED and kind.dedup is api.DedupScope.ALL
     return not may_have_run or kind.effect is api.Effect.SAFE or keyed_by_all
 
 
 def compute_warmth(rules: api.SafetyRules, started: float, now: float) -> float:
-    """The least part of its capacity that a backend started at that time surely has; 0 started: long ago."""
+    """The ratio of its full capacity that a backend started at that time is sure to have.
+
+    A start time of 0 means long ago.
+    """
     age = (now - started) / max(1.0, rules.warmup_time) if started > 0 else 1.0
     return min(1.0, rules.start_capacity + (1 - rules.start_capacity) * age)
 
 
 def compute_cold_share(rules: api.SafetyRules, warm: float) -> float:
-    """The part of an even share of requests that a cold backend is sent.
+    """The ratio of an even share of requests that a cold backend receives.
 
-    Danger: sent more than it can do by all gateways together, a cold backend falls over. Each gateway gives
-    it an even part of its own requests times less than the least it can do, so that the sum over all
-    gateways stays under that part of a warm one's load; twice, as one long request is much of it.
+    A cold backend collapses if all gateways together send more than it can process. So each gateway sends it
+    an even share of its own requests, multiplied by less than the backend's least capacity. The sum over all
+    gateways then stays below that ratio of a warm backend's load. Warmth is a factor twice, because one long
+    request is a large part of a cold backend's load.
     """
     return warm * min(1.0, warm * rules.overload_multiple / 2)
--- a/mintford/shedding.py
+++ b/mintford/shedding.py
@@ -160,7 +160,7 @@
         if fleet.free_attempts >= MIN_FREE_ATTEMPTS:
             if waiting <= fleet.free_attempts:
                 return 0.0
-            # With few answers, their rate is mostly chance, and alone it would refuse one request in three. So
+            # With few answers, their rate is mostly chance and alone would refuse one request in three. So
             # it is combined with the recent latency of the answers.
             rate = fleet.answer_rate * math.exp((fleet.last_answer_at - now) / RATE_DECAY_MS)
             prior = LATENCY_PRIOR_ANSWERS if fleet.recent_latency else 0.0
