--- a/mintford/changes.py
+++ b/mintford/changes.py
@@ -1,10 +1,10 @@
 """Changes of plans in service. What a customer owes stays owed, whatever its plan is.
 
-A customer owes the units that it has taken and that the refill has not returned yet. Its plan sets how much it
-may owe at once (the burst) and how fast that is returned (the rate). So a change moves only the burst: the
+A customer owes the units that it has taken and that the refill has not returned yet. Its plan sets how much
+it may owe at once (the burst) and how fast that is returned (the rate). So a change moves only the burst: the
 store moves by the difference, and each gateway's tokens by its even share of it. An upgrade gives no second
-burst, a downgrade waits for the refill, and a change and its reversal leave everything as it was. Each gateway
-applies a change on its own, in any order with its spending.
+burst, a downgrade waits for the refill, and a change and its reversal leave everything as it was. Each
+gateway applies a change on its own, in any order with its spending.
 """
 
 from __future__ import annotations
--- a/mintford/guards.py
+++ b/mintford/guards.py
@@ -1,4 +1,4 @@
-"""Stateless checks of the safety rules: effects never repeat, refusals do no harm, cold backends are spared."""
+"""Stateless checks of the rules: effects never repeat, refusals do no harm, cold backends are spared."""
 
 from __future__ import annotations
 
--- a/mintford/orders.py
+++ b/mintford/orders.py
@@ -1,8 +1,8 @@
 """Orders of operators that apply to all gateways: limits, blocked customers and shed classes.
 
 A request under such limits is sent once rights to them have been spent for it. The limits of its class, plan
-and customer come first, then those of the chosen backend's pool. A further attempt never goes to a pool with a
-limit. If the question for rights is not answered, the request is refused.
+and customer come first, then those of the chosen backend's pool. A further attempt never goes to a pool with
+a limit. If the question for rights is not answered, the request is refused.
 """
 
 from __future__ import annotations
--- a/tests/decisions/test_ceilings.py
+++ b/tests/decisions/test_ceilings.py
@@ -197,7 +197,7 @@
 def test_the_shared_part_is_judged_by_the_totals_and_by_what_was_taken_here() -> None:
     ceiling = Ceiling(PLAN, 0.5, True, 0.0, 1.0)
     assert not ceiling.can_pay(1, True), "no total has shown that anything is there"
-    ceiling.estimate_shared_tokens(spent=3, before=0, seconds=1)
+    ceiling.estimate_shared_tokens(spent=3, last_epoch_spent=0, seconds=1)
     pool = BURST * MAX_SHARED_RATIO
     assert (
         ceiling.shared_tokens == pool - 3
@@ -205,9 +205,9 @@
         and not ceiling.can_pay(1, False)
     )
     ceiling.take(2, True)
-    ceiling.estimate_shared_tokens(spent=0, before=0, seconds=1)
+    ceiling.estimate_shared_tokens(spent=0, last_epoch_spent=0, seconds=1)
     assert ceiling.shared_tokens == pool - 2, "a total without what was taken here proves nothing of it"
-    ceiling.estimate_shared_tokens(spent=0, before=100, seconds=1)
+    ceiling.estimate_shared_tokens(spent=0, last_epoch_spent=100, seconds=1)
     assert ceiling.shared_tokens == RATE * MAX_SHARED_RATIO, (
         "all of the last epoch's may have been spent at its end"
     )
