--- a/mintford/ceilings.py
+++ b/mintford/ceilings.py
@@ -12,7 +12,8 @@
 
 MAX_SHARED_RATIO = 0.4  # of a ceiling, shared through the counter
 MIN_EVEN_BURST_RATIO = 2.5  # of the largest request: with a smaller even part of the burst, nothing is shared
-# The split part alone can carry this ratio of the quota, for times when the counter is slow or does not answer.
+# The split part alone can carry this ratio of the quota, for times when the counter is slow or does not
+# answer.
 SPLIT_QUOTA_RATIO = 1.3
 
 
@@ -42,7 +43,7 @@
         max_units: float,
         rights_ratio: float = 0.0,
     ) -> None:
-        """`seconds`: since the gateway's start; `max_units`: of a request; `rights_ratio`: spent by rights."""
+        """`seconds`: since the gateway's start; `max_units`: of a request; `rights_ratio`: paid by rights."""
         self.shared_ratio = (
             compute_shared_ratio(plan, even_share, max_units)
             if has_counter and even_share < 1 and not rights_ratio
@@ -59,8 +60,8 @@
             self.shared_ratio * plan.ceiling_rate,
             self.shared_ratio * plan.ceiling_burst,
         )
-        # A restarted gateway does not know what it spent before. Its own part starts empty, so that it can't be
-        # spent twice, and the shared part holds nothing until a total has shown it.
+        # A restarted gateway does not know what it spent before. Its own part starts empty, so that it can't
+        # be spent twice, and the shared part holds nothing until a total has shown it.
         self.own_tokens, self.shared_tokens = seconds * self.own_rate, 0.0
         # A counter that lost its numbers makes the whole shared part look unspent. The allowance keeps this
         # gateway from spending again what it has itself taken of the shared part.
@@ -100,7 +101,7 @@
         return self.own_tokens >= units or (counted and (self.uses_rights or self.shared_tokens >= units))
 
     def needs_shared_part(self, units: float) -> bool:
-        """Whether only the shared part can pay, so that the request's units must be added to the counter first."""
+        """Whether only the shared part can pay. The request's units must be added to the counter first.""" ""
         return self.own_tokens < units <= self.shared_tokens
 
     def take(self, units: float, counted: bool) -> None:
@@ -121,7 +122,7 @@
         self.shared_tokens -= max(0.0, units)
 
     def estimate_shared_tokens(self, spent: float, last_epoch_spent: float, seconds: float) -> None:
-        """Set the shared part to its lower bound by the totals of this epoch, `seconds` old, and of the last."""
+        """Set the shared part to its lower bound, by totals of this epoch, `seconds` old, and of the last."""
         refilled = seconds * self.shared_rate
         least = self.shared_burst - spent - max(0.0, min(last_epoch_spent, self.shared_burst) - refilled)
         self.shared_tokens = min(self.shared_allowance, least)
