--- a/roadpulley/__main__.py
+++ b/roadpulley/__main__.py
@@ -99,15 +99,15 @@
         if config.listen != standing.listen or config.admin != standing.admin:
             log.warning("listen and admin are taken up at a restart only")
         driver, settings = self.life.driver, config.settings
-        if config.told != standing.told:
+        if config.raw_settings != standing.raw_settings:
             self.life.server.set_parser(RequestParser(settings, config.workers))
-            driver.backends.retune(config.connect_timeout, config.keepalive, settings.rules.drain_grace)
-            driver.retune(settings, config.max_open)
+            driver.backends.retune(config.connect_timeout_ms, config.keepalive_ms, settings.rules.drain_grace)
+            driver.apply_settings(settings, config.max_open_requests)
             self.life.machine.times = lifecycle_times(settings)
         if config.discovery != self.discovery.address:
             self.discovery.move(config.discovery)
         if self.counter is not None and config.counter is not None:
-            self.counter.wait = settings.counter_timeout
+            self.counter.timeout_ms = settings.counter_timeout
             self.counter.move(config.counter)
 
 
@@ -182,12 +182,15 @@
     loop, begun = asyncio.get_running_loop(), now_ms()
     timers = Timers(loop)
     tallies = RequestStats()
-    memory, sockets = int(config.memory_mb * BUFFER_MEMORY_RATIO * 2**20), reserve_descriptors(config.sockets)
+    memory, sockets = (
+        int(config.memory_mb * BUFFER_MEMORY_RATIO * 2**20),
+        reserve_descriptors(config.max_descriptors),
+    )
     backends = BackendPools(
         loop,
         timers,
-        config.connect_timeout,
-        config.keepalive,
+        config.connect_timeout_ms,
+        config.keepalive_ms,
         config.settings.rules.drain_grace,
         int(sockets * BACKEND_DESCRIPTORS_RATIO),
         memory,
@@ -198,14 +201,14 @@
         if config.counter
         else None
     )
-    driver = Driver(config.settings, config.seed, timers, backends, counter, config.max_open)
+    driver = Driver(config.settings, config.seed, timers, backends, counter, config.max_open_requests)
 
     version = None
-    if config.known:
-        known = parse_member_list(config.known)
+    if config.saved_members:
+        known = parse_member_list(config.saved_members)
         version = known.version
-        driver.members(ListScope.SAVED, known.members, now_ms())
-    discovery = DiscoveryClient(config.discovery, version, driver.members, random.Random(config.seed))
+        driver.update_members(ListScope.SAVED, known.members, now_ms())
+    discovery = DiscoveryClient(config.discovery, version, driver.update_members, random.Random(config.seed))
     server = RespServer(
         loop,
         timers,
@@ -225,7 +228,7 @@
     if again is not None and load is not None:
         again.ready(ConfigReloader(config, load, life, discovery, counter))
     # Danger: what the agent has counts as told from the first moment on, and what is known may be old.
-    told = loop.create_task(discovery.told.wait())
+    told = loop.create_task(discovery.initial_list_received.wait())
     await asyncio.wait({told, stopped}, timeout=FIRST_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
     told.cancel()
     log.info("list %s after %.0f ms", "heard" if told.done() else "not heard", now_ms() - begun)
@@ -233,7 +236,7 @@
     if port is None:
         life.give(Event.STOP)  # before anybody could come
     else:
-        driver.watch_lag()
+        driver.start_lag_monitor()
         if attach is not None:
             attach(driver)
         gc.collect()
--- a/roadpulley/core/backends.py
+++ b/roadpulley/core/backends.py
@@ -76,7 +76,7 @@
         self.view = memoryview(self.buffer)
         self.unopened: Tally[str] = Tally()  # since the last sweep: one line tells of all
         self.spoilt: Tally[str] = Tally()  # answers, likewise
-        self.timers.at(now_ms() + SWEEP_INTERVAL_MS, self.sweep)
+        self.timers.call_at(now_ms() + SWEEP_INTERVAL_MS, self.sweep)
 
     def retune(self, connect_timeout: float, keepalive: float, drain_grace: float) -> None:
         self.connect_timeout, self.idle_ms = connect_timeout, keepalive * MAX_IDLE_RATIO
@@ -178,7 +178,7 @@
         now = now_ms()
         for connection in list(self.long):
             attempt = connection.attempt
-            overdue = attempt is not None and now > attempt.expires
+            overdue = attempt is not None and now > attempt.expires_at
             if not connection.paused and now - connection.heard_at > (
                 OVERDUE_STALL_TIMEOUT_MS if overdue else STALL_TIMEOUT_MS
             ):
@@ -186,7 +186,7 @@
                 connection.end(EndReason.BROKEN)
         self.looking = bool(self.long)
         if self.looking:
-            self.timers.at(now + STALL_CHECK_INTERVAL_MS, self.look_at_long)
+            self.timers.call_at(now + STALL_CHECK_INTERVAL_MS, self.look_at_long)
 
     def sweep(self) -> None:
         now = now_ms()
@@ -202,7 +202,7 @@
             if tally:
                 log.warning("%s: %s", what, dict(tally))
                 tally.clear()
-        self.timers.at(now + SWEEP_INTERVAL_MS, self.sweep)
+        self.timers.call_at(now + SWEEP_INTERVAL_MS, self.sweep)
 
     def close(self) -> None:
         for connection in list(self.connections):
--- a/roadpulley/core/budget.py
+++ b/roadpulley/core/budget.py
@@ -10,37 +10,37 @@
 
 
 class MemoryBudget:
-    def __init__(self, most: int) -> None:
-        self.most, self.held = most, 0
-        self.waiting: dict[object, tuple[int, Callable[[], object]]] = {}  # in the order of asking
+    def __init__(self, capacity: int) -> None:
+        self.capacity, self.reserved = capacity, 0
+        self.waiters: dict[object, tuple[int, Callable[[], object]]] = {}  # in the order of asking
 
-    def ask(self, who: object, size: int, go: Callable[[], object]) -> bool:
+    def acquire(self, who: object, size: int, go: Callable[[], object]) -> bool:
         """Whether so much is granted at once; else `go` is called when it is.
 
         Raises ValueError for more than there is in all.
         """
-        if not 0 < size <= self.most:
-            raise ValueError(f"{size} of {self.most}")
-        if not self.waiting and self.held + size <= self.most:
-            self.held += size
+        if not 0 < size <= self.capacity:
+            raise ValueError(f"{size} of {self.capacity}")
+        if not self.waiters and self.reserved + size <= self.capacity:
+            self.reserved += size
             return True
-        self.waiting[who] = size, go
+        self.waiters[who] = size, go
         return False
 
-    def give_back(self, size: int) -> None:
-        self.held -= size
+    def release(self, size: int) -> None:
+        self.reserved -= size
         self._grant()
 
-    def leave(self, who: object) -> None:
+    def cancel_wait(self, who: object) -> None:
         """Who waits does not any more."""
-        if self.waiting.pop(who, None) is not None:
+        if self.waiters.pop(who, None) is not None:
             self._grant()  # those behind may fit
 
     def _grant(self) -> None:
-        while self.waiting:
-            who, (size, go) = next(iter(self.waiting.items()))
-            if self.held + size > self.most:
+        while self.waiters:
+            who, (size, go) = next(iter(self.waiters.items()))
+            if self.reserved + size > self.capacity:
                 return
-            del self.waiting[who]
-            self.held += size
+            del self.waiters[who]
+            self.reserved += size
             go()
--- a/roadpulley/core/clock.py
+++ b/roadpulley/core/clock.py
@@ -24,10 +24,10 @@
 class Timer:
     """One call to come."""
 
-    __slots__ = ("callback", "due")
+    __slots__ = ("callback", "due_at")
 
-    def __init__(self, due: float, callback: Callable[[], None]) -> None:
-        self.due = due
+    def __init__(self, due_at: float, callback: Callable[[], None]) -> None:
+        self.due_at = due_at
         self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
@@ -35,7 +35,7 @@
 
 
 def _later(timer: Timer) -> float:
-    return -timer.due
+    return -timer.due_at
 
 
 class Timers:
@@ -53,7 +53,7 @@
         self._armed: float = math.inf  # the tick that the handle is for
         self._running = 0  # the tick whose timers are being called; nothing is put before it
 
-    def at(self, due: float, callback: Callable[[], None]) -> Timer:
+    def call_at(self, due: float, callback: Callable[[], None]) -> Timer:
         timer, tick = Timer(due, callback), max(int(due // TICK_MS) + 1, self._running)
         slot = self._slots.get(tick)
         if slot is not None:
--- a/roadpulley/core/command.py
+++ b/roadpulley/core/command.py
@@ -20,13 +20,13 @@
 
     def feed(self, data: bytes | memoryview) -> None: ...
 
-    def wants(self) -> int:
+    def free_bytes(self) -> int:
         """How many bytes it has room for now; above 0."""
 
-    def done(self) -> None:
+    def finish(self) -> None:
         """All of it has come, and its end with it."""
 
-    def broken(self) -> None:
+    def abort(self) -> None:
         """No more of it will come, and the client must be able to tell."""
 
 
@@ -38,13 +38,13 @@
     def answer(self, reply: bytes) -> None:
         """Give the answer, as RESP. All but the first are ignored."""
 
-    def gone(self, ask: bool) -> bool:
+    def is_client_gone(self, ask: bool) -> bool:
         """Whether its client has left, which is told of at once then.
 
         `ask`: the kernel, as an end that came by now may not have been read.
         """
 
-    def begin(self, length: int, source: Source) -> Sink:
+    def begin_streaming(self, length: int, source: Source) -> Sink:
         """Begin the answer with a value of so many bytes, which come in pieces. It is the only answer."""
 
 
@@ -53,31 +53,31 @@
     """A request as it came; all but the time left is passed on unchanged."""
 
     head: bytes  # encoded: command, customer, id
-    before: bytes  # of the attributes, what stands before the time left
-    after: bytes
+    attributes_before: bytes  # of the attributes, what stands before the time left
+    attributes_after: bytes
     body: bytes  # encoded: what follows the attributes
-    length: int  # arguments in all
+    argument_count: int  # arguments in all
     id: str
     customer: str
     request_class: str
     plan: str
-    wait: float  # how long the client waits, in milliseconds
+    timeout_ms: float  # how long the client waits, in milliseconds
     units: float
     spread: int
     first: int
     repeat: bool
-    long: memoryview | None = None  # a long body with its end, which goes behind what is encoded
+    long_body: memoryview | None = None  # a long body with its end, which goes behind what is encoded
 
     def encode(self, wait: int) -> bytes:
         """The command with the time left that a backend is told."""
         left = b"%d" % wait
-        size = len(self.before) + len(left) + len(self.after)
+        size = len(self.attributes_before) + len(left) + len(self.attributes_after)
         return b"*%d\r\n%b$%d\r\n%b%b%b\r\n%b" % (
-            self.length,
+            self.argument_count,
             self.head,
             size,
-            self.before,
+            self.attributes_before,
             left,
-            self.after,
+            self.attributes_after,
             self.body,
         )
--- a/roadpulley/core/connection.py
+++ b/roadpulley/core/connection.py
@@ -34,26 +34,26 @@
 
     backend: int
     encode: Callable[[int], bytes]
-    expires: float  # its first byte goes out before this or not at all
-    ended: Callable[[Attempt, Outcome, bytes], None]
+    expires_at: float  # its first byte goes out before this or not at all
+    on_end: Callable[[Attempt, Outcome, bytes], None]
     key: tuple[str, int] = ("", 0)  # its request, and its number among that one's attempts
     # Told that a long value begins; gives where it goes, None if nobody wants it any more.
-    begin: Callable[[Attempt, int, Source], Sink | None] | None = None
-    latest: float = float("inf")  # the same, by the rule on repeats
-    wanted: Callable[[Attempt], bool] | None = None  # whether its client still waits
+    on_long_value: Callable[[Attempt, int, Source], Sink | None] | None = None
+    latest_send_at: float = float("inf")  # the same, by the rule on repeats
+    is_client_waiting: Callable[[Attempt], bool] | None = None  # whether its client still waits
     body: memoryview | None = None  # what goes behind the encoded command
     connection: Connection | None = None
     timer: Timer | None = None  # of its time-out
-    over: bool = False
-    passes_on: bool = False  # a long value of it is or was under way to the client
-    use: bytes = b""  # figures on use that came with its answer
+    has_ended: bool = False
+    streams_value: bool = False  # a long value of it is or was under way to the client
+    usage: bytes = b""  # figures on use that came with its answer
 
     def end(self, outcome: Outcome, value: bytes = b"") -> None:
-        if not self.over:
-            self.over, self.connection = True, None
+        if not self.has_ended:
+            self.has_ended, self.connection = True, None
             if self.timer is not None:
                 self.timer.cancel()
-            self.ended(self, outcome, value)
+            self.on_end(self, outcome, value)
 
 
 class Connection:
@@ -102,7 +102,7 @@
         self.pool.loop.add_reader(self.fd, self._readable)
         attempt = self.attempt
         assert attempt is not None
-        if attempt.wanted is None or attempt.wanted(attempt):
+        if attempt.is_client_waiting is None or attempt.is_client_waiting(attempt):
             self.write()
         elif self.attempt is attempt:
             self.end(EndReason.CALLED_OFF)
@@ -118,14 +118,14 @@
         attempt = self.attempt
         assert attempt is not None
         now = now_ms()
-        expired = now >= min(attempt.expires, attempt.latest)
+        expired = now >= min(attempt.expires_at, attempt.latest_send_at)
         if expired or not self.host.takes_new(now) or not self.pool.current(self):
             self.attempt = None
             self.pool.release(self)  # it serves another, or closes
             return attempt.end(
                 resolve_outcome(Stage.CONNECTING, EndReason.EXPIRED if expired else EndReason.SHUT)
             )
-        self.unsent = memoryview(attempt.encode(max(1, int(attempt.expires - now))))
+        self.unsent = memoryview(attempt.encode(max(1, int(attempt.expires_at - now))))
         self.body = attempt.body
         self._flush()
 
@@ -142,7 +142,7 @@
         if not self.unsent:
             # Danger: an empty view of a long value keeps all of it, as long as this connection is idle.
             self.unsent = EMPTY_VIEW
-            self.pool.tallies.relayed += 1
+            self.pool.tallies.attempts_sent += 1
         if bool(self.unsent) != self.writing:
             self.writing = not self.writing
             if self.writing:
@@ -151,7 +151,7 @@
                 self.pool.loop.remove_writer(self.fd)
 
     def _readable(self) -> None:
-        view = self.pool.view if self.sink is None else self.pool.view[: self.sink.wants()]
+        view = self.pool.view if self.sink is None else self.pool.view[: self.sink.free_bytes()]
         try:
             count = self.socket.recv_into(view)
         except (BlockingIOError, InterruptedError):
@@ -192,36 +192,36 @@
     def _begin(self, length: int, start: int) -> memoryview | None:
         """Pass a long value on from now on, if it is wanted; gives what has come of it."""
         attempt = self.attempt
-        if attempt is None or attempt.begin is None or self.unsent:
+        if attempt is None or attempt.on_long_value is None or self.unsent:
             return None
-        sink = attempt.begin(attempt, length, self)
+        sink = attempt.on_long_value(attempt, length, self)
         if sink is None:
             return None
         if attempt.timer is not None:
             attempt.timer.cancel()
         came = memoryview(bytes(self.answer))[start:]
         self.drop_answer()
-        attempt.passes_on = True
+        attempt.streams_value = True
         self.long, self.sink = LongValue(length), sink
         self.heard_at = now_ms()
         if not self.pool.looking:
             self.pool.looking = True
-            self.pool.timers.at(self.heard_at + STALL_CHECK_INTERVAL_MS, self.pool.look_at_long)
+            self.pool.timers.call_at(self.heard_at + STALL_CHECK_INTERVAL_MS, self.pool.look_at_long)
         self.pool.long[self] = None
         return came
 
     def _long(self, data: memoryview) -> Answer | None:
         assert self.long is not None
         self.heard_at = now_ms()
-        if (value := self.long.take(data)) and self.sink is not None:
+        if (value := self.long.consume(data)) and self.sink is not None:
             self.sink.feed(value)
         if self.long is None:
             return None  # the client left meanwhile
-        if self.sink is not None and self.long.ended():
+        if self.sink is not None and self.long.is_complete():
             sink, self.sink = self.sink, None
             self.resume()
-            sink.done()
-        return self.long.answer() if self.long is not None else None
+            sink.finish()
+        return self.long.parse_trailer() if self.long is not None else None
 
     def pause(self) -> None:
         if not self.paused and not self.closed:
@@ -242,12 +242,12 @@
             return self.end(EndReason.SAID)
         self.attempt = None
         # Danger: what else comes here would be taken for the answer to the next request.
-        if usable and answer.clean and not self.unsent:
+        if usable and answer.is_connection_reusable and not self.unsent:
             self.pool.release(self)
         else:
             self.pool.spoilt["more than an answer, or an unknown error"] += 1
             self.close()
-        attempt.use = answer.use
+        attempt.usage = answer.usage
         attempt.end(said, answer.value or b"")
 
     def drop_answer(self) -> None:
@@ -270,7 +270,7 @@
         passed_on = self.long is not None and sink is None  # only what follows a value was still to come
         self.close()
         if sink is not None:
-            sink.broken()
+            sink.abort()
         if attempt is not None:
             attempt.end(Outcome.OK if passed_on else told)
 
--- a/roadpulley/core/counter.py
+++ b/roadpulley/core/counter.py
@@ -39,19 +39,25 @@
 class CounterCall:
     """One call; `done` is called exactly once."""
 
-    __slots__ = ("counter", "done", "line", "name", "outcome", "over", "reading", "timer")
-
-    def __init__(self, counter: CounterClient, name: str, line: bytes, done: CounterCallback) -> None:
-        self.counter, self.name, self.line, self.done, self.over = counter, name, line, done, False
-        self.outcome, self.reading = Outcome.TIMED_OUT, 0.0
+    __slots__ = ("callback", "counter", "has_ended", "line", "name", "outcome", "timer", "total")
+
+    def __init__(self, counter: CounterClient, name: str, line: bytes, callback: CounterCallback) -> None:
+        self.counter, self.name, self.line, self.callback, self.has_ended = (
+            counter,
+            name,
+            line,
+            callback,
+            False,
+        )
+        self.outcome, self.total = Outcome.TIMED_OUT, 0.0
         self.timer: Timer | None = None
 
-    def end(self, outcome: Outcome, reading: float = 0.0) -> None:
-        if not self.over:
-            self.over, self.outcome, self.reading = True, outcome, reading
+    def end(self, outcome: Outcome, total: float = 0.0) -> None:
+        if not self.has_ended:
+            self.has_ended, self.outcome, self.total = True, outcome, total
             if self.timer is not None:
                 self.timer.cancel()
-            self.counter.tell(self.name)
+            self.counter.report_finished(self.name)
 
 
 class CounterConnection(asyncio.Protocol):
@@ -105,7 +111,7 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         self.closed = True
-        self.counter.left.discard(self)
+        self.counter.draining_connections.discard(self)
         self.end_owed()
 
     def end_owed(self) -> None:
@@ -144,13 +150,16 @@
 
     def flush(self) -> None:
         self.flushing = False
-        self.waiting = [call for call in self.waiting if not call.over]
+        self.waiting = [call for call in self.waiting if not call.has_ended]
         if not self.waiting:
             return
         connection, now = self.connection, now_ms()
         if connection is not None and not connection.closed:
             # The counter's machine may have vanished: such a connection stays open and silent for ever.
-            if connection.owed and now - connection.heard_at > SILENCE_TIMEOUT_MS + 2 * self.counter.lag:
+            if (
+                connection.owed
+                and now - connection.heard_at > SILENCE_TIMEOUT_MS + 2 * self.counter.loop_lag_ms
+            ):
                 connection.drop("silent")
             elif len(connection.owed) >= MAX_UNANSWERED_CALLS:
                 connection.drop("too far behind")
@@ -166,7 +175,7 @@
     async def connect(self) -> None:
         host, port = self.counter.address
         try:
-            async with asyncio.timeout(self.counter.wait / 1000):
+            async with asyncio.timeout(self.counter.timeout_ms / 1000):
                 _, self.connection = await self.counter.loop.create_connection(
                     partial(CounterConnection, self.counter), host, port
                 )
@@ -183,7 +192,7 @@
             self.connecting = None
         if self.connection is not None and not self.connection.closed:
             if self.connection.owed:
-                self.counter.left.add(self.connection)
+                self.counter.draining_connections.add(self.connection)
             else:
                 self.connection.drop()
         self.connection = None
@@ -198,15 +207,17 @@
 
 class CounterClient:
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, timers: Timers, address: Address, wait: float
+        self, loop: asyncio.AbstractEventLoop, timers: Timers, address: Address, timeout_ms: float
     ) -> None:
-        self.loop, self.timers, self.address, self.wait = loop, timers, address, wait
+        self.loop, self.timers, self.address, self.timeout_ms = loop, timers, address, timeout_ms
         self.lanes = [CounterLane(self) for _ in range(CONNECTIONS)]
-        self.left: set[CounterConnection] = set()  # at an earlier address, for the answers still owed
+        self.draining_connections: set[CounterConnection] = (
+            set()
+        )  # at an earlier address, for the answers still owed
         self.calls: dict[str, deque[CounterCall]] = {}  # by name, the oldest first: those not yet told of
         self.dropped: Tally[str] = Tally()  # connections, by reason, since the last line of the log
-        self.lag = 0.0  # of this gateway's own loop: the counter is not to blame for it
-        timers.at(now_ms() + SUMMARY_INTERVAL_MS, self.summarize)
+        self.loop_lag_ms = 0.0  # of this gateway's own loop: the counter is not to blame for it
+        timers.call_at(now_ms() + SUMMARY_INTERVAL_MS, self.summarize)
 
     def move(self, address: Address) -> None:
         if address != self.address:
@@ -221,19 +232,19 @@
         self.calls.setdefault(name, deque()).append(call)
         lane = self.lanes[zlib.crc32(encoded) % len(self.lanes)]
         lane.add(call)
-        due = now_ms() + self.wait
-        call.timer = self.timers.at(due, partial(self.expire, lane, call, due))
+        due = now_ms() + self.timeout_ms
+        call.timer = self.timers.call_at(due, partial(self.expire, lane, call, due))
 
-    def tell(self, name: str) -> None:
+    def report_finished(self, name: str) -> None:
         """Tell the outcomes of a name's calls in the order of the calls.
 
         The module knows a call by its name only, and a call to a new address or over a new connection can
         end before an older one. It waits for that one's end, which its own time-out brings.
         """
         calls = self.calls[name]
-        while calls and calls[0].over:
+        while calls and calls[0].has_ended:
             call = calls.popleft()
-            call.done(name, call.outcome, call.reading)
+            call.callback(name, call.outcome, call.total)
         if not calls:
             self.calls.pop(name, None)
 
@@ -241,13 +252,13 @@
         if self.dropped:
             log.warning("connections dropped: %s", dict(self.dropped))
             self.dropped.clear()
-        self.timers.at(now_ms() + SUMMARY_INTERVAL_MS, self.summarize)
+        self.timers.call_at(now_ms() + SUMMARY_INTERVAL_MS, self.summarize)
 
     def expire(self, lane: CounterLane, call: CounterCall, due: float) -> None:
         if (
             now_ms() - due > LATE_TIMER_THRESHOLD_MS
         ):  # once more after this turn of the loop, which reads what has come
-            call.timer = self.timers.at(now_ms(), partial(self.expire, lane, call, math.inf))
+            call.timer = self.timers.call_at(now_ms(), partial(self.expire, lane, call, math.inf))
             return
         written = call not in lane.waiting
         call.end(Outcome.TIMED_OUT if written else Outcome.CONNECT)
@@ -258,5 +269,5 @@
                 lane.connecting.cancel()
             if lane.connection is not None:
                 lane.connection.drop()
-        for connection in list(self.left):
+        for connection in list(self.draining_connections):
             connection.drop()
--- a/roadpulley/core/discovery.py
+++ b/roadpulley/core/discovery.py
@@ -44,7 +44,7 @@
 @dataclass(frozen=True, slots=True)
 class MemberList:
     version: int
-    whole: bool
+    is_full: bool
     members: tuple[Member, ...]
 
 
@@ -189,7 +189,9 @@
         self, address: Address, version: int | None, listener: Listener, chance: random.Random | None = None
     ) -> None:
         self.watch, self.listener = DiscoveryWatch(address, version, chance or random.Random()), listener
-        self.told = asyncio.Event()  # what the agent had at the start, or so far as can be seen
+        self.initial_list_received = (
+            asyncio.Event()
+        )  # what the agent had at the start, or so far as can be seen
         self.open: DiscoveryCall | None = None
         self.connecting: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
@@ -233,14 +235,14 @@
     def on_no_line(self) -> None:
         # Danger: where the first line comes in pieces, what it tells counts already. It is waited for.
         if self.open is None or not self.open.objects.begun:
-            self.told.set()
+            self.initial_list_received.set()
 
     def on_line(self, number: int, text: bytes) -> None:
         if not self.watch.on_line(now_ms(), number):
             return
         if text:
             self.take(number, text)
-        self.told.set()
+        self.initial_list_received.set()
         self.arm()
 
     def on_end(self, number: int, reason: str, clean: bool = False) -> None:
@@ -250,8 +252,8 @@
         """Report a change, and go on whatever came: without a watch the list is stale, drains are missed."""
         try:
             got = parse_member_list(json.loads(text))
-            if got.whole or got.members:
-                scope = ListScope.FULL if got.whole else ListScope.CHANGES
+            if got.is_full or got.members:
+                scope = ListScope.FULL if got.is_full else ListScope.CHANGES
                 self.listener(scope, got.members, self.watch.since)
             self.watch.version = got.version
         except (DiscoveryError, ValueError, RecursionError) as error:
--- a/roadpulley/core/request_stats.py
+++ b/roadpulley/core/request_stats.py
@@ -13,12 +13,12 @@
 
     def __init__(self) -> None:
         self.answers: dict[str, list[int]] = {}  # by class: served, refused, failed
-        self.relayed = 0
+        self.attempts_sent = 0
 
-    def know(self, request_class: str) -> None:
+    def add_class(self, request_class: str) -> None:
         self.answers.setdefault(request_class, [0, 0, 0])
 
-    def answered(self, request_class: str, reply: bytes) -> None:
+    def record_answer(self, request_class: str, reply: bytes) -> None:
         """One final answer, by what it says to the client."""
         outcome = SERVED if reply[:1] != b"-" else REFUSED if reply[:5] == b"-BUSY" else FAILED
         self.answers[request_class][outcome] += 1
--- a/roadpulley/core/resp.py
+++ b/roadpulley/core/resp.py
@@ -50,7 +50,7 @@
 class CommandReader:
     """Cuts a client's bytes into commands: arrays of bulk strings."""
 
-    __slots__ = ("_args", "_at", "_body", "_buffer", "_left", "_size", "_total", "wants")
+    __slots__ = ("_args", "_at", "_body", "_buffer", "_left", "_size", "_total", "wanted_body_bytes")
 
     def __init__(self) -> None:
         self._buffer, self._at = bytearray(), 0  # what is before `_at` has been taken
@@ -58,14 +58,14 @@
         self._left, self._size = 0, -1  # arguments to come; length of the next one, -1 before its header
         self._total = 0
         self._body: bytearray | None = None  # a long one that is granted, and its end with it
-        self.wants = 0  # bytes of a long body: nothing is read until `grant`
+        self.wanted_body_bytes = 0  # bytes of a long body: nothing is read until `grant`
 
-    def grant(self) -> None:
+    def grant_body(self) -> None:
         """The long body that it wants may come."""
-        self._body, self.wants = bytearray(), 0
+        self._body, self.wanted_body_bytes = bytearray(), 0
 
     @property
-    def long(self) -> bool:
+    def is_reading_body(self) -> bool:
         """Whether a long body is under way."""
         return self._body is not None
 
@@ -81,14 +81,14 @@
         self._buffer += data
 
     @property
-    def held(self) -> int:
+    def buffered_bytes(self) -> int:
         """Bytes that are kept of a command that is not whole; 0 between commands."""
         body = len(self._body) if self._body is not None else 0
         return len(self._buffer) - self._at + self._total + body + (1 if self._left else 0)
 
-    def next(self) -> list[bytes] | None:
+    def next_command(self) -> list[bytes] | None:
         """The next whole command, if there is one."""
-        if self.wants:
+        if self.wanted_body_bytes:
             return None
         if self._body is not None:
             return self._long()
@@ -107,7 +107,7 @@
                 if number > MAX_VALUE_BYTES and self._left == 1 and len(self._args) == BODY_ARGUMENT_INDEX:
                     if number > MAX_BODY_BYTES:
                         raise MalformedError("length of an argument")
-                    self.wants = self._size = number
+                    self.wanted_body_bytes = self._size = number
                     return None
                 self._total += number
                 if number > MAX_VALUE_BYTES or self._total > MAX_COMMAND_BYTES:
@@ -171,8 +171,10 @@
 class Answer(NamedTuple):
     value: bytes | None  # None: an error line
     error: bytes
-    clean: bool  # the answer was whole and nothing followed it: the connection may be used again
-    use: bytes = b""  # figures on use, and load report, as they came; b"": none, or none that can be read
+    is_connection_reusable: (
+        bool  # the answer was whole and nothing followed it: the connection may be used again
+    )
+    usage: bytes = b""  # figures on use, and load report, as they came; b"": none, or none that can be read
     report: bytes = b""
 
 
@@ -191,31 +193,31 @@
 class LongValue:
     """What is left of a long answer: the rest of its value, then what an answer ends with."""
 
-    __slots__ = ("left", "tail")
+    __slots__ = ("remaining_bytes", "trailer")
 
     def __init__(self, length: int) -> None:
-        self.left = length  # bytes of the value to come
-        self.tail = bytearray(EMPTY_VALUE_HEADER)  # and what the answer ends with
+        self.remaining_bytes = length  # bytes of the value to come
+        self.trailer = bytearray(EMPTY_VALUE_HEADER)  # and what the answer ends with
 
-    def take(self, data: memoryview) -> memoryview:
+    def consume(self, data: memoryview) -> memoryview:
         """Take in what has come; gives what of it belongs to the value."""
-        value, rest = data[: self.left], data[self.left :]
-        self.left -= len(value)
-        self.tail += rest
+        value, rest = data[: self.remaining_bytes], data[self.remaining_bytes :]
+        self.remaining_bytes -= len(value)
+        self.trailer += rest
         return value
 
-    def ended(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the value's own end is here. Raises MalformedError for another end."""
-        if self.left:
+        if self.remaining_bytes:
             return False
-        end = bytes(self.tail[len(EMPTY_VALUE_HEADER) : len(EMPTY_VALUE_HEADER) + 2])
+        end = bytes(self.trailer[len(EMPTY_VALUE_HEADER) : len(EMPTY_VALUE_HEADER) + 2])
         if not b"\r\n".startswith(end):
             raise MalformedError("end of the value")
         return len(end) == 2
 
-    def answer(self) -> Answer | None:
+    def parse_trailer(self) -> Answer | None:
         """The answer but for its value, once it is whole."""
-        return parse_answer(self.tail) if self.ended() else None
+        return parse_answer(self.trailer) if self.is_complete() else None
 
 
 def parse_answer(data: bytearray) -> Answer | None:
--- a/roadpulley/core/settings.py
+++ b/roadpulley/core/settings.py
@@ -29,15 +29,15 @@
     counter: Address | None
     admin: Address | None  # where operators call
     seed: int
-    sockets: int
+    max_descriptors: int
     memory_mb: int
     settings: api.Settings
-    connect_timeout: float  # milliseconds, as all times here
-    keepalive: float
-    max_open: int
+    connect_timeout_ms: float  # milliseconds, as all times here
+    keepalive_ms: float
+    max_open_requests: int
     workers: int  # that share this gateway's address and place; each is a gateway of its own to the module
-    known: dict[str, Any]  # the list of backends as this gateway last had it, in discovery's form
-    told: dict[str, Any]  # the settings as they came
+    saved_members: dict[str, Any]  # the list of backends as this gateway last had it, in discovery's form
+    raw_settings: dict[str, Any]  # the settings as they came
 
 
 def parse_address(text: str) -> Address:
@@ -93,15 +93,15 @@
             counter=parse_address(raw["counter"]) if raw.get("counter") else None,
             admin=read_admin_address(raw.get("admin")),
             seed=int(str(raw.get("seed") or "0"), 16),
-            sockets=int((raw.get("limits") or {}).get("sockets") or 1024),
+            max_descriptors=int((raw.get("limits") or {}).get("sockets") or 1024),
             memory_mb=int((raw.get("limits") or {}).get("memory_mb") or 64),
             settings=read_settings(settings),
-            connect_timeout=float(caps.get("connectTimeout") or 250),
-            keepalive=float(caps.get("keepalive") or 15_000),
-            max_open=int(caps.get("maxOpen") or 10_000),
+            connect_timeout_ms=float(caps.get("connectTimeout") or 250),
+            keepalive_ms=float(caps.get("keepalive") or 15_000),
+            max_open_requests=int(caps.get("maxOpen") or 10_000),
             workers=workers,
-            known=raw.get("known") or {},
-            told=told,
+            saved_members=raw.get("known") or {},
+            raw_settings=told,
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise ConfigError(f"{type(error).__name__}: {error}") from error
@@ -116,7 +116,7 @@
     try:
         raw = json.loads(Path(path).read_text())
         validate_gateway_config(raw)
-        require_existing_keys(raw["settings"], standing.told)
+        require_existing_keys(raw["settings"], standing.raw_settings)
         if standing.counter is not None and not raw.get("counter"):
             raise ValidationError(
                 "counter", "is missing", "give HOST:PORT, as in the configuration that stands"
--- a/roadpulley/edges/connection.py
+++ b/roadpulley/edges/connection.py
@@ -148,25 +148,25 @@
             or self.pending_bytes > MAX_PENDING_COMMAND_BYTES
             or len(self.slots) >= MAX_PENDING_COMMANDS
             or len(self.unsent) > MAX_UNSENT_BYTES
-            or self.reader.wants > 0
+            or self.reader.wanted_body_bytes > 0
         )
 
     def _process_commands(self) -> None:
         """Take what commands the bytes read so far hold."""
         try:
             while not self._is_blocked():
-                args = self.reader.next()
+                args = self.reader.next_command()
                 if args is None:
-                    if self.reader.wants and self._request_body_grant():
+                    if self.reader.wanted_body_bytes and self._request_body_grant():
                         continue
                     self.has_unparsed_bytes = False
-                    if self.reader.wants or self.reader.long:
+                    if self.reader.wanted_body_bytes or self.reader.is_reading_body:
                         # A long body has its time from its last piece, and in all.
-                        if not self.reader.wants:
+                        if not self.reader.wanted_body_bytes:
                             self.command_deadline = min(
                                 now_ms() + COMMAND_TIMEOUT_MS, self.body_granted_at + BODY_TIMEOUT_MS
                             )
-                    elif not self.reader.held:
+                    elif not self.reader.buffered_bytes:
                         self.command_deadline = None
                     elif self.command_deadline is None:
                         self.command_deadline = now_ms() + COMMAND_TIMEOUT_MS
@@ -178,9 +178,9 @@
 
     def _request_body_grant(self) -> bool:
         """Ask for the room that a long body needs; whether it is granted at once."""
-        size = self.reader.wants
+        size = self.reader.wanted_body_bytes
         try:
-            granted = self.server.body_budget.ask(self, size, self._on_body_granted)
+            granted = self.server.body_budget.acquire(self, size, self._on_body_granted)
         except ValueError:
             raise MalformedError("length of an argument") from None
         if granted:
@@ -191,10 +191,10 @@
 
     def _start_body(self, size: int) -> None:
         self.body_grant_bytes, self.body_granted_at = size, now_ms()
-        self.reader.grant()
+        self.reader.grant_body()
 
     def _on_body_granted(self) -> None:
-        self._start_body(self.reader.wants)
+        self._start_body(self.reader.wanted_body_bytes)
         self.has_unparsed_bytes = True
         self.pump()
 
@@ -271,7 +271,7 @@
         self.slots.append(slot)
         verb = args[0].upper()
         if verb in REQUEST_VERBS:
-            if self.server.handler.strained and (away := self.server.refuse_early(args)):
+            if self.server.handler.is_shedding and (away := self.server.refuse_early(args)):
                 slot.class_name, reply = away
                 return slot.answer(reply)
             try:
@@ -312,12 +312,12 @@
     @property
     def is_awaiting_input(self) -> bool:
         """A command has begun and it is its client's turn, or it waits for room."""
-        return self.is_reading or self.reader.wants > 0
+        return self.is_reading or self.reader.wanted_body_bytes > 0
 
     @property
     def is_at_rest(self) -> bool:
         """Nothing is open here, and no command has begun to come."""
-        return self.is_idle and not self.reader.held
+        return self.is_idle and not self.reader.buffered_bytes
 
     def close_if_disconnected(self) -> bool:
         """Whether its client has left; closes then.
@@ -359,7 +359,7 @@
             self in self.server.without_request
             and (due := self.last_used_at + FIRST_COMMAND_GRACE_MS) > now_ms()
         ):
-            self.server.timers.at(due, self.close_for_drain)
+            self.server.timers.call_at(due, self.close_for_drain)
         else:
             self.close_if_idle()
 
@@ -413,9 +413,9 @@
 
     def _release_body_grant(self) -> None:
         """The room of a long body that is not whole, or the wish for it."""
-        self.server.body_budget.leave(self)
+        self.server.body_budget.cancel_wait(self)
         if self.body_grant_bytes:
-            self.server.body_budget.give_back(self.body_grant_bytes)
+            self.server.body_budget.release(self.body_grant_bytes)
             self.body_grant_bytes = 0
 
     def _discard(self) -> None:
--- a/roadpulley/edges/resp_server.py
+++ b/roadpulley/edges/resp_server.py
@@ -38,9 +38,9 @@
 
 
 class Handler(Protocol):
-    strained: bool  # some requests are turned away at the door
+    is_shedding: bool  # some requests are turned away at the door
 
-    def turn_away(self, request_class: str) -> bytes | None: ...
+    def encode_early_refusal(self, request_class: str) -> bytes | None: ...
 
     def on_command(self, command: Command, slot: ReplySlot) -> None: ...
 
@@ -113,7 +113,9 @@
         if self.listener is not None and self.accepting:
             self.accepting = False
             self.loop.remove_reader(self.listener.fileno())
-            self.accept_timer = self.timers.at(now_ms() + ACCEPT_RETRY_INTERVAL_MS, self._resume_accepting)
+            self.accept_timer = self.timers.call_at(
+                now_ms() + ACCEPT_RETRY_INTERVAL_MS, self._resume_accepting
+            )
 
     def _accept(self) -> None:
         for turn in range(
@@ -180,7 +182,7 @@
         """Class and refusal of a request that is not worth reading whole just now, if seen before."""
         plain = ATTRIBUTES_PATTERN.fullmatch(args[3]) if len(args) > 3 else None
         known = self.parser.known_attributes.get((args[0], *plain.group(2, 3, 7, 8, 9))) if plain else None
-        reply = self.handler.turn_away(known[0].name) if known else None
+        reply = self.handler.encode_early_refusal(known[0].name) if known else None
         return (known[0].name, reply) if known and reply else None
 
     def find_class(self, args: list[bytes]) -> str | None:
@@ -227,13 +229,13 @@
             log.warning("refused: %s", dict(self.refusals))
             self.refusals.clear()
             self.last_log_at = now
-        self.timers.at(now + SWEEP_INTERVAL_MS, self.sweep)
+        self.timers.call_at(now + SWEEP_INTERVAL_MS, self.sweep)
 
     def set_parser(self, parser: RequestParser) -> None:
         """Other terms from the next request on. What was counted of a class that is dropped stays."""
         self.parser = parser
         for name in parser.classes:
-            self.tallies.know(name.decode())
+            self.tallies.add_class(name.decode())
 
     def set_admission(self, answers_ping: bool, accepts: bool, keeps_idle: bool) -> None:
         """Change what the server offers to its clients.
--- a/roadpulley/edges/slots.py
+++ b/roadpulley/edges/slots.py
@@ -38,7 +38,7 @@
         self.body_grant_bytes = 0  # bytes of the budget that its body holds
         self.stream: StreamingReply | None = None  # its answer, where that comes in pieces
 
-    def begin(self, length: int, source: Source) -> Sink:
+    def begin_streaming(self, length: int, source: Source) -> Sink:
         """The client that leaves is told of as before: `request` stays until the value has ended."""
         self.answered = True
         self.stream = StreamingReply(self, length, source)
@@ -50,12 +50,12 @@
         if not self.answered:
             self.answered, self.reply, self.request = True, reply, None
             if self.class_name is not None:
-                self.connection.server.tallies.answered(self.class_name, reply)
+                self.connection.server.tallies.record_answer(self.class_name, reply)
             if self.body_grant_bytes:
                 self.release_body_grant()
             self.connection.pump()
 
-    def gone(self, ask: bool) -> bool:
+    def is_client_gone(self, ask: bool) -> bool:
         connection = self.connection
         return connection.is_closed or (
             (ask or not connection.is_reading) and connection.close_if_disconnected()
@@ -63,7 +63,7 @@
 
     def release_body_grant(self) -> None:
         granted, self.body_grant_bytes = self.body_grant_bytes, 0
-        self.connection.server.body_budget.give_back(granted)
+        self.connection.server.body_budget.release(granted)
 
 
 class StreamingReply:
@@ -88,7 +88,7 @@
         else:
             self.pause_source()
 
-    def wants(self) -> int:
+    def free_bytes(self) -> int:
         connection = self.slot.connection
         return max(
             MIN_HIGH_WATER_BYTES,
@@ -124,14 +124,14 @@
         connection.streaming_replies -= 1
         connection.server.streaming_replies -= 1
         if slot.class_name is not None:
-            connection.server.tallies.answered(slot.class_name, reply)
+            connection.server.tallies.record_answer(slot.class_name, reply)
 
-    def done(self) -> None:
+    def finish(self) -> None:
         self.release(b"$")
         self.slot.reply = bytes(self.pending) + b"\r\n"
         self.slot.connection.pump()
 
-    def broken(self) -> None:
+    def abort(self) -> None:
         """The client can tell only by the end of its connection."""
         if self.slot.stream is not None:
             self.release(b"-ERR")
--- a/roadpulley/fleet/counts/client.py
+++ b/roadpulley/fleet/counts/client.py
@@ -36,11 +36,11 @@
         )
         call = self.pending[self.last_sequence] = CounterCall(self, name, b"", done)
         self.calls.setdefault(name, deque()).append(call)
-        self._send(call, request, now_ms() + self.wait)
+        self._send(call, request, now_ms() + self.timeout_ms)
 
     def _send(self, call: CounterCall, request: AddRequest, deadline: float) -> None:
         self.agent_link.send(request)
-        call.timer = self.timers.at(
+        call.timer = self.timers.call_at(
             min(now_ms() + RETRY_INTERVAL_MS, deadline), partial(self._retry, call, request, deadline)
         )
 
--- a/roadpulley/fleet/verdicts/client.py
+++ b/roadpulley/fleet/verdicts/client.py
@@ -68,4 +68,4 @@
 
     def _apply_verdicts(self, found: dict[int, tuple[float, float, float]]) -> None:
         self.snapshot_at = self.clock.now() if found else 0.0
-        self.driver.give(PeerVerdictsChanged(found))
+        self.driver.handle_event(PeerVerdictsChanged(found))
--- a/roadpulley/operations/life.py
+++ b/roadpulley/operations/life.py
@@ -46,7 +46,7 @@
         takes = self.stance is None or self.stance.takes
         self.stance = stance
         if stance.takes != takes:
-            self.driver.give(api.AdmissionChanged(stance.takes))
+            self.driver.handle_event(api.AdmissionChanged(stance.takes))
         if self.machine.state in (State.LEAVING, State.ENDED):
             self.left.set()
         if stance.ended:
@@ -57,7 +57,7 @@
     def watch(self) -> None:
         due = self.machine.due()
         if due < math.inf:
-            self.timers.at(due, partial(self.give, Event.TIME))
+            self.timers.call_at(due, partial(self.give, Event.TIME))
 
     # ---- operators ----
 
@@ -77,7 +77,7 @@
         for name, counts in tallies.answers.items():
             for outcome, count in zip(OUTCOMES, counts, strict=True):
                 yield f"operations.{name}.{outcome}", count
-        yield "relayed", tallies.relayed
+        yield "relayed", tallies.attempts_sent
         yield "open_requests", len(self.driver.requests)
         yield "registry_entries", len(fleet.backends)
         yield "out_of_rotation", self.driver.gateway.count_avoided(now_ms())
--- a/roadpulley/operations/link.py
+++ b/roadpulley/operations/link.py
@@ -84,8 +84,8 @@
             writer.close()
             return self.beside(str(error) or "no answer")
         self.before = Predecessor(reader, writer)
-        self.driver.give(api.GatewayShareChanged(HALF))
-        self.driver.give(api.HandoverReceived(estate))
+        self.driver.handle_event(api.GatewayShareChanged(HALF))
+        self.driver.handle_event(api.HandoverReceived(estate))
         log.info("half of %d customers' leases taken over", len(estate.customers))
 
     def beside(self, reason: str) -> None:
@@ -95,7 +95,9 @@
         them is here.
         """
         log.warning("nothing could be taken over: %s", reason)
-        self.driver.give(api.HandoverReceived(api.HandoverState(now_ms() + MOST_BESIDE_MS, (), (), 0.0, 0.0)))
+        self.driver.handle_event(
+            api.HandoverReceived(api.HandoverState(now_ms() + MOST_BESIDE_MS, (), (), 0.0, 0.0))
+        )
 
     async def serves(self) -> None:
         """This process takes clients now; the one before it may be stopped."""
@@ -114,9 +116,9 @@
             log.warning("what was left could not be taken over: %s", error)
         before.writer.close()
         self.before = None
-        self.driver.give(api.GatewayShareChanged(1.0))
+        self.driver.handle_event(api.GatewayShareChanged(1.0))
         if rest is not None:
-            self.driver.give(api.HandoverReceived(rest))
+            self.driver.handle_event(api.HandoverReceived(rest))
         log.info("the process before has gone, %s", "all is taken over" if rest else "with what it held")
         await self.listen()
 
@@ -163,14 +165,14 @@
             if self.after is writer:
                 self.after = None
                 self.succeeded(False)
-                self.driver.give(api.GatewayShareChanged(1.0))
+                self.driver.handle_event(api.GatewayShareChanged(1.0))
                 log.info("the next process has gone: this one stands for the whole again")
 
     def divide(self, part: float) -> api.HandoverState | None:
         """What the module gives when this process stands for such a part from now on."""
         self.estate = None
         self.driver.hand_over = self.take
-        self.driver.give(api.GatewayShareChanged(part))
+        self.driver.handle_event(api.GatewayShareChanged(part))
         estate, self.estate = self.estate, None
         return estate
 
--- a/roadpulley/plans/watch.py
+++ b/roadpulley/plans/watch.py
@@ -36,11 +36,11 @@
                 self.complaint = str(error)
                 log.error("plans stay as they are: %s: %s", self.path, error)
         self.begin()
-        self.timers.at(min(now_ms() + self.look_ms, max(now_ms(), self.follower.next_at())), self.look)
+        self.timers.call_at(min(now_ms() + self.look_ms, max(now_ms(), self.follower.next_at())), self.look)
 
     def begin(self) -> None:
         for change in self.follower.tick(int(now_ms())):
-            self.driver.give(change)
+            self.driver.handle_event(change)
 
     def _read(self) -> None:
         stat = self.path.stat()
@@ -64,7 +64,7 @@
                 self.follower.doc.seq,
             )
         for change in self.follower.take(int(now_ms()), doc):
-            self.driver.give(change)
+            self.driver.handle_event(change)
         log.info("plans follow %s at %d", self.path, self.follower.doc.seq)
 
     def close(self) -> None:
--- a/roadpulley/testbed/node.py
+++ b/roadpulley/testbed/node.py
@@ -124,7 +124,7 @@
         self.reader.feed(data)
         self.received += len(data)
         try:
-            while (args := self.reader.next()) is not None:
+            while (args := self.reader.next_command()) is not None:
                 first, self.first_at = self.first_at or now, None
                 receipt = Receipt(first, self.departed_at())
                 if len(self.turns) < self.node.kind.streams and not self.behind:
@@ -135,7 +135,7 @@
             self.node.odd(self, str(error))
             self.transport.write(SYNTAX)
             return self.transport.close()
-        if self.reader.held and self.first_at is None:
+        if self.reader.buffered_bytes and self.first_at is None:
             self.first_at = now
 
     def departed_at(self) -> float | None:
@@ -143,7 +143,7 @@
         departures = self.node.origins.departures.get(self.peer)
         if departures is None:
             return None
-        return departures.departed_at(self.received - self.reader.held)
+        return departures.departed_at(self.received - self.reader.buffered_bytes)
 
     def pump(self) -> None:
         """Write what is due, in the order of the commands."""
--- a/roadpulley/usage/meter.py
+++ b/roadpulley/usage/meter.py
@@ -39,17 +39,17 @@
         folder.mkdir(parents=True, exist_ok=True)
         self._tick()
 
-    def sent(self, command: Command) -> Row | None:
+    def record_sent(self, command: Command) -> Row | None:
         versions = self.versions(command.customer, command.plan)
         return self.tally.sent(now_ms(), command.customer, versions, command.request_class, command.units)
 
-    def settled(self, row: Row, command: Command, true: float) -> None:
+    def record_settled(self, row: Row, command: Command, true: float) -> None:
         self.tally.settled(now_ms(), row, command.units, true)
 
     def _tick(self) -> None:
         if self.writing is None and (self.tally.held or self.tally.due(now_ms())):
             self._write(self.tally.close(now_ms()))
-        self.timers.at(now_ms() + FLUSH_MS / 4, self._tick)
+        self.timers.call_at(now_ms() + FLUSH_MS / 4, self._tick)
 
     def _write(self, batches: list[Batch]) -> None:
         self.writing = self.loop.run_in_executor(None, written, self.folder, batches)
--- a/roadpulley/workers/worker.py
+++ b/roadpulley/workers/worker.py
@@ -86,7 +86,7 @@
         while True:
             await asyncio.sleep(self.beat_s)
             if self.driver is not None:
-                self.say(f"beat {self.driver.oldest_ms():.0f}")
+                self.say(f"beat {self.driver.get_oldest_request_age_ms():.0f}")
 
 
 def follow(settings: str, driver: Driver) -> Versions:
@@ -159,7 +159,7 @@
     def changed(orders: tuple[Order, ...]) -> None:
         if isinstance(driver.rights, LimitSpender):
             driver.rights.set_orders(orders)
-        driver.give(to_orders_changed(orders))
+        driver.handle_event(to_orders_changed(orders))
 
     OrderClient(line, FollowerSettings(**terms), changed)
 
--- a/tests/core/test_backends.py
+++ b/tests/core/test_backends.py
@@ -346,7 +346,7 @@
             connection = tried.attempt.connection
             assert connection is not None
             closed: list[bool] = []
-            tried.attempt.ended = lambda *_: closed.append(connection.socket.fileno() == -1)
+            tried.attempt.on_end = lambda *_: closed.append(connection.socket.fileno() == -1)
             made.give_up(tried.attempt, EndReason.CALLED_OFF)
             assert closed == [True]
             await until(lambda: server.ended)
--- a/tests/core/test_budget.py
+++ b/tests/core/test_budget.py
@@ -22,26 +22,28 @@
             granted.append(who)
 
         asked.append(who)
-        if budget.ask(who, size, go):
+        if budget.acquire(who, size, go):
             go()
 
     for number, (what, size) in enumerate(steps):
         if what == "ask":
             ask(number, size)
         elif what == "give" and has:
-            budget.give_back(has.pop(next(iter(has))))
-        elif what == "leave" and budget.waiting:
-            gone = next(iter(budget.waiting))
-            budget.leave(gone)
+            budget.release(has.pop(next(iter(has))))
+        elif what == "leave" and budget.waiters:
+            gone = next(iter(budget.waiters))
+            budget.cancel_wait(gone)
             asked.remove(gone)  # type: ignore[arg-type]
-        assert budget.held == sum(has.values()) <= budget.most
-        first = next(iter(budget.waiting.values()), None)
-        assert first is None or budget.held + first[0] > budget.most, "whoever is first and fits has it"
+        assert budget.reserved == sum(has.values()) <= budget.capacity
+        first = next(iter(budget.waiters.values()), None)
+        assert first is None or budget.reserved + first[0] > budget.capacity, (
+            "whoever is first and fits has it"
+        )
     while has:
-        budget.give_back(has.pop(next(iter(has))))
-    assert not budget.waiting and granted == asked
+        budget.release(has.pop(next(iter(has))))
+    assert not budget.waiters and granted == asked
 
 
 def test_more_than_there_is_in_all_is_refused_at_once() -> None:
     with pytest.raises(ValueError):
-        MemoryBudget(10).ask("who", 11, lambda: None)
+        MemoryBudget(10).acquire("who", 11, lambda: None)
--- a/tests/core/test_counter.py
+++ b/tests/core/test_counter.py
@@ -200,7 +200,7 @@
             assert (await calls.ended(3))[1:] == [("n", Outcome.OK, 111.0), ("n", Outcome.OK, 222.0)]
             assert not calls.counter.calls
             old.hang_up()
-            await until(lambda: not calls.counter.left)
+            await until(lambda: not calls.counter.draining_connections)
         await new.stop()
 
     in_loop(scenario)
--- a/tests/core/test_discovery_watch.py
+++ b/tests/core/test_discovery_watch.py
@@ -348,7 +348,7 @@
     async def scenario(agent: Scripted, client: module.DiscoveryClient) -> None:
         call = await agent.called(1)
         call.say(CHUNKED + chunk(b"\n"))
-        await until(lambda: client.told.is_set())
+        await until(lambda: client.initial_list_received.is_set())
         due = client.watch.due
         while module.now_ms() < due + 50:
             pass  # the loop stands still here
@@ -445,11 +445,11 @@
         await until(lambda: client.watch.state is WatchState.FOLLOWING)
         headed = now_ms()
         if not begun:
-            await client.told.wait()
+            await client.initial_list_received.wait()
         await until(lambda: now_ms() > headed + 2_000 * module.FIRST_LINE_TIMEOUT_S)
-        assert client.told.is_set() != begun
+        assert client.initial_list_received.is_set() != begun
         call.say(line[40:] if begun else line)
-        await client.told.wait()
+        await client.initial_list_received.wait()
         await until(lambda: agent.heard)
 
     followed(scenario)
@@ -461,7 +461,7 @@
     async def scenario(agent: Scripted, client: module.DiscoveryClient) -> None:
         old = await agent.called(1)
         old.say(CHUNKED + chunk(b"\n"))
-        await until(lambda: client.told.is_set())
+        await until(lambda: client.initial_list_received.is_set())
         old.put(chunk(change(99, 9)))
         client.move(client.address)
         new = await agent.called(2)
--- a/tests/core/test_driver.py
+++ b/tests/core/test_driver.py
@@ -81,15 +81,15 @@
 
     async def scenario() -> None:
         scene = Scene()
-        scene.driver.watch_lag()
+        scene.driver.start_lag_monitor()
         time.sleep(0.3)  # the loop stands still here
         scene.ask(b"first", wait=1000)  # read in the same turn, before any look at the lag
-        first = scene.driver.requests["first"].expires
+        first = scene.driver.requests["first"].expires_at
         assert first - now_ms() <= 1000 - 250
         await asyncio.sleep(0)
-        await until(lambda: scene.driver.behind == 0.0 and scene.driver.look_due > now_ms())
+        await until(lambda: scene.driver.last_lag_ms == 0.0 and scene.driver.next_lag_check_at > now_ms())
         scene.ask(b"second", wait=1000)
-        assert scene.driver.requests["second"].expires - now_ms() > 900
+        assert scene.driver.requests["second"].expires_at - now_ms() > 900
 
     in_loop(scenario)
 
--- a/tests/core/test_lag.py
+++ b/tests/core/test_lag.py
@@ -48,7 +48,7 @@
             time.sleep(0.2)  # the loop stands still
             await until(lambda: told)
             assert told[0] > 100
-            await until(lambda: told[-1] == 0.0 and not driver.lagging)
+            await until(lambda: told[-1] == 0.0 and not driver.was_lagging)
 
     in_loop(scenario)
 
@@ -63,14 +63,14 @@
             peer = await world.client()
             assert await world.ask(peer) == b"value"
             (driver,) = made
-            driver.gateway.loop_lag.shed_level, driver.strained = 1.0, True  # nothing is worth that much
+            driver.gateway.loop_lag.shed_level, driver.is_shedding = 1.0, True  # nothing is worth that much
             peer.send(*request(b"r2"))
             assert str(await peer.receive()) == "BUSY 500"
             assert not driver.requests and len(world.backends[0].got) == 1
             # What was never seen to be right is read in full: a wrong one is still told why.
             peer.send(*request(b"r3", plan=b"golden"))
             assert str(await peer.receive()) == "ERR unknown plan"
-            driver.gateway.loop_lag.shed_level, driver.strained = 0.0, False
+            driver.gateway.loop_lag.shed_level, driver.is_shedding = 0.0, False
             assert await world.ask(peer, id=b"r4") == b"value"
 
     in_loop(scenario)
--- a/tests/core/test_outcomes.py
+++ b/tests/core/test_outcomes.py
@@ -155,7 +155,7 @@
                 f"{number} is written {what}"
                 for bad, what in (
                     (bool(told.outcomes), "after its end"),
-                    (now_ms() >= attempt.latest, "too late"),
+                    (now_ms() >= attempt.latest_send_at, "too late"),
                     (not self.ready, "to a backend that drains"),
                     (leads != here, "to another process"),
                 )
@@ -163,12 +163,12 @@
             ]
             return encode(b"API.READ", b"0" * 16, b"%d" % number, b"d=%d" % wait, *([BIG] if big else []))
 
-        made = Attempt(1, written, now_ms() + 60_000, ended, latest=0.0 if late else float("inf"))
+        made = Attempt(1, written, now_ms() + 60_000, ended, latest_send_at=0.0 if late else float("inf"))
         self.tries.append((made, told))
         self.pool.send(made)
 
     def out(self) -> list[tuple[Attempt, Told]]:
-        return [(attempt, told) for attempt, told in self.tries if not attempt.over]
+        return [(attempt, told) for attempt, told in self.tries if not attempt.has_ended]
 
     def end(self, ending: EndReason) -> None:
         for attempt, _ in self.out()[:1]:
--- a/tests/core/test_usage_figures.py
+++ b/tests/core/test_usage_figures.py
@@ -56,8 +56,8 @@
 ) -> None:
     data = b"*3\r\n" + encoded(value) + encoded(use) + encoded(report)
     answer = parse_answer(bytearray(data))
-    assert answer is not None and answer.value == value and answer.clean
-    assert answer.use == (use if isinstance(use, bytes) else b"")
+    assert answer is not None and answer.value == value and answer.is_connection_reusable
+    assert answer.usage == (use if isinstance(use, bytes) else b"")
     assert answer.report == (report if isinstance(report, bytes) else b"")
     assert all(parse_answer(bytearray(data[:cut])) is None for cut in range(1, len(data)))
 
@@ -69,4 +69,4 @@
         answer = parse_answer(data)
     except MalformedError:
         return
-    assert answer is not None and answer.value == b"ok" and not answer.clean
+    assert answer is not None and answer.value == b"ok" and not answer.is_connection_reusable
--- a/tests/edges/test_client_disconnects.py
+++ b/tests/edges/test_client_disconnects.py
@@ -53,7 +53,7 @@
         return found
 
     def nothing_is_held(self) -> bool:
-        attempts, held = self.driver.gateway.attempts, self.server.body_budget.held
+        attempts, held = self.driver.gateway.attempts, self.server.body_budget.reserved
         out = [b.open_attempts for b in self.driver.gateway.fleet.backends.values()]
         customers = [c.open_attempts for c in self.driver.gateway.quotas.customers.values()]
         return not (
@@ -136,7 +136,7 @@
         else:
             client.write(b"".join(keyed(b"%d" % n, b"x" * 60_000) for n in range(4)))
         one = await scene.one()
-        await until(lambda: one.slots and not one.is_reading and not scene.driver.busy)
+        await until(lambda: one.slots and not one.is_reading and not scene.driver.is_handling)
         await until(lambda: sum(len(b.got) for b in scene.world.backends) == len(scene.driver.attempts))
         before = [len(b.got) for b in scene.world.backends]
         client.leave(how)
@@ -156,7 +156,7 @@
         one = await scene.one()
         client.write(encode(*request(b"late")))
         client.leave(how)
-        scene.driver.look_due = driver_module.now_ms() - 150  # the loop is late by so much
+        scene.driver.next_lag_check_at = driver_module.now_ms() - 150  # the loop is late by so much
         one._on_readable()
         assert not scene.driver.attempts and not scene.driver.requests
         await until(scene.nothing_is_held)
@@ -214,15 +214,15 @@
     monkeypatch.setattr(resp_server, "SWEEP_INTERVAL_MS", 10.0)
 
     async def scenario(scene: Scene) -> None:
-        scene.server.body_budget.held = scene.server.body_budget.most  # by others
+        scene.server.body_budget.reserved = scene.server.body_budget.capacity  # by others
         client = Leaver(scene.world.port)
         client.write(keyed(b"long", b"x" * 100_000)[:400])
         one = await scene.one()
-        await until(lambda: one.reader.wants)
+        await until(lambda: one.reader.wanted_body_bytes)
         client.leave(how)
         await until(lambda: not scene.server.connections)
-        assert not scene.server.body_budget.waiting
-        scene.server.body_budget.held = 0
+        assert not scene.server.body_budget.waiters
+        scene.server.body_budget.reserved = 0
 
     played(scenario)
 
@@ -236,18 +236,18 @@
         await until(lambda: scene.driver.attempts)
         owner = scene.driver.requests["gone"]
         # Its client leaves in the turn in which the module sends it again: the send is acted on after that.
-        scene.driver.busy = True
+        scene.driver.is_handling = True
         client.leave("closed")
         scene.driver.on_client_gone("gone")
-        scene.driver.busy = False
+        scene.driver.is_handling = False
         gateway: Any = scene.driver.gateway
         request_ = gateway.attempts.requests.get("gone")
         out: list[api.Action] = []
         other = gateway.fleet.backends[list(gateway.fleet.backends)[1]]
         gateway.attempts.send(driver_module.now_ms(), request_, other, out)
-        assert owner.made == 1 and [a.attempt for a in out if isinstance(a, api.Send)] == [1]
+        assert owner.attempt_count == 1 and [a.attempt for a in out if isinstance(a, api.Send)] == [1]
         for action in out:
-            scene.driver.acts[type(action)](action)
+            scene.driver.action_handlers[type(action)](action)
         await until(scene.nothing_is_held)
 
     played(scenario, Backend(silent), Backend(silent))
--- a/tests/edges/test_connection_close.py
+++ b/tests/edges/test_connection_close.py
@@ -214,7 +214,7 @@
     async def scenario(world: World, server: RespServer) -> None:
         client = Raw(world.port)
         client.write(before)
-        await until(lambda: [c for c in server.connections if bool(c.reader.held) == bool(before)])
+        await until(lambda: [c for c in server.connections if bool(c.reader.buffered_bytes) == bool(before)])
         (one,) = server.connections
         await until(lambda: one.is_overdue(now_ms()))
         client.write(unread)
@@ -332,17 +332,17 @@
     length = 100_000
 
     async def scenario(world: World, server: RespServer) -> None:
-        taken = 0 if granted else server.body_budget.most
-        server.body_budget.held = taken  # by others
+        taken = 0 if granted else server.body_budget.capacity
+        server.body_budget.reserved = taken  # by others
         client = Raw(world.port)
         client.write(encode(*request(b"long", name=b"keyed", body=b"x" * length)).split(b"x" * 64)[0])
-        await until(lambda: any(c.body_grant_bytes or c.reader.wants for c in server.connections))
+        await until(lambda: any(c.body_grant_bytes or c.reader.wanted_body_bytes for c in server.connections))
         (one,) = server.connections
         one.finish_commands()
         assert await client.rest() == b"" and not client.reset
-        assert server.body_budget.held == taken and not server.body_budget.waiting
+        assert server.body_budget.reserved == taken and not server.body_budget.waiters
         client.socket.close()
         await until(lambda: not server.connections)
-        assert server.body_budget.held == taken
+        assert server.body_budget.reserved == taken
 
     played(scenario)
--- a/tests/edges/test_fast_paths.py
+++ b/tests/edges/test_fast_paths.py
@@ -67,7 +67,7 @@
     terms.parse(args)
     assert len(terms.known_attributes) == 1
     with mock.patch.object(module, "parse_decimal", side_effect=AssertionError("the long way")):
-        assert terms.parse(args).wait == 480.0
+        assert terms.parse(args).timeout_ms == 480.0
     with mock.patch.object(module, "MAX_CACHED_ATTRIBUTES", 1):
         terms.parse([b"API.READ", b"00000000b4d65521", b"r1", GOOD.replace(b"free", b"basic")])
     assert len(terms.known_attributes) == 1
@@ -85,9 +85,9 @@
         try:
             for start, end in zip(edges, edges[1:], strict=False):
                 reader.feed(data[start:end])
-                while (args := reader.next()) is not None:
+                while (args := reader.next_command()) is not None:
                     got.append(args)
-            got.append(reader.held)
+            got.append(reader.buffered_bytes)
         except MalformedError as error:
             got.append(str(error))
     return got
--- a/tests/edges/test_long_bodies.py
+++ b/tests/edges/test_long_bodies.py
@@ -64,18 +64,18 @@
 
     async def played(world: World, server: RespServer, body: bytes) -> None:
         most = 0
-        assert server.body_budget.most < 2 * len(body)
+        assert server.body_budget.capacity < 2 * len(body)
 
         async def ask(number: int) -> None:
             nonlocal most
             peer = await world.client()
             peer.writer.write(written(b"%d" % number, body))
             assert await peer.receive() == b"value"
-            most = max(most, server.body_budget.held)
+            most = max(most, server.body_budget.reserved)
 
         await asyncio.gather(*(ask(number) for number in range(8)))
         assert len(world.backends[0].got) == 8
-        assert server.body_budget.held == 0 and not server.body_budget.waiting
+        assert server.body_budget.reserved == 0 and not server.body_budget.waiters
         connections = server.handler.backends.connections  # type: ignore[attr-defined]
         assert connections and all(c.unsent.obj == b"" for c in connections), "none keeps a value"
 
@@ -147,22 +147,22 @@
     for at in range(0, len(stream), step):
         reader.feed(stream[at : at + step])
         while True:
-            args = reader.next()
+            args = reader.next_command()
             if args is not None:
                 got.append(args)
                 if (long := reader.take_body()) is not None:
                     bodies.append(bytes(long))
-            elif reader.wants:
-                assert reader.wants == len(body) and reader.next() is None
-                reader.grant()
+            elif reader.wanted_body_bytes:
+                assert reader.wanted_body_bytes == len(body) and reader.next_command() is None
+                reader.grant_body()
             else:
                 break
     assert [args[2] for args in got] == [b"1", b"2"] and got[1][4] == b"short"
-    assert bodies == [body + b"\r\n"] and reader.held == 0
+    assert bodies == [body + b"\r\n"] and reader.buffered_bytes == 0
 
 
 def test_only_the_last_argument_may_be_long() -> None:
     reader = CommandReader()
     reader.feed(b"*5\r\n$%d\r\n" % (MAX_VALUE_BYTES + 1))
     with pytest.raises(MalformedError):
-        reader.next()
+        reader.next_command()
--- a/tests/edges/test_long_values.py
+++ b/tests/edges/test_long_values.py
@@ -312,16 +312,22 @@
     whole = value(10_000) + b"\r\n$8\r\nused=3,4\r\n$-1\r\n"
     long, got, ended = LongValue(10_000), b"", 0
     for at in range(0, len(whole), step):
-        assert long.answer() is None
-        got += bytes(long.take(memoryview(whole)[at : at + step]))
-        ended += long.ended()
-    found = long.answer()
-    assert got == value(10_000) and ended and found is not None and found.clean and found.use == b"used=3,4"
+        assert long.parse_trailer() is None
+        got += bytes(long.consume(memoryview(whole)[at : at + step]))
+        ended += long.is_complete()
+    found = long.parse_trailer()
+    assert (
+        got == value(10_000)
+        and ended
+        and found is not None
+        and found.is_connection_reusable
+        and found.usage == b"used=3,4"
+    )
 
 
 @pytest.mark.parametrize("end", [b"X", b"\rX", b"\n"])
 def test_another_end_of_a_value_is_malformed(end: bytes) -> None:
     long = LongValue(3)
-    long.take(memoryview(b"abc" + end))
+    long.consume(memoryview(b"abc" + end))
     with pytest.raises(MalformedError):
-        long.ended()
+        long.is_complete()
--- a/tests/edges/test_resp_server.py
+++ b/tests/edges/test_resp_server.py
@@ -451,7 +451,7 @@
                 peer.writer.write(encode(*request()) + b"?what\r\n" + b"x" * 10_000_000)
                 await until(lambda: backend.got)
                 assert connection.state == FLUSHING and not connection.is_reading
-                assert connection.reader.held <= resp_server.READ_BUFFER_BYTES
+                assert connection.reader.buffered_bytes <= resp_server.READ_BUFFER_BYTES
                 go_on.set()
                 assert await peer.receive() == b"value"
                 assert failed(await peer.receive())
--- a/tests/operations/test_calls.py
+++ b/tests/operations/test_calls.py
@@ -26,8 +26,8 @@
 
 def test_an_answer_is_counted_by_what_it_says_to_the_client() -> None:
     tallies = RequestStats()
-    tallies.know("view")
+    tallies.add_class("view")
     for reply in (b"$1\r\nx\r\n", b"-BUSY\r\n", b"-BUSY 20\r\n", b"-ERR failed\r\n"):
-        tallies.answered("view", reply)
-    tallies.know("view")  # known again: nothing is lost
+        tallies.record_answer("view", reply)
+    tallies.add_class("view")  # known again: nothing is lost
     assert tallies.answers == {"view": [1, 2, 1]}
--- a/tests/operations/test_link.py
+++ b/tests/operations/test_link.py
@@ -32,7 +32,7 @@
         self.events: list[api.Event] = []
         self.hand_over: Any = lambda estate: None
 
-    def give(self, event: api.Event) -> None:
+    def handle_event(self, event: api.Event) -> None:
         self.events.append(event)
         if isinstance(event, api.GatewayShareChanged):
             self.hand_over(api.HandoverState(1.0, (), (), 0.0, 0.0))
--- a/tests/plans/test_plans_in_service.py
+++ b/tests/plans/test_plans_in_service.py
@@ -43,7 +43,7 @@
 
     async def scenario() -> None:
         seen: list[Driver] = []
-        monkeypatch.setattr(Driver, "watch_lag", lambda self: seen.append(self))
+        monkeypatch.setattr(Driver, "start_lag_monitor", lambda self: seen.append(self))
         async with running(World(Backend())) as world:
             watch = Watch(tmp_path / "feed.json", 10.0, seen[0], seen[0].timers)
             watch.look()
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -223,7 +223,7 @@
         }
     )
     assert config.settings.index == 2 and config.settings.max_attempts == 4
-    assert (config.keepalive, config.seed, config.counter) == (9000.0, 255, None)
+    assert (config.keepalive_ms, config.seed, config.counter) == (9000.0, 255, None)
     with pytest.raises(ConfigError):
         parse_config({"listen": "10.0.0.4:6379", "discovery": "x", "settings": {}})
 
@@ -244,7 +244,7 @@
         waits = [3.4, 0.6, 2.5, 0.0, 7.7, 1.49]
         for wait in waits:
             place, due = waits.index(wait), start + wait
-            timers.at(due, lambda place=place, due=due: fire(place, due))  # type: ignore[misc]
+            timers.call_at(due, lambda place=place, due=due: fire(place, due))  # type: ignore[misc]
         await until(lambda: len(fired) == len(waits))
         assert fired == [3, 1, 5, 2, 0, 4] and max(early) <= 0
 
@@ -260,12 +260,12 @@
 
         def early() -> None:
             fired.append(0)
-            timers.at(0.0, lambda: fired.append(1))  # before the tick that is being called
+            timers.call_at(0.0, lambda: fired.append(1))  # before the tick that is being called
             raise ValueError
 
-        timers.at(due, early)
+        timers.call_at(due, early)
         for number in (2, 3, 4):
-            timers.at(due + number / 10, lambda number=number: fired.append(number))  # type: ignore[misc]
+            timers.call_at(due + number / 10, lambda number=number: fired.append(number))  # type: ignore[misc]
         await until(lambda: len(fired) == 5)
         assert sorted(fired) == [0, 1, 2, 3, 4] and fired[0] == 0
         assert [type(fault) for fault in faults] == [ValueError] and not timers._slots
@@ -278,8 +278,8 @@
         timers = clock.Timers(asyncio.get_running_loop())
         fired: list[str] = []
         start = clock.now_ms()
-        timers.at(start + 5, lambda: fired.append("cancelled")).cancel()
-        timers.at(start + 10, lambda: fired.append("kept"))
+        timers.call_at(start + 5, lambda: fired.append("cancelled")).cancel()
+        timers.call_at(start + 10, lambda: fired.append("kept"))
         await until(lambda: fired)
         assert fired == ["kept"] and not timers._slots
 
