--- a/benchmarks/fleet_limits.py
+++ b/benchmarks/fleet_limits.py
@@ -161,7 +161,7 @@
         ask = holder.prepare_request(one.at, KEY)
         if ask is not None:
             self.exchange(one.at, holder, ask)
-            paid = paid or holder.try_spend(one.at + 2 * TRIP_S, KEY, one.units, anew=False)
+            paid = paid or holder.try_spend(one.at + 2 * TRIP_S, KEY, one.units, is_new=False)
         heapq.heappush(self.due, (holder.next_check_at(), one.gateway))
         return paid
 
--- a/roadpulley/fleet/rights/allocator.py
+++ b/roadpulley/fleet/rights/allocator.py
@@ -24,14 +24,13 @@
     is_concurrency_limit,
 )
 
-MAX_SNAPSHOTS, MAX_OUTSTANDING_PER_SNAPSHOT = (
-    2_000,
-    40,
-)  # in one handover
+MAX_SNAPSHOTS = 2_000  # in one handover
+MAX_OUTSTANDING_PER_SNAPSHOT = 40  # rights; so that a snapshot fits a datagram
 MAX_LIMITS = 100_000  # ledgers in memory; requests for further limits get no reply
 SWEEP_INTERVAL_S = 5.0
 MAX_CONTENDED_RATIO = 0.5  # of the level, for one request while other holders want units too
-MIN_RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.02, 0.5
+MIN_RETRY_DELAY_S = 0.02
+MAX_RETRY_DELAY_S = 0.5
 
 
 @dataclass(slots=True)
@@ -64,9 +63,8 @@
     is_concurrency_limit: bool = False
     outstanding_units: float = 0.0
     outstanding: dict[int, OutstandingRight] = field(default_factory=dict)
-    expiry_heap: list[tuple[MonotonicTime, int]] = field(
-        default_factory=list
-    )  # heap of (expires_at, right number)
+    # Heap of the expiry times and numbers of rights; may contain returned ones.
+    expiry_heap: list[tuple[MonotonicTime, int]] = field(default_factory=list)
     accounts: dict[int, HolderAccount] = field(default_factory=dict)
 
 
@@ -81,9 +79,9 @@
     requested_at: MonotonicTime
     snapshots: dict[str, tuple[MonotonicTime, LedgerSnapshot]] = field(default_factory=dict)
 
-    def add(self, now: MonotonicTime, legacy: LedgerSnapshot) -> None:
-        if legacy.fence == self.fence:
-            self.snapshots.setdefault(legacy.limit, (now, legacy))
+    def add(self, now: MonotonicTime, snapshot: LedgerSnapshot) -> None:
+        if snapshot.fence == self.fence:
+            self.snapshots.setdefault(snapshot.limit, (now, snapshot))
 
     def usable_snapshots(
         self, now: MonotonicTime, fence: int, times: Times
@@ -130,65 +128,93 @@
 
     # ---- requests ----
 
-    def handle_request(self, now: MonotonicTime, ask: RightsRequest) -> RightsReply | None:
+    def handle_request(self, now: MonotonicTime, request: RightsRequest) -> RightsReply | None:
         """The reply; None for an outdated or invalid request, or an unknown limit."""
-        if self.sealed or ask.fence != self.fence or not (0 <= ask.min_units <= ask.wanted_units < math.inf):
+        if (
+            self.sealed
+            or request.fence != self.fence
+            or not (0 <= request.min_units <= request.wanted_units < math.inf)
+        ):
             return None
-        book = self.get_ledger(ask.limit)
-        if book is None:
+        ledger = self.get_ledger(request.limit)
+        if ledger is None:
             return None
-        self.refill(now, book)
-        known = book.accounts.get(ask.holder)
-        if known is not None and ask.request_number <= known.request_number:
+        self.refill(now, ledger)
+        account = ledger.accounts.get(request.holder)
+        if account is not None and request.request_number <= account.request_number:
             # A repeated request gets the same reply. A second right for it would be outstanding until it
             # expires, although no holder has it.
-            return known.reply if ask.request_number == known.request_number else None
-        for closed in ask.returned:
-            self.return_right(book, ask.holder, closed.right_id, closed.unused_units)
-        given = self._grant(now, book, ask)
-        book.accounts[ask.holder] = HolderAccount(ask.request_number, given, ask.wanted_units, now)
+            return account.reply if request.request_number == account.request_number else None
+        for returned in request.returned:
+            self.return_right(ledger, request.holder, returned.right_id, returned.unused_units)
+        reply = self._grant(now, ledger, request)
+        ledger.accounts[request.holder] = HolderAccount(
+            request.request_number, reply, request.wanted_units, now
+        )
         self._sweep(now)
-        return given
+        return reply
 
-    def return_right(self, book: LimitLedger, holder: int, right: RightId, unused: float) -> None:
+    def return_right(self, ledger: LimitLedger, holder: int, right_id: RightId, unused_units: float) -> None:
         """Makes the unspent units of a right available again that its holder returns."""
         # Right numbers restart with each fence, and a right may be returned after it has expired here. Either
         # would add units to the level that are outstanding at another holder.
-        out = book.outstanding.get(right.number) if right.fence == self.fence else None
-        if out is None or out.holder != holder:
+        right = ledger.outstanding.get(right_id.number) if right_id.fence == self.fence else None
+        if right is None or right.holder != holder:
             return
-        back = min(max(0.0, unused), out.units)
-        if book.is_concurrency_limit:
+        returned_units = min(max(0.0, unused_units), right.units)
+        if ledger.is_concurrency_limit:
             # Units in use stay outstanding until they are returned too or the right expires. Otherwise they
             # would be granted to another holder while the request is still open.
-            out.units, book.outstanding_units = out.units - back, book.outstanding_units - back
-            book.level = book.limit.burst - book.outstanding_units
+            right.units, ledger.outstanding_units = (
+                right.units - returned_units,
+                ledger.outstanding_units - returned_units,
+            )
+            ledger.level = ledger.limit.burst - ledger.outstanding_units
             return
-        del book.outstanding[right.number]
-        book.outstanding_units -= out.units
-        book.level = min(book.level + back, book.limit.burst - book.outstanding_units)
-
-    def _grant(self, now: MonotonicTime, book: LimitLedger, ask: RightsRequest) -> RightsReply:
-        there = book.level
-        if there < ask.min_units or there <= UNIT_EPSILON or not ask.wanted_units:
-            if ask.wanted_units:
-                self.refused_units += ask.wanted_units
-            return self._reply(ask, 0, 0.0, self._retry_after_ms(now, book, ask))
-        units = min(ask.wanted_units, max(ask.min_units, there * self._contended_ratio(now, book, ask)))
+        del ledger.outstanding[right_id.number]
+        ledger.outstanding_units -= right.units
+        ledger.level = min(ledger.level + returned_units, ledger.limit.burst - ledger.outstanding_units)
+
+    def _grant(self, now: MonotonicTime, ledger: LimitLedger, request: RightsRequest) -> RightsReply:
+        available = ledger.level
+        if available < request.min_units or available <= UNIT_EPSILON or not request.wanted_units:
+            if request.wanted_units:
+                self.refused_units += request.wanted_units
+            return self._reply(request, 0, 0.0, self._retry_after_ms(now, ledger, request))
+        units = min(
+            request.wanted_units,
+            max(request.min_units, available * self._contended_ratio(now, ledger, request)),
+        )
         self.granted_count += 1
         self.granted_units += units
-        ends = now + self.lease_for(book.limit)
-        book.level -= units
-        book.outstanding_units += units
-        book.outstanding[self.granted_count] = OutstandingRight(ask.holder, units, ends)
-        heapq.heappush(book.expiry_heap, (ends, self.granted_count))
-        return self._reply(ask, self.granted_count, units, lease=self.lease_for(book.limit))
+        expires_at = now + self.lease_for(ledger.limit)
+        ledger.level -= units
+        ledger.outstanding_units += units
+        ledger.outstanding[self.granted_count] = OutstandingRight(request.holder, units, expires_at)
+        heapq.heappush(ledger.expiry_heap, (expires_at, self.granted_count))
+        return self._reply(request, self.granted_count, units, lease_s=self.lease_for(ledger.limit))
 
     def _reply(
-        self, ask: RightsRequest, number: int, units: float, wait_ms: int = 0, lease: float = 0.0
+        self,
+        request: RightsRequest,
+        right_number: int,
+        units: float,
+        retry_after_ms: int = 0,
+        lease_s: float = 0.0,
     ) -> RightsReply:
-        right, holds = RightId(self.fence, number), self.times.holder_lease_for(lease or self.times.lease)
-        return RightsReply(ask.holder, ask.request_number, ask.limit, right, units, holds, wait_ms)
+        right_id, holder_lease_s = (
+            RightId(self.fence, right_number),
+            self.times.holder_lease_for(lease_s or self.times.lease),
+        )
+        return RightsReply(
+            request.holder,
+            request.request_number,
+            request.limit,
+            right_id,
+            units,
+            holder_lease_s,
+            retry_after_ms,
+        )
 
     def lease_for(self, limit: Limit) -> float:
         return limit.lease or self.times.lease
@@ -196,53 +222,57 @@
     def ready_at_for(self, limit: Limit) -> MonotonicTime:
         return self.started_at + max(self.times.clear, self.lease_for(limit))
 
-    def _contended_ratio(self, now: MonotonicTime, book: LimitLedger, ask: RightsRequest) -> float:
+    def _contended_ratio(self, now: MonotonicTime, ledger: LimitLedger, request: RightsRequest) -> float:
         """Ratio of the level that a request may get: all of it if no other holder has requested any recently.
 
         Otherwise its part of what all recent requests wanted, at most `MAX_CONTENDED_RATIO`.
         """
         since = now - self.times.lease
-        others = sum(
-            a.wanted_units
-            for holder, a in book.accounts.items()
-            if holder != ask.holder and a.requested_at > since
+        other_units = sum(
+            account.wanted_units
+            for holder, account in ledger.accounts.items()
+            if holder != request.holder and account.requested_at > since
+        )
+        return (
+            1.0
+            if not other_units
+            else min(MAX_CONTENDED_RATIO, request.wanted_units / (request.wanted_units + other_units))
         )
-        return 1.0 if not others else min(MAX_CONTENDED_RATIO, ask.wanted_units / (ask.wanted_units + others))
 
-    def _retry_after_ms(self, now: MonotonicTime, book: LimitLedger, ask: RightsRequest) -> int:
+    def _retry_after_ms(self, now: MonotonicTime, ledger: LimitLedger, request: RightsRequest) -> int:
         """Milliseconds until enough units may be available, with jitter to spread the retries of holders."""
-        lacks = ask.min_units - book.level
-        fills = lacks / book.limit.rate if book.limit.rate else MIN_RETRY_DELAY_S
-        wait = max(0.0, book.ready_at - now) + fills
-        wait = min(MAX_RETRY_DELAY_S, max(MIN_RETRY_DELAY_S, wait)) * self.rng.uniform(0.8, 1.2)
-        return int(wait * 1000) if ask.wanted_units else 0
+        missing_units = request.min_units - ledger.level
+        refill_s = missing_units / ledger.limit.rate if ledger.limit.rate else MIN_RETRY_DELAY_S
+        delay_s = max(0.0, ledger.ready_at - now) + refill_s
+        delay_s = min(MAX_RETRY_DELAY_S, max(MIN_RETRY_DELAY_S, delay_s)) * self.rng.uniform(0.8, 1.2)
+        return int(delay_s * 1000) if request.wanted_units else 0
 
     # ---- time ----
 
-    def refill(self, now: MonotonicTime, book: LimitLedger) -> None:
+    def refill(self, now: MonotonicTime, ledger: LimitLedger) -> None:
         """Applies the refill and the expiry of rights up to now, in the order of time.
 
         In one step the level would also refill for the time in which outstanding rights left no room for it.
         """
-        while book.expiry_heap and book.expiry_heap[0][0] <= now:
-            ends, number = heapq.heappop(book.expiry_heap)
-            out = book.outstanding.pop(number, None)
-            if out is None:
+        while ledger.expiry_heap and ledger.expiry_heap[0][0] <= now:
+            expires_at, number = heapq.heappop(ledger.expiry_heap)
+            right = ledger.outstanding.pop(number, None)
+            if right is None:
                 continue  # it was returned
-            self._raise_level(ends, book)
-            book.outstanding_units -= out.units
-            self.expired_units += out.units
-        self._raise_level(now, book)
-
-    def _raise_level(self, now: MonotonicTime, book: LimitLedger) -> None:
-        if book.is_concurrency_limit:
-            book.level = book.limit.burst - book.outstanding_units if now >= book.ready_at else 0.0
+            self._raise_level(expires_at, ledger)
+            ledger.outstanding_units -= right.units
+            self.expired_units += right.units
+        self._raise_level(now, ledger)
+
+    def _raise_level(self, now: MonotonicTime, ledger: LimitLedger) -> None:
+        if ledger.is_concurrency_limit:
+            ledger.level = ledger.limit.burst - ledger.outstanding_units if now >= ledger.ready_at else 0.0
             return
-        passed = max(0.0, now - book.refilled_at)
-        book.refilled_at = max(now, book.refilled_at)
+        elapsed_s = max(0.0, now - ledger.refilled_at)
+        ledger.refilled_at = max(now, ledger.refilled_at)
         # Without this correction an allocator with a fast clock would grant more than the rate.
-        risen = book.level + passed * book.limit.rate / (1 + self.times.drift)
-        book.level = min(risen, book.limit.burst - book.outstanding_units)
+        level = ledger.level + elapsed_s * ledger.limit.rate / (1 + self.times.drift)
+        ledger.level = min(level, ledger.limit.burst - ledger.outstanding_units)
 
     # ---- limits ----
 
@@ -251,48 +281,52 @@
 
         None if there is no such limit, or if `MAX_LIMITS` is reached.
         """
-        limit, found = self.find_limit(name), self.ledgers.get(name)
-        if limit is None or (found is None and len(self.ledgers) >= MAX_LIMITS):
+        limit, ledger = self.find_limit(name), self.ledgers.get(name)
+        if limit is None or (ledger is None and len(self.ledgers) >= MAX_LIMITS):
             return None
-        if found is None:
-            clear = self.ready_at_for(limit)
-            found = self.ledgers[name] = LimitLedger(limit, 0.0, clear, clear, is_concurrency_limit(name))
-            if (left := self.inherited.pop(name, None)) is not None:
-                self._inherit(found, *left)
-        return found
+        if ledger is None:
+            ready_at = self.ready_at_for(limit)
+            ledger = self.ledgers[name] = LimitLedger(
+                limit, 0.0, ready_at, ready_at, is_concurrency_limit(name)
+            )
+            if (inherited := self.inherited.pop(name, None)) is not None:
+                self._inherit(ledger, *inherited)
+        return ledger
 
     # ---- handover ----
 
-    def seal(self, now: MonotonicTime, part: int) -> list[LedgerSnapshot]:
+    def seal(self, now: MonotonicTime, partition: int) -> list[LedgerSnapshot]:
         """Stops granting and returns snapshots for the successor, starting with the newest ledger."""
         self.sealed = True
-        found: list[LedgerSnapshot] = []
-        for name, book in reversed(self.ledgers.items()):
-            self.refill(now, book)
+        snapshots: list[LedgerSnapshot] = []
+        for name, ledger in reversed(self.ledgers.items()):
+            self.refill(now, ledger)
             # A ledger that is itself still waiting does not know what earlier allocators granted. A
             # successor that continued from it would grant those units again.
             if (
-                now >= book.ready_at
-                and len(book.outstanding) <= MAX_OUTSTANDING_PER_SNAPSHOT
-                and len(found) < MAX_SNAPSHOTS
+                now >= ledger.ready_at
+                and len(ledger.outstanding) <= MAX_OUTSTANDING_PER_SNAPSHOT
+                and len(snapshots) < MAX_SNAPSHOTS
             ):
-                out = tuple((o.units, o.expires_at - now) for o in book.outstanding.values())
-                found.append(LedgerSnapshot(part, self.fence, name, book.level, out))
-        return found
+                outstanding = tuple(
+                    (right.units, right.expires_at - now) for right in ledger.outstanding.values()
+                )
+                snapshots.append(LedgerSnapshot(partition, self.fence, name, ledger.level, outstanding))
+        return snapshots
 
-    def _inherit(self, book: LimitLedger, came: MonotonicTime, left: LedgerSnapshot) -> None:
+    def _inherit(self, ledger: LimitLedger, received_at: MonotonicTime, snapshot: LedgerSnapshot) -> None:
         """Continues from a snapshot. Its expiry times count from its receipt, which was after the sealing."""
         # Negative numbers: rights of another fence can't be returned here. Under positive numbers they
         # could be mistaken for rights of this allocator.
-        book.outstanding = {
-            -n: OutstandingRight(0, units, came + lasts)
-            for n, (units, lasts) in enumerate(left.outstanding, 1)
+        ledger.outstanding = {
+            -n: OutstandingRight(0, units, received_at + remaining_s)
+            for n, (units, remaining_s) in enumerate(snapshot.outstanding, 1)
         }
-        book.expiry_heap = [(out.expires_at, n) for n, out in book.outstanding.items()]
-        heapq.heapify(book.expiry_heap)
-        book.outstanding_units = sum(out.units for out in book.outstanding.values())
-        book.level = min(left.level, book.limit.burst - book.outstanding_units)
-        book.refilled_at = book.ready_at = came
+        ledger.expiry_heap = [(right.expires_at, n) for n, right in ledger.outstanding.items()]
+        heapq.heapify(ledger.expiry_heap)
+        ledger.outstanding_units = sum(right.units for right in ledger.outstanding.values())
+        ledger.level = min(snapshot.level, ledger.limit.burst - ledger.outstanding_units)
+        ledger.refilled_at = ledger.ready_at = received_at
 
     def find_limit(self, name: str) -> Limit | None:
         return self.limits.get(name) or self.limits.get(name.partition("/")[0])
@@ -305,28 +339,33 @@
         added again under the same name, a new ledger would not count them.
         """
         self.limits = dict(limits)
-        for name, book in list(self.ledgers.items()):
-            self.refill(now, book)
-            limit = self.find_limit(name) or book.limit
-            book.level += limit.burst - book.limit.burst
-            book.limit = limit
+        for name, ledger in list(self.ledgers.items()):
+            self.refill(now, ledger)
+            limit = self.find_limit(name) or ledger.limit
+            ledger.level += limit.burst - ledger.limit.burst
+            ledger.limit = limit
 
     def _sweep(self, now: MonotonicTime) -> None:
-        """Drops accounts of inactive holders and ledgers of limits that are full again."""
+        """Drops accounts of inactive holders, and ledgers that are full and unused."""
         if now < self.next_sweep_at:
             return
         self.next_sweep_at = now + SWEEP_INTERVAL_S
-        for name, book in list(self.ledgers.items()):
-            self.refill(now, book)
+        for name, ledger in list(self.ledgers.items()):
+            self.refill(now, ledger)
             # While the last request of a holder may be repeated, its account is needed to repeat the reply
             # instead of granting a second right. After the holder's lease no reply to it counts.
-            since = now - 2 * self.lease_for(book.limit)
-            book.accounts = {h: a for h, a in book.accounts.items() if a.requested_at > since}
+            since = now - 2 * self.lease_for(ledger.limit)
+            ledger.accounts = {
+                holder: account for holder, account in ledger.accounts.items() if account.requested_at > since
+            }
             # A new ledger refills from this allocator's start. If a ledger were dropped before a new one
             # would be full as well, its limit would come back with too low a level.
-            fills = book.limit.burst / book.limit.rate * (1 + self.times.drift) if book.limit.rate else 0.0
-            whole = (
-                book.level >= book.limit.burst - UNIT_EPSILON and now - self.ready_at_for(book.limit) >= fills
+            refill_s = (
+                ledger.limit.burst / ledger.limit.rate * (1 + self.times.drift) if ledger.limit.rate else 0.0
+            )
+            is_full = (
+                ledger.level >= ledger.limit.burst - UNIT_EPSILON
+                and now - self.ready_at_for(ledger.limit) >= refill_s
             )
-            if not book.accounts and not book.outstanding and whole:
+            if not ledger.accounts and not ledger.outstanding and is_full:
                 del self.ledgers[name]
--- a/roadpulley/fleet/rights/client.py
+++ b/roadpulley/fleet/rights/client.py
@@ -20,8 +20,8 @@
 MIN_TIMER_DELAY_S = 0.001  # covers the rounding of the event loop's timers
 
 
-Done = Callable[[bool], None]
-Ended = Callable[[], None]
+DoneCallback = Callable[[bool], None]
+ReleaseCallback = Callable[[], None]
 
 
 @dataclass(frozen=True)
@@ -41,7 +41,7 @@
     """A spend that waits until all its costs can be paid together, or until its timeout."""
 
     costs: tuple[UnitCost, ...]
-    on_done: Callable[[bool, Ended | None], None]
+    on_done: Callable[[bool, ReleaseCallback | None], None]
     timer: asyncio.TimerHandle | None = None
 
 
@@ -54,7 +54,7 @@
         self.pending: dict[str, list[PendingSpend]] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.timer_at = NEVER_DUE  # by `clock`
-        self.spent_at = 0.0  # by `clock`: time of the last successful spend
+        self.spent_at = 0.0  # by `clock`: time of the last spend, or of the last `try_spend`
         line.listeners.append(self._handle_message)
 
     def close(self) -> None:
@@ -62,8 +62,8 @@
         if self.timer is not None:
             self.timer.cancel()
         for limit in list(self.pending):
-            for wish in self.pending.pop(limit):
-                self._finish(wish, False)
+            for spend in self.pending.pop(limit):
+                self._finish(spend, False)
 
     # ---- spending ----
 
@@ -72,117 +72,123 @@
         if self.holder_state is None:
             return False
         now = self.clock.now()
-        taken = self.holder_state.try_spend(now, limit, units)
+        is_spent = self.holder_state.try_spend(now, limit, units)
         self.spent_at = now
-        if ask := self.holder_state.prepare_request(now, limit):
-            self.line.send(ask)
+        if request := self.holder_state.prepare_request(now, limit):
+            self.line.send(request)
         self._reset_timer()
-        return taken
+        return is_spent
 
-    def spend(self, plan: str, customer: str, units: float, within: float, done: Done) -> None:
+    def spend(self, plan: str, customer: str, units: float, timeout_s: float, on_done: DoneCallback) -> None:
         """Spends units of a customer's limit as soon as they are held, like `spend_all`."""
         self.spend_all(
-            (UnitCost(customer_limit_name(plan, customer), units),), within, lambda paid, _: done(paid)
+            (UnitCost(customer_limit_name(plan, customer), units),), timeout_s, lambda paid, _: on_done(paid)
         )
 
     def spend_all(
-        self, needs: tuple[UnitCost, ...], within: float, done: Callable[[bool, Ended | None], None]
+        self,
+        costs: tuple[UnitCost, ...],
+        timeout_s: float,
+        on_done: Callable[[bool, ReleaseCallback | None], None],
     ) -> None:
         """Pays all costs together as soon as that is possible, and none of them before.
 
-        `done` is called once, immediately or within `within` seconds. It gets whether the costs are paid, and
+        `on_done` is called once, immediately or within `timeout_s`. It gets whether the costs are paid, and
         a callback for the end of the request if units of concurrency limits are to be released then.
         """
         if self.holder_state is None:
-            return done(False, None)
+            return on_done(False, None)
         now = self.clock.now()
-        for need in needs:
-            self.holder_state.record_demand(now, need.limit, need.units)
-        wish = PendingSpend(needs, done)
-        lacking = self._spend_if_possible(now, wish)
+        for cost in costs:
+            self.holder_state.record_demand(now, cost.limit, cost.units)
+        spend = PendingSpend(costs, on_done)
+        lacking = self._spend_if_possible(now, spend)
         self._reset_timer()
-        if lacking is not None and self._enqueue(lacking, wish):
-            wish.timer = asyncio.get_running_loop().call_later(within, self._expire, wish)
+        if lacking is not None and self._enqueue(lacking, spend):
+            spend.timer = asyncio.get_running_loop().call_later(timeout_s, self._expire, spend)
 
-    def _spend_if_possible(self, now: float, wish: PendingSpend) -> str | None:
+    def _spend_if_possible(self, now: float, spend: PendingSpend) -> str | None:
         """Pays all costs if the held rights cover them; otherwise returns a limit that lacks units."""
-        machine = self.holder_state
-        assert machine is not None
+        holder = self.holder_state
+        assert holder is not None
         lacking = [
-            n.limit for n in wish.costs if not machine.can_spend(now, n.limit, n.units, n.use_duration_s)
+            cost.limit
+            for cost in spend.costs
+            if not holder.can_spend(now, cost.limit, cost.units, cost.use_duration_s)
         ]
         if not lacking:
             self.spent_at = now
-            paid = [(need.limit, machine.spend(now, need.limit, need.units)) for need in wish.costs]
-            back = [(limit, lots) for limit, lots in paid if is_concurrency_limit(limit)]
-            self._finish(wish, True, partial(self._release, back) if back else None)
-        for need in wish.costs:
-            if ask := machine.prepare_request(now, need.limit):
-                self.line.send(ask)
+            payments = [(cost.limit, holder.spend(now, cost.limit, cost.units)) for cost in spend.costs]
+            to_release = [(limit, payment) for limit, payment in payments if is_concurrency_limit(limit)]
+            self._finish(spend, True, partial(self._release, to_release) if to_release else None)
+        for cost in spend.costs:
+            if request := holder.prepare_request(now, cost.limit):
+                self.line.send(request)
         return (
             next((limit for limit in lacking if not self._has_open_request(limit)), lacking[0])
             if lacking
             else None
         )
 
-    def _enqueue(self, limit: str, wish: PendingSpend) -> bool:
+    def _enqueue(self, limit: str, spend: PendingSpend) -> bool:
         """Queues a spend until a reply about the limit; fails it if no request for the limit is open."""
         if not self._has_open_request(limit):
-            self._finish(wish, False)  # no allocator is known, or it asked for a longer delay
+            self._finish(spend, False)  # no allocator is known, or it asked for a longer delay
             return False
-        self.pending.setdefault(limit, []).append(wish)
+        self.pending.setdefault(limit, []).append(spend)
         return True
 
     def _has_open_request(self, limit: str) -> bool:
-        purse = self.holder_state.holdings.get(limit) if self.holder_state is not None else None
-        return purse is not None and purse.pending is not None
+        holding = self.holder_state.holdings.get(limit) if self.holder_state is not None else None
+        return holding is not None and holding.pending is not None
 
-    def _release(self, back: list[tuple[str, Payment]]) -> None:
+    def _release(self, to_release: list[tuple[str, Payment]]) -> None:
         assert self.holder_state is not None
-        for limit, lots in back:
-            self.holder_state.release(self.clock.now(), limit, lots)
+        for limit, payment in to_release:
+            self.holder_state.release(self.clock.now(), limit, payment)
             if self.pending.get(limit):
                 self._retry_pending(limit)
         self._reset_timer()
 
-    def _expire(self, wish: PendingSpend) -> None:
-        for rows in self.pending.values():
-            if wish in rows:
-                rows.remove(wish)
-                return self._finish(wish, False)
+    def _expire(self, spend: PendingSpend) -> None:
+        for spends in self.pending.values():
+            if spend in spends:
+                spends.remove(spend)
+                return self._finish(spend, False)
 
-    def _finish(self, wish: PendingSpend, paid: bool, ended: Ended | None = None) -> None:
-        if wish.timer is not None:
-            wish.timer.cancel()
-        wish.on_done(paid, ended)
+    def _finish(self, spend: PendingSpend, is_paid: bool, release: ReleaseCallback | None = None) -> None:
+        if spend.timer is not None:
+            spend.timer.cancel()
+        spend.on_done(is_paid, release)
 
     def _retry_pending(self, limit: str) -> None:
         """Retries the spends that wait for a limit, in their order."""
         now = self.clock.now()
-        for wish in self.pending.pop(limit, []):
-            if (lacking := self._spend_if_possible(now, wish)) is not None:
-                self._enqueue(lacking, wish)
+        for spend in self.pending.pop(limit, []):
+            if (lacking := self._spend_if_possible(now, spend)) is not None:
+                self._enqueue(lacking, spend)
 
     # ---- messages ----
 
-    def _handle_message(self, body: Any) -> None:
-        if not isinstance(body, Welcome | AllocatorAnnouncement | RightsReply):
+    def _handle_message(self, message: Any) -> None:
+        if not isinstance(message, Welcome | AllocatorAnnouncement | RightsReply):
             return
         now = self.clock.now()
-        if isinstance(body, Welcome):
-            if self.holder_state is None or self.holder_state.partitions != body.partitions:
-                self.holder_state = Holder(self.line.worker_id, body.partitions, body.times)
-                self.line.send(
-                    Hello(self.line.worker_id)
-                )  # the instance repeats the announcements, which can be processed now
+        if isinstance(message, Welcome):
+            if self.holder_state is None or self.holder_state.partitions != message.partitions:
+                self.holder_state = Holder(self.line.worker_id, message.partitions, message.times)
+                # The instance then repeats its announcements, which could not be processed before.
+                self.line.send(Hello(self.line.worker_id))
         elif self.holder_state is None:
             return
-        elif isinstance(body, AllocatorAnnouncement):
-            self.holder_state.handle_announcement(now, body.partition, body.fence, body.lifetime_ms / 1000)
-        elif body.holder == self.line.worker_id:
-            limit, waited = body.limit, self._has_open_request(body.limit)
-            self.holder_state.handle_reply(now, body)
-            if waited and not self._has_open_request(limit):
+        elif isinstance(message, AllocatorAnnouncement):
+            self.holder_state.handle_announcement(
+                now, message.partition, message.fence, message.lifetime_ms / 1000
+            )
+        elif message.holder == self.line.worker_id:
+            limit, was_open = message.limit, self._has_open_request(message.limit)
+            self.holder_state.handle_reply(now, message)
+            if was_open and not self._has_open_request(limit):
                 self._retry_pending(limit)
         self._reset_timer()
 
@@ -200,8 +206,8 @@
     def _tick(self) -> None:
         assert self.holder_state is not None
         self.timer_at = NEVER_DUE
-        for ask in self.holder_state.tick(self.clock.now()):
-            self.line.send(ask)
+        for request in self.holder_state.tick(self.clock.now()):
+            self.line.send(request)
         for limit in [name for name in self.pending if not self._has_open_request(name)]:
             self._retry_pending(limit)
         self._reset_timer()
--- a/roadpulley/fleet/rights/service.py
+++ b/roadpulley/fleet/rights/service.py
@@ -40,10 +40,8 @@
 
 ANNOUNCE_INTERVAL_S = 0.25
 ANNOUNCEMENT_LIFETIME_S = 1.0  # validity of one announcement
-HANDOVER_RETRY_INTERVAL_S, HANDOVER_TIMEOUT_S = (
-    0.05,
-    0.3,
-)  # retries of a handover offer, and the time after which it is abandoned
+HANDOVER_RETRY_INTERVAL_S = 0.05  # of the offer
+HANDOVER_TIMEOUT_S = 0.3  # the duty is then released without a handover
 SNAPSHOT_DELIVERY_S = 0.05  # time for the snapshots to arrive before the duty is released
 
 log = structlog.get_logger("roadpulley.fleet.rights")
@@ -69,14 +67,12 @@
         self.settings, self.local_processes, self.clock, self.rng = settings, local_processes, clock, rng
         self.send, self.peer_routes, self.call_in_loop = send, peer_routes, call_in_loop
         self.allocators: dict[int, tuple[HeldDuty, Allocator]] = {}
-        self.announced: dict[
-            int, tuple[int, Route, MonotonicTime]
-        ] = {}  # by partition: fence, route and expiry of the announced allocator
+        # By partition: fence, route and expiry of the announced allocator.
+        self.announced: dict[int, tuple[int, Route, MonotonicTime]] = {}
         self.counts: Counter[str] = Counter()
         self.announce_timer: asyncio.TimerHandle | None = None
-        self.handover_requests: dict[
-            int, asyncio.Event
-        ] = {}  # by partition: set when the successor has requested the ledgers
+        # By partition that is handed over: set when the successor has requested the ledgers.
+        self.handover_requests: dict[int, asyncio.Event] = {}
         self.inherited: dict[int, InheritedLedgers] = {}
         self.limits: dict[str, Limit] = dict(settings.allocated_limits)
         for work in works.values():
@@ -94,70 +90,72 @@
 
     # ---- allocation ----
 
-    def _on_duty_started(self, part: int, duty: HeldDuty) -> None:
+    def _on_duty_started(self, partition: int, duty: HeldDuty) -> None:
         """Called in the thread of the duty's work."""
-        self.call_in_loop(lambda: self._start_allocator(part, duty))
+        self.call_in_loop(lambda: self._start_allocator(partition, duty))
 
-    def _start_allocator(self, part: int, duty: HeldDuty) -> None:
-        # The waiting period of the allocator starts here. Rights of earlier allocators could outlive it if
-        # one of them still granted: this runs only after the duty has been acquired.
+    def _start_allocator(self, partition: int, duty: HeldDuty) -> None:
+        # The waiting period for the rights of earlier allocators starts here. It would be too short if one of
+        # them could still grant rights, so this may run only after the duty has been acquired.
         settings = self.settings
-        now, left = self.clock.now(), self.inherited.pop(part, None)
-        books = left.usable_snapshots(now, duty.fence, settings.times) if left is not None else {}
-        allocator = Allocator(duty.fence, now, self.limits, settings.times, self.rng, books)
-        self.allocators[part] = duty, allocator
-        log.info("gives out rights", part=part, fence=duty.fence, books=len(books))
+        now, inherited = self.clock.now(), self.inherited.pop(partition, None)
+        snapshots = (
+            inherited.usable_snapshots(now, duty.fence, settings.times) if inherited is not None else {}
+        )
+        allocator = Allocator(duty.fence, now, self.limits, settings.times, self.rng, snapshots)
+        self.allocators[partition] = duty, allocator
+        log.info("gives out rights", part=partition, fence=duty.fence, books=len(snapshots))
         self._announce()
 
     # ---- handover ----
 
-    async def hand_over(self, part: int, heir: Route) -> None:
+    async def hand_over(self, partition: int, successor: Route) -> None:
         """Transfers the ledgers before the duty is released.
 
         If the successor does not respond, it waits as after a failure.
         """
-        _, allocator = self.allocators.get(part, (None, None))
-        if allocator is None or self.active_allocator(part) is not allocator:
+        _, allocator = self.allocators.get(partition, (None, None))
+        if allocator is None or self.active_allocator(partition) is not allocator:
             return
-        asked = self.handover_requests[part] = asyncio.Event()
-        end = self.clock.now() + HANDOVER_TIMEOUT_S
-        while not asked.is_set() and self.clock.now() < end:
-            self.send(heir, HandoverOffer(part, allocator.fence))
+        requested = self.handover_requests[partition] = asyncio.Event()
+        deadline = self.clock.now() + HANDOVER_TIMEOUT_S
+        while not requested.is_set() and self.clock.now() < deadline:
+            self.send(successor, HandoverOffer(partition, allocator.fence))
             try:
                 async with asyncio.timeout(HANDOVER_RETRY_INTERVAL_S):
-                    await asked.wait()
+                    await requested.wait()
             except TimeoutError:
                 continue
-        del self.handover_requests[part]
-        if asked.is_set():
+        del self.handover_requests[partition]
+        if requested.is_set():
             await asyncio.sleep(SNAPSHOT_DELIVERY_S)
 
-    def _handle_handover_offer(self, route: Route, heir: HandoverOffer) -> None:
-        left = self.inherited.get(heir.partition)
-        if left is None or left.fence < heir.fence:
+    def _handle_handover_offer(self, route: Route, offer: HandoverOffer) -> None:
+        inherited = self.inherited.get(offer.partition)
+        if inherited is None or inherited.fence < offer.fence:
             # Snapshots are valid from the first request on, as that one may have sealed the ledgers. A later
             # time would accept them after another allocator has granted their units.
-            self.inherited[heir.partition] = InheritedLedgers(heir.fence, self.clock.now())
-        elif left.fence > heir.fence:
+            self.inherited[offer.partition] = InheritedLedgers(offer.fence, self.clock.now())
+        elif inherited.fence > offer.fence:
             return
-        self.send(route, HandoverRequest(heir.partition, heir.fence))
+        self.send(route, HandoverRequest(offer.partition, offer.fence))
 
-    def _handle_handover_request(self, route: Route, ask: HandoverRequest) -> None:
-        duty, allocator = self.allocators.get(ask.partition, (None, None))
+    def _handle_handover_request(self, route: Route, request: HandoverRequest) -> None:
+        duty, allocator = self.allocators.get(request.partition, (None, None))
         if (
             duty is None
             or allocator is None
-            or allocator.fence != ask.fence
-            or ask.partition not in self.handover_requests
+            or allocator.fence != request.fence
+            or request.partition not in self.handover_requests
         ):
             return
-        for legacy in allocator.seal(self.clock.now(), ask.partition):
-            self.send(route, legacy)
-        self.handover_requests[ask.partition].set()
+        for snapshot in allocator.seal(self.clock.now(), request.partition):
+            self.send(route, snapshot)
+        self.handover_requests[request.partition].set()
 
-    def _handle_snapshot(self, legacy: LedgerSnapshot) -> None:
-        if (left := self.inherited.get(legacy.partition)) is not None:
-            left.add(self.clock.now(), legacy)
+    def _handle_snapshot(self, snapshot: LedgerSnapshot) -> None:
+        if (inherited := self.inherited.get(snapshot.partition)) is not None:
+            inherited.add(self.clock.now(), snapshot)
 
     def set_order_limits(self, limits: Mapping[str, Limit]) -> None:
         """Applies the limits of operators' orders, in addition to those of the settings."""
@@ -165,23 +163,23 @@
         for _, allocator in self.allocators.values():
             allocator.set_limits(self.clock.now(), self.limits)
 
-    def active_allocator(self, part: int) -> Allocator | None:
+    def active_allocator(self, partition: int) -> Allocator | None:
         """The allocator of a partition, while this instance holds its duty."""
-        duty, allocator = self.allocators.get(part, (None, None))
+        duty, allocator = self.allocators.get(partition, (None, None))
         if duty is None:
             return None
         if not duty.is_still_held():
-            del self.allocators[part]
+            del self.allocators[partition]
             return None
         return allocator
 
-    def handle_request(self, ask: RightsRequest) -> RightsReply | None:
-        allocator = self.active_allocator(ask.partition)
+    def handle_request(self, request: RightsRequest) -> RightsReply | None:
+        allocator = self.active_allocator(request.partition)
         if allocator is None:
             self.counts["asked of one that does not serve"] += 1
             return None
         self.counts["asks"] += 1
-        return allocator.handle_request(self.clock.now(), ask)
+        return allocator.handle_request(self.clock.now(), request)
 
     def _announce_periodically(self) -> None:
         self._announce()
@@ -190,101 +188,117 @@
         )
 
     def _announce(self) -> None:
-        for part in list(self.allocators):
-            allocator = self.active_allocator(part)
+        for partition in list(self.allocators):
+            allocator = self.active_allocator(partition)
             if allocator is not None:
-                serving = AllocatorAnnouncement(part, allocator.fence, int(ANNOUNCEMENT_LIFETIME_S * 1000))
+                announcement = AllocatorAnnouncement(
+                    partition, allocator.fence, int(ANNOUNCEMENT_LIFETIME_S * 1000)
+                )
                 for route in self.peer_routes():
-                    self.send(route, serving)
-                self.local_processes.send_to_all(serving)
+                    self.send(route, announcement)
+                self.local_processes.send_to_all(announcement)
 
     # ---- messages between instances ----
 
-    def handle_peer_message(self, route: Route, body: Body) -> None:
+    def handle_peer_message(self, route: Route, message: Body) -> None:
         """Processes a message of another instance."""
-        if isinstance(body, AllocatorAnnouncement):
-            self._handle_announcement(route, body)
-        elif isinstance(body, RightsReply):
-            self.local_processes.send_to(body.holder, body)
-        elif isinstance(body, HandoverOffer):
-            self._handle_handover_offer(route, body)
-        elif isinstance(body, HandoverRequest):
-            self._handle_handover_request(route, body)
-        elif isinstance(body, LedgerSnapshot):
-            self._handle_snapshot(body)
-        elif (given := self.handle_request(body)) is not None:
-            self.send(route, given)
-
-    def _handle_announcement(self, route: Route, serving: AllocatorAnnouncement) -> None:
+        if isinstance(message, AllocatorAnnouncement):
+            self._handle_announcement(route, message)
+        elif isinstance(message, RightsReply):
+            self.local_processes.send_to(message.holder, message)
+        elif isinstance(message, HandoverOffer):
+            self._handle_handover_offer(route, message)
+        elif isinstance(message, HandoverRequest):
+            self._handle_handover_request(route, message)
+        elif isinstance(message, LedgerSnapshot):
+            self._handle_snapshot(message)
+        elif (reply := self.handle_request(message)) is not None:
+            self.send(route, reply)
+
+    def _handle_announcement(self, route: Route, announcement: AllocatorAnnouncement) -> None:
         now = self.clock.now()
-        fence, _, until = self.announced.get(serving.partition, (0, route, 0.0))
-        if serving.fence < fence:
+        fence, _, expires_at = self.announced.get(announcement.partition, (0, route, 0.0))
+        if announcement.fence < fence:
             self.counts["words of an earlier allocator"] += 1
             return
-        self.announced[serving.partition] = serving.fence, route, now + serving.lifetime_ms / 1000
-        self.local_processes.send_to_all(serving)
+        self.announced[announcement.partition] = (
+            announcement.fence,
+            route,
+            now + announcement.lifetime_ms / 1000,
+        )
+        self.local_processes.send_to_all(announcement)
 
     # ---- local processes ----
 
-    def handle_local_message(self, body: FromHolder) -> None:
+    def handle_local_message(self, message: FromHolder) -> None:
         """Processes a message of a local holder: replies, or forwards it to the allocator."""
-        if isinstance(body, Hello):
-            return self._welcome(body.holder)
-        if len(body.limit.encode()) > MAX_LIMIT_NAME_BYTES:
+        if isinstance(message, Hello):
+            return self._welcome(message.holder)
+        if len(message.limit.encode()) > MAX_LIMIT_NAME_BYTES:
             self.counts["too long a name"] += 1
             return
-        if (given := self.handle_request(body) if body.partition in self.allocators else None) is not None:
-            return self.local_processes.send_to(body.holder, given)
-        fence, route, until = self.announced.get(body.partition, (0, ("", 0), 0.0))
-        if fence == body.fence and self.clock.now() < until:
+        if (
+            reply := self.handle_request(message) if message.partition in self.allocators else None
+        ) is not None:
+            return self.local_processes.send_to(message.holder, reply)
+        fence, route, expires_at = self.announced.get(message.partition, (0, ("", 0), 0.0))
+        if fence == message.fence and self.clock.now() < expires_at:
             self.counts["passed on"] += 1
-            self.send(route, body)
+            self.send(route, message)
 
     def _welcome(self, holder: int) -> None:
         self.local_processes.send_to(holder, Welcome(self.settings.partitions, self.settings.times))
-        for part in list(self.allocators):
-            if allocator := self.active_allocator(part):
+        for partition in list(self.allocators):
+            if allocator := self.active_allocator(partition):
                 self.local_processes.send_to(
-                    holder, AllocatorAnnouncement(part, allocator.fence, int(ANNOUNCEMENT_LIFETIME_S * 1000))
+                    holder,
+                    AllocatorAnnouncement(partition, allocator.fence, int(ANNOUNCEMENT_LIFETIME_S * 1000)),
                 )
         now = self.clock.now()
-        for part, (fence, _, until) in self.announced.items():
-            if part not in self.allocators and now < until:
+        for partition, (fence, _, expires_at) in self.announced.items():
+            if partition not in self.allocators and now < expires_at:
                 self.local_processes.send_to(
-                    holder, AllocatorAnnouncement(part, fence, int((until - now) * 1000))
+                    holder, AllocatorAnnouncement(partition, fence, int((expires_at - now) * 1000))
                 )
 
     # ---- reporting ----
 
     def report(self) -> dict[str, Any]:
         """The limits that this instance allocates, and the known allocators of all partitions."""
-        now, rows, parts = self.clock.now(), [], []
-        for part in range(self.settings.partitions):
-            allocator = self.active_allocator(part)
-            fence, route, until = self.announced.get(part, (0, ("", 0), 0.0))
+        now, rows, partitions = self.clock.now(), [], []
+        for partition in range(self.settings.partitions):
+            allocator = self.active_allocator(partition)
+            fence, route, expires_at = self.announced.get(partition, (0, ("", 0), 0.0))
             if allocator is None:
-                where = route[0] if now < until else ""
-                parts.append({"part": part, "fence": fence, "given_out_by": where or "nobody seen"})
+                address = route[0] if now < expires_at else ""
+                partitions.append(
+                    {"part": partition, "fence": fence, "given_out_by": address or "nobody seen"}
+                )
                 continue
-            waits = [book.ready_at for book in allocator.ledgers.values()] or [allocator.ready_at]
-            full = round(max(0.0, max(waits) - now), 2)
-            parts.append(
-                {"part": part, "fence": allocator.fence, "given_out_by": "this instance", "waits_s": full}
+            waits = [ledger.ready_at for ledger in allocator.ledgers.values()] or [allocator.ready_at]
+            wait_s = round(max(0.0, max(waits) - now), 2)
+            partitions.append(
+                {
+                    "part": partition,
+                    "fence": allocator.fence,
+                    "given_out_by": "this instance",
+                    "waits_s": wait_s,
+                }
             )
-            for name, book in allocator.ledgers.items():
-                allocator.refill(now, book)
+            for name, ledger in allocator.ledgers.items():
+                allocator.refill(now, ledger)
                 rows.append(
                     {
                         "limit": name,
-                        "rate": book.limit.rate,
-                        "burst": book.limit.burst,
-                        "left": round(book.level, 2),
-                        "out": round(book.outstanding_units, 2),
-                        "holders": len({out.holder for out in book.outstanding.values()}),
+                        "rate": ledger.limit.rate,
+                        "burst": ledger.limit.burst,
+                        "left": round(ledger.level, 2),
+                        "out": round(ledger.outstanding_units, 2),
+                        "holders": len({right.holder for right in ledger.outstanding.values()}),
                     }
                 )
         return {
-            "parts": parts,
+            "parts": partitions,
             "limits": rows,
             "beside": len(self.local_processes.worker_paths),
             "counts": dict(self.counts + self.local_processes.counters),
--- a/roadpulley/fleet/rights/settings.py
+++ b/roadpulley/fleet/rights/settings.py
@@ -24,14 +24,14 @@
     @property
     def allocated_limits(self) -> dict[str, Limit]:
         """The part of each limit that allocators grant. The gateways split the rest without requesting it."""
-        part = self.ceiling_ratio
-        return {name: Limit(part * one.rate, part * one.burst) for name, one in self.limits.items()}
+        ratio = self.ceiling_ratio
+        return {name: Limit(ratio * limit.rate, ratio * limit.burst) for name, limit in self.limits.items()}
 
 
 def read_rights_settings(table: Table, drift: float) -> RightsSettings:
     """Raises ValidationError."""
-    parts = table.read_int("parts", 1, 1, MAX_PARTITIONS)
-    ceilings = table.read_number("ceilings", 0.7, 0.01, 1.0)
+    partitions = table.read_int("parts", 1, 1, MAX_PARTITIONS)
+    ceiling_ratio = table.read_number("ceilings", 0.7, 0.01, 1.0)
     lease, answer = (
         table.read_number("lease_s", 1.0, 0.05, 60),
         table.read_number("answer_s", 0.05, 0.001, 10),
@@ -40,11 +40,13 @@
     try:
         times = Times(lease, drift, answer, clear=clear)
     except ValueError as error:
-        wrong, _, right = str(error).partition("; ")
-        raise ValidationError(table.path_of("lease_s"), wrong, right) from error
-    limits = {name: read_limit(name, each) for name, each in read_subtables(table.read_table("limits"))}
+        problem, _, remedy = str(error).partition("; ")
+        raise ValidationError(table.path_of("lease_s"), problem, remedy) from error
+    limits = {
+        name: read_limit(name, subtable) for name, subtable in read_subtables(table.read_table("limits"))
+    }
     table.reject_unknown_keys()
-    return RightsSettings(parts, ceilings, times, limits)
+    return RightsSettings(partitions, ceiling_ratio, times, limits)
 
 
 def read_subtables(table: Table) -> list[tuple[str, Table]]:
--- a/tests/fleet/test_rights_world.py
+++ b/tests/fleet/test_rights_world.py
@@ -1,4 +1,4 @@
-"""Rights in virtual time, by drawn histories: no limit is overdrawn, and each planted mistake is found."""
+"""Random histories of rights in virtual time: no limit is overdrawn, and each planted mistake is found."""
 
 from __future__ import annotations
 
@@ -15,150 +15,156 @@
 from roadpulley.testbed.limits import Holds, Spent, use
 from roadpulley.testbed.rights_world import Plan, World, drawn, sharp
 
-HISTORIES = 60  # of each kind; benchmarks/fleet_limits.py plays thousands
+HISTORIES = 60  # of each kind; benchmarks/fleet_limits.py runs thousands
 
 
-def test_drawn_histories_never_overdraw_a_limit() -> None:
+def test_random_histories_never_overdraw_a_limit() -> None:
     tightest = 0.0
     for plans in (drawn, sharp):
         for seed in range(HISTORIES):
             found = World(plans(seed), seed).run()
             assert found.over == 0, f"{plans.__name__}, seed {seed}: {found}"
             tightest = max(tightest, found.tight)
-    assert tightest > 0.9  # the bound is reached, so that a little more would show
+    assert tightest > 0.9  # the limit is nearly reached, so a small overdraft would be found
 
 
-def test_where_nothing_fails_what_is_wanted_is_paid() -> None:
+def test_without_faults_nearly_all_demand_is_paid() -> None:
     quiet = Plan(load=0.5, limit=Limit(30.0, 40.0), loss=0, repeats=0, late=0, stops=0, restarts=0)
     world = World(replace(quiet, successions=0, cuts=0, retunes=0), 1)
     found = world.run()
     assert found.units > 0.95 * world.wished
 
 
-class FillsOver(Allocator):
-    """What is out takes no room."""
+class IgnoresOutstandingUnits(Allocator):
+    """Outstanding units don't reduce the room to refill."""
 
-    def _raise_level(self, now: float, book: LimitLedger) -> None:
-        held, book.outstanding_units = book.outstanding_units, 0.0
-        super()._raise_level(now, book)
-        book.outstanding_units = held
+    def _raise_level(self, now: float, ledger: LimitLedger) -> None:
+        outstanding_units, ledger.outstanding_units = ledger.outstanding_units, 0.0
+        super()._raise_level(now, ledger)
+        ledger.outstanding_units = outstanding_units
 
 
-class TakesBackTwice(Allocator):
-    """A right given up stays known, so that it can be given up again."""
+class AcceptsReturnsTwice(Allocator):
+    """A returned right stays outstanding, so that it can be returned again."""
 
-    def return_right(self, book: LimitLedger, holder: int, right: RightId, unused: float) -> None:
-        before = dict(book.outstanding)
-        super().return_right(book, holder, right, unused)
-        if (out := before.get(right.number)) is not None and right.fence == self.fence:
-            book.outstanding[right.number] = OutstandingRight(out.holder, out.units, out.expires_at)
+    def return_right(self, ledger: LimitLedger, holder: int, right_id: RightId, unused_units: float) -> None:
+        before = dict(ledger.outstanding)
+        super().return_right(ledger, holder, right_id, unused_units)
+        if (right := before.get(right_id.number)) is not None and right_id.fence == self.fence:
+            ledger.outstanding[right_id.number] = OutstandingRight(
+                right.holder, right.units, right.expires_at
+            )
 
 
-class TakesBackAll(Allocator):
-    """All of a right that is given up comes back, also what was spent of it."""
+class RestoresSpentUnits(Allocator):
+    """A returned right restores all its units, also the spent ones."""
 
-    def return_right(self, book: LimitLedger, holder: int, right: RightId, unused: float) -> None:
-        out = book.outstanding.get(right.number)
-        super().return_right(book, holder, right, out.units if out is not None else unused)
+    def return_right(self, ledger: LimitLedger, holder: int, right_id: RightId, unused_units: float) -> None:
+        right = ledger.outstanding.get(right_id.number)
+        super().return_right(ledger, holder, right_id, right.units if right is not None else unused_units)
 
 
-class EndsEarly(Allocator):
-    """A right counts as out for a part of its time."""
+class ExpiresRightsEarly(Allocator):
+    """A right counts as outstanding only for a part of its lease."""
 
-    def _grant(self, now: float, book: LimitLedger, ask: RightsRequest) -> RightsReply:
-        given = super()._grant(now, book, ask)
-        if given.units:
-            out = book.outstanding[given.right_id.number]
-            out.expires_at = now + self.times.lease / 2
-            book.expiry_heap[:] = sorted((o.expires_at, n) for n, o in book.outstanding.items())
-        return given
+    def _grant(self, now: float, ledger: LimitLedger, request: RightsRequest) -> RightsReply:
+        reply = super()._grant(now, ledger, request)
+        if reply.units:
+            right = ledger.outstanding[reply.right_id.number]
+            right.expires_at = now + self.times.lease / 2
+            ledger.expiry_heap[:] = sorted((r.expires_at, n) for n, r in ledger.outstanding.items())
+        return reply
 
 
-class FastClock(Allocator):
-    """The rate by a clock that may be fast."""
+class IgnoresClockDrift(Allocator):
+    """Refills at a higher rate, as without the correction for a fast clock."""
 
-    def _raise_level(self, now: float, book: LimitLedger) -> None:
-        limit = book.limit
-        book.limit = Limit(limit.rate * (1 + self.times.drift) ** 2, limit.burst)
-        super()._raise_level(now, book)
-        book.limit = limit
+    def _raise_level(self, now: float, ledger: LimitLedger) -> None:
+        limit = ledger.limit
+        ledger.limit = Limit(limit.rate * (1 + self.times.drift) ** 2, limit.burst)
+        super()._raise_level(now, ledger)
+        ledger.limit = limit
 
 
-class WholeBurst(Allocator):
-    """New terms come with a whole burst."""
+class RefillsOnLimitChange(Allocator):
+    """Changed limits start with a full burst."""
 
     def set_limits(self, now: float, limits: Mapping[str, Limit]) -> None:
         super().set_limits(now, limits)
-        for book in self.ledgers.values():
-            book.level = book.limit.burst
+        for ledger in self.ledgers.values():
+            ledger.level = ledger.limit.burst
 
 
-class NoEnd(Holder):
-    """A right that has ended is spent."""
+class SpendsExpiredRights(Holder):
+    """Expired rights are spent."""
 
-    def handle_reply(self, now: float, given: RightsReply) -> bool:
-        more = super().handle_reply(now, given)
-        for lot in self.holdings[given.limit].rights if given.limit in self.holdings else []:
-            lot.expires_at = lot.return_at = math.inf
-        return more
+    def handle_reply(self, now: float, reply: RightsReply) -> bool:
+        has_units = super().handle_reply(now, reply)
+        for right in self.holdings[reply.limit].rights if reply.limit in self.holdings else []:
+            right.expires_at = right.return_at = math.inf
+        return has_units
 
 
-class AnyAnswer(Holder):
-    """An answer that comes again counts again."""
+class AcceptsRepeatedReplies(Holder):
+    """A repeated reply adds its units again."""
 
-    def handle_reply(self, now: float, given: RightsReply) -> bool:
-        more = super().handle_reply(now, given)
-        if not more and given.units and given.limit in self.holdings:
-            until = now + self.times.holder_lease_s / 2
-            self.holdings[given.limit].rights.append(HeldRight(given.right_id, given.units, until, until))
-        return more
+    def handle_reply(self, now: float, reply: RightsReply) -> bool:
+        has_units = super().handle_reply(now, reply)
+        if not has_units and reply.units and reply.limit in self.holdings:
+            expires_at = now + self.times.holder_lease_s / 2
+            self.holdings[reply.limit].rights.append(
+                HeldRight(reply.right_id, reply.units, expires_at, expires_at)
+            )
+        return has_units
 
 
-class SpendsOn(Holder):
-    """A right that was given up is spent on."""
+class SpendsReturnedRights(Holder):
+    """Returned rights are still spent."""
 
-    def _return_right(self, now: float, purse: LimitHolding, lot: HeldRight) -> None:
-        super()._return_right(now, purse, lot)
-        self.__dict__.setdefault("kept", []).append(lot)
+    def _return_right(self, now: float, holding: LimitHolding, right: HeldRight) -> None:
+        super()._return_right(now, holding, right)
+        self.__dict__.setdefault("kept", []).append(right)
 
-    def try_spend(self, now: float, limit: str, units: float, anew: bool = True) -> bool:
-        if super().try_spend(now, limit, units, anew):
+    def try_spend(self, now: float, limit: str, units: float, is_new: bool = True) -> bool:
+        if super().try_spend(now, limit, units, is_new):
             return True
-        for lot in self.__dict__.get("kept", []):
-            if lot.units >= units and now < lot.expires_at:
-                lot.units -= units
+        for right in self.__dict__.get("kept", []):
+            if right.units >= units and now < right.expires_at:
+                right.units -= units
                 return True
         return False
 
 
-# By mistake: the first drawn history that shows it.
-# What shows only where somebody spends in the last moment of a right is tried by itself in `test_rights.py`.
-FOUND = {
-    FillsOver: 7,
-    TakesBackTwice: 1,
-    TakesBackAll: 1,
-    EndsEarly: 50,
-    FastClock: 80,
-    WholeBurst: 28,
-    NoEnd: 20,
-    AnyAnswer: 8,
-    SpendsOn: 107,
+# For each mistake the seed of the first random history that shows it. Mistakes that show only if a holder
+# spends in the last moment of a right are tested in `test_rights.py`.
+SEEDS_THAT_FIND = {
+    IgnoresOutstandingUnits: 7,
+    AcceptsReturnsTwice: 1,
+    RestoresSpentUnits: 1,
+    ExpiresRightsEarly: 50,
+    IgnoresClockDrift: 80,
+    RefillsOnLimitChange: 28,
+    SpendsExpiredRights: 20,
+    AcceptsRepeatedReplies: 8,
+    SpendsReturnedRights: 107,
 }
 
 
-def overdrawn(kind: type[Holder] | type[Allocator], seed: int) -> float:
-    if issubclass(kind, Holder):
-        return World(drawn(seed), seed, holder=kind).run().over
-    return World(drawn(seed), seed, allocator=kind).run().over
+def overdraft_with(implementation: type[Holder] | type[Allocator], seed: int) -> float:
+    if issubclass(implementation, Holder):
+        return World(drawn(seed), seed, holder=implementation).run().over
+    return World(drawn(seed), seed, allocator=implementation).run().over
 
 
-@pytest.mark.parametrize("kind", FOUND, ids=lambda kind: kind.__name__)
-def test_a_planted_mistake_is_found(kind: type[Holder] | type[Allocator]) -> None:
-    assert World(drawn(FOUND[kind]), FOUND[kind]).run().over == 0
-    assert overdrawn(kind, FOUND[kind]) > 0
+@pytest.mark.parametrize(
+    "implementation", SEEDS_THAT_FIND, ids=lambda implementation: implementation.__name__
+)
+def test_planted_mistake_overdraws_a_rate_limit(implementation: type[Holder] | type[Allocator]) -> None:
+    assert World(drawn(SEEDS_THAT_FIND[implementation]), SEEDS_THAT_FIND[implementation]).run().over == 0
+    assert overdraft_with(implementation, SEEDS_THAT_FIND[implementation]) > 0
 
 
-def test_no_more_is_open_at_once_than_a_limit_says() -> None:
+def test_random_histories_never_exceed_a_concurrency_limit() -> None:
     tightest = 0.0
     for seed in range(HISTORIES):
         found = open_world.World(open_world.drawn(seed), seed).run()
@@ -167,125 +173,146 @@
     assert tightest == 1.0
 
 
-class Outlasts(Holder):
-    """A right pays for what may be open for longer than it lasts."""
+class IgnoresUseDuration(Holder):
+    """A right pays for requests that may outlast it."""
 
-    def can_spend(self, now: float, limit: str, units: float, lasting: float = 0.0) -> bool:
+    def can_spend(self, now: float, limit: str, units: float, use_duration_s: float = 0.0) -> bool:
         return super().can_spend(now, limit, units)
 
 
-class BackAndKept(Holder):
-    """What has ended is given up and can be spent here, too."""
+class SpendsReturnedConcurrencyUnits(Holder):
+    """Units of ended requests are returned and can still be spent here."""
 
-    def _return_right(self, now: float, purse: LimitHolding, lot: HeldRight) -> None:
-        super()._return_right(now, purse, lot)
-        purse.rights.append(HeldRight(lot.right_id, lot.units, lot.expires_at, lot.expires_at))
+    def _return_right(self, now: float, holding: LimitHolding, right: HeldRight) -> None:
+        super()._return_right(now, holding, right)
+        holding.rights.append(HeldRight(right.right_id, right.units, right.expires_at, right.expires_at))
 
 
-class EndsTwice(Holder):
-    def release(self, now: float, limit: str, paid: Payment) -> None:
-        super().release(now, limit, paid)
-        super().release(now, limit, paid)
+class ReleasesTwice(Holder):
+    def release(self, now: float, limit: str, payment: Payment) -> None:
+        super().release(now, limit, payment)
+        super().release(now, limit, payment)
 
 
-class FullAtOnce(Allocator):
-    """What an allocator before gave out takes no room."""
+class SkipsWaitingPeriod(Allocator):
+    """Rights of earlier allocators are not waited for."""
 
     def ready_at_for(self, limit: Limit) -> float:
         return self.started_at
 
 
-class ShortLease(Allocator):
-    """Rights count as out for as long as those of a rate."""
+class UsesRateLease(Allocator):
+    """Rights count as outstanding only for the lease of rate limits."""
 
     def lease_for(self, limit: Limit) -> float:
         return self.times.lease
 
     def _reply(
-        self, ask: RightsRequest, number: int, units: float, wait_ms: int = 0, lease: float = 0.0
+        self,
+        request: RightsRequest,
+        right_number: int,
+        units: float,
+        retry_after_ms: int = 0,
+        lease_s: float = 0.0,
     ) -> RightsReply:
-        limit = self.find_limit(ask.limit)
-        return super()._reply(ask, number, units, wait_ms, limit.lease if limit else lease)
+        limit = self.find_limit(request.limit)
+        return super()._reply(request, right_number, units, retry_after_ms, limit.lease if limit else lease_s)
 
 
-class GivesOn(Allocator):
-    """Books are sealed, and it gives out from them."""
+class GrantsAfterSealing(Allocator):
+    """Rights are granted from ledgers after they were sealed."""
 
-    def seal(self, now: float, part: int) -> list[LedgerSnapshot]:
-        found = super().seal(now, part)
+    def seal(self, now: float, partition: int) -> list[LedgerSnapshot]:
+        snapshots = super().seal(now, partition)
         self.sealed = False
-        return found
+        return snapshots
 
 
-class ForgetsOut(Allocator):
-    """What is out under a sealed book takes no room in the next."""
+class InheritsWithoutOutstandingRights(Allocator):
+    """The successor ignores the outstanding rights of a snapshot."""
 
-    def _inherit(self, book: LimitLedger, came: float, left: LedgerSnapshot) -> None:
-        super()._inherit(book, came, replaced(left, ()))
+    def _inherit(self, ledger: LimitLedger, received_at: float, snapshot: LedgerSnapshot) -> None:
+        super()._inherit(ledger, received_at, with_outstanding(snapshot, ()))
 
 
-class PassesOnWaiting(Allocator):
-    """A book that was waiting itself is passed on as if it were known."""
+class SealsWaitingLedgers(Allocator):
+    """A ledger that is itself still waiting is handed over as if it were complete."""
 
-    def seal(self, now: float, part: int) -> list[LedgerSnapshot]:
-        for book in self.ledgers.values():
-            book.ready_at = min(book.ready_at, now)
-        return super().seal(now, part)
+    def seal(self, now: float, partition: int) -> list[LedgerSnapshot]:
+        for ledger in self.ledgers.values():
+            ledger.ready_at = min(ledger.ready_at, now)
+        return super().seal(now, partition)
 
 
-def replaced(left: LedgerSnapshot, out: tuple[tuple[float, float], ...]) -> LedgerSnapshot:
+def with_outstanding(
+    snapshot: LedgerSnapshot, outstanding: tuple[tuple[float, float], ...]
+) -> LedgerSnapshot:
     return LedgerSnapshot(
-        left.partition, left.fence, left.limit, left.level + sum(units for units, _ in left.outstanding), out
+        snapshot.partition,
+        snapshot.fence,
+        snapshot.limit,
+        snapshot.level + sum(units for units, _ in snapshot.outstanding),
+        outstanding,
     )
 
 
-@pytest.mark.parametrize("kind", [GivesOn, ForgetsOut, PassesOnWaiting], ids=lambda kind: kind.__name__)
-def test_a_mistake_in_what_is_passed_on_is_found(kind: type[Allocator]) -> None:
-    """All successions are planned; with the mistake an allocator goes on until the next has begun."""
+@pytest.mark.parametrize(
+    "implementation",
+    [GrantsAfterSealing, InheritsWithoutOutstandingRights, SealsWaitingLedgers],
+    ids=lambda implementation: implementation.__name__,
+)
+def test_planted_mistake_in_a_handover_is_found(implementation: type[Allocator]) -> None:
+    """All successions are planned; with the mistake it continues until its successor has started."""
 
-    def over(seed: int, kind: type[Allocator] = kind) -> float:
-        if hard:
+    def overdrawn_by(seed: int, implementation: type[Allocator] = implementation) -> float:
+        if is_concurrency:
             plan = replace(open_world.drawn(seed), successions=30, handed=0.6, load=20.0, stops=0)
             plan = replace(plan, restarts=0, cuts=0, retunes=0)
-            return open_world.World(plan, seed, allocator=kind).run().over
+            return open_world.World(plan, seed, allocator=implementation).run().over
         plan = replace(sharp(seed), handed=1.0, successions=12, retunes=0)
-        return World(plan, seed, allocator=kind).run().over
+        return World(plan, seed, allocator=implementation).run().over
 
-    hard = kind is PassesOnWaiting  # it shows where most of what is open stays so
-    found = next((seed for seed in range(120) if over(seed)), None)
-    print(f"{kind.__name__}: history {found}")
-    assert found is not None
-    assert over(found, Allocator) == 0
+    is_concurrency = implementation is SealsWaitingLedgers  # it shows if most requests stay open
+    seed_found = next((seed for seed in range(120) if overdrawn_by(seed)), None)
+    print(f"{implementation.__name__}: history {seed_found}")
+    assert seed_found is not None
+    assert overdrawn_by(seed_found, Allocator) == 0
 
 
-def test_books_count_for_one_holding_that_begins_soon_and_under_a_higher_fence() -> None:
-    left = InheritedLedgers(7, 10.0, {"p": (10.1, LedgerSnapshot(0, 7, "p", 5.0, ()))})
+def test_snapshots_are_usable_only_soon_and_under_a_higher_fence() -> None:
+    inherited = InheritedLedgers(7, 10.0, {"p": (10.1, LedgerSnapshot(0, 7, "p", 5.0, ()))})
     times = Times(1.0, 0.1)
-    assert left.usable_snapshots(10.5, 8, times) == left.snapshots
-    assert left.usable_snapshots(10.5, 7, times) == {}
-    assert left.usable_snapshots(10.0 + times.holder_lease_s, 8, times) == {}
-    left.add(10.6, LedgerSnapshot(0, 7, "p", 9.0, ()))  # shown again, later: the first one stands
-    left.add(10.6, LedgerSnapshot(0, 6, "q", 9.0, ()))
-    assert left.snapshots == {"p": (10.1, LedgerSnapshot(0, 7, "p", 5.0, ()))}
-
-
-OPEN_FOUND = {Outlasts: 40, BackAndKept: 40, EndsTwice: 40, FullAtOnce: 40, ShortLease: 40}  # within so many
-
-
-@pytest.mark.parametrize("kind", OPEN_FOUND, ids=lambda kind: kind.__name__)
-def test_a_mistake_in_what_is_open_is_found(kind: type[Holder] | type[Allocator]) -> None:
-    def over(seed: int) -> float:
+    assert inherited.usable_snapshots(10.5, 8, times) == inherited.snapshots
+    assert inherited.usable_snapshots(10.5, 7, times) == {}
+    assert inherited.usable_snapshots(10.0 + times.holder_lease_s, 8, times) == {}
+    inherited.add(10.6, LedgerSnapshot(0, 7, "p", 9.0, ()))  # sent again later: the first one is kept
+    inherited.add(10.6, LedgerSnapshot(0, 6, "q", 9.0, ()))
+    assert inherited.snapshots == {"p": (10.1, LedgerSnapshot(0, 7, "p", 5.0, ()))}
+
+
+SEED_COUNTS = {
+    IgnoresUseDuration: 40,
+    SpendsReturnedConcurrencyUnits: 40,
+    ReleasesTwice: 40,
+    SkipsWaitingPeriod: 40,
+    UsesRateLease: 40,
+}  # seeds to try
+
+
+@pytest.mark.parametrize("implementation", SEED_COUNTS, ids=lambda implementation: implementation.__name__)
+def test_planted_mistake_exceeds_a_concurrency_limit(implementation: type[Holder] | type[Allocator]) -> None:
+    def overdrawn_by(seed: int) -> float:
         plan = open_world.drawn(seed)
-        if issubclass(kind, Holder):
-            return open_world.World(plan, seed, holder=kind).run().over
-        return open_world.World(plan, seed, allocator=kind).run().over
+        if issubclass(implementation, Holder):
+            return open_world.World(plan, seed, holder=implementation).run().over
+        return open_world.World(plan, seed, allocator=implementation).run().over
 
-    found = next((seed for seed in range(OPEN_FOUND[kind]) if over(seed)), None)
-    print(f"{kind.__name__}: history {found}")
-    assert found is not None
+    seed_found = next((seed for seed in range(SEED_COUNTS[implementation]) if overdrawn_by(seed)), None)
+    print(f"{implementation.__name__}: history {seed_found}")
+    assert seed_found is not None
 
 
-def test_the_judge_sees_what_an_exact_store_would_refuse() -> None:
+def test_checker_finds_each_overdraft() -> None:
     terms = [Holds(0.0, 2.0, 10.0)]
     within = [Spent(1.0, "p", 10.0, "a"), Spent(2.0, "p", 2.0, "b"), Spent(9.0, "p", 10.0, "a")]
     assert use(within, terms).over == 0
