--- a/roadpulley/fleet/rights/allocator.py
+++ b/roadpulley/fleet/rights/allocator.py
@@ -145,14 +145,14 @@
             # A repeated request gets the same reply. A second right for it would be outstanding until it
             # expires, although no holder has it.
             return account.reply if request.request_number == account.request_number else None
-        for returned in request.returned:
-            self.return_right(ledger, request.holder, returned.right_id, returned.unused_units)
-        reply = self._grant(now, ledger, request)
+        for returned_right in request.returned:
+            self.return_right(ledger, request.holder, returned_right.right_id, returned_right.unused_units)
+        new_reply = self._grant(now, ledger, request)
         ledger.accounts[request.holder] = HolderAccount(
-            request.request_number, reply, request.wanted_units, now
+            request.request_number, new_reply, request.wanted_units, now
         )
         self._sweep(now)
-        return reply
+        return new_reply
 
     def return_right(self, ledger: LimitLedger, holder: int, right_id: RightId, unused_units: float) -> None:
         """Makes the unspent units of a right available again that its holder returns."""
@@ -271,8 +271,8 @@
         elapsed_s = max(0.0, now - ledger.refilled_at)
         ledger.refilled_at = max(now, ledger.refilled_at)
         # Without this correction an allocator with a fast clock would grant more than the rate.
-        level = ledger.level + elapsed_s * ledger.limit.rate / (1 + self.times.drift)
-        ledger.level = min(level, ledger.limit.burst - ledger.outstanding_units)
+        refilled_level = ledger.level + elapsed_s * ledger.limit.rate / (1 + self.times.drift)
+        ledger.level = min(refilled_level, ledger.limit.burst - ledger.outstanding_units)
 
     # ---- limits ----
 
@@ -289,8 +289,8 @@
             ledger = self.ledgers[name] = LimitLedger(
                 limit, 0.0, ready_at, ready_at, is_concurrency_limit(name)
             )
-            if (inherited := self.inherited.pop(name, None)) is not None:
-                self._inherit(ledger, *inherited)
+            if (inherited_entry := self.inherited.pop(name, None)) is not None:
+                self._inherit(ledger, *inherited_entry)
         return ledger
 
     # ---- handover ----
@@ -308,10 +308,12 @@
                 and len(ledger.outstanding) <= MAX_OUTSTANDING_PER_SNAPSHOT
                 and len(snapshots) < MAX_SNAPSHOTS
             ):
-                outstanding = tuple(
+                outstanding_rights = tuple(
                     (right.units, right.expires_at - now) for right in ledger.outstanding.values()
                 )
-                snapshots.append(LedgerSnapshot(partition, self.fence, name, ledger.level, outstanding))
+                snapshots.append(
+                    LedgerSnapshot(partition, self.fence, name, ledger.level, outstanding_rights)
+                )
         return snapshots
 
     def _inherit(self, ledger: LimitLedger, received_at: MonotonicTime, snapshot: LedgerSnapshot) -> None:
--- a/roadpulley/fleet/rights/client.py
+++ b/roadpulley/fleet/rights/client.py
@@ -62,8 +62,8 @@
         if self.timer is not None:
             self.timer.cancel()
         for limit in list(self.pending):
-            for spend in self.pending.pop(limit):
-                self._finish(spend, False)
+            for pending_spend in self.pending.pop(limit):
+                self._finish(pending_spend, False)
 
     # ---- spending ----
 
@@ -101,27 +101,31 @@
         now = self.clock.now()
         for cost in costs:
             self.holder_state.record_demand(now, cost.limit, cost.units)
-        spend = PendingSpend(costs, on_done)
-        lacking = self._spend_if_possible(now, spend)
+        pending_spend = PendingSpend(costs, on_done)
+        lacking = self._spend_if_possible(now, pending_spend)
         self._reset_timer()
-        if lacking is not None and self._enqueue(lacking, spend):
-            spend.timer = asyncio.get_running_loop().call_later(timeout_s, self._expire, spend)
+        if lacking is not None and self._enqueue(lacking, pending_spend):
+            pending_spend.timer = asyncio.get_running_loop().call_later(
+                timeout_s, self._expire, pending_spend
+            )
 
-    def _spend_if_possible(self, now: float, spend: PendingSpend) -> str | None:
+    def _spend_if_possible(self, now: float, pending_spend: PendingSpend) -> str | None:
         """Pays all costs if the held rights cover them; otherwise returns a limit that lacks units."""
         holder = self.holder_state
         assert holder is not None
         lacking = [
-            cost.limit
-            for cost in spend.costs
-            if not holder.can_spend(now, cost.limit, cost.units, cost.use_duration_s)
+            c.limit
+            for c in pending_spend.costs
+            if not holder.can_spend(now, c.limit, c.units, c.use_duration_s)
         ]
         if not lacking:
             self.spent_at = now
-            payments = [(cost.limit, holder.spend(now, cost.limit, cost.units)) for cost in spend.costs]
+            payments = [
+                (cost.limit, holder.spend(now, cost.limit, cost.units)) for cost in pending_spend.costs
+            ]
             to_release = [(limit, payment) for limit, payment in payments if is_concurrency_limit(limit)]
-            self._finish(spend, True, partial(self._release, to_release) if to_release else None)
-        for cost in spend.costs:
+            self._finish(pending_spend, True, partial(self._release, to_release) if to_release else None)
+        for cost in pending_spend.costs:
             if request := holder.prepare_request(now, cost.limit):
                 self.line.send(request)
         return (
@@ -130,12 +134,12 @@
             else None
         )
 
-    def _enqueue(self, limit: str, spend: PendingSpend) -> bool:
+    def _enqueue(self, limit: str, pending_spend: PendingSpend) -> bool:
         """Queues a spend until a reply about the limit; fails it if no request for the limit is open."""
         if not self._has_open_request(limit):
-            self._finish(spend, False)  # no allocator is known, or it asked for a longer delay
+            self._finish(pending_spend, False)  # no allocator is known, or it asked for a longer delay
             return False
-        self.pending.setdefault(limit, []).append(spend)
+        self.pending.setdefault(limit, []).append(pending_spend)
         return True
 
     def _has_open_request(self, limit: str) -> bool:
@@ -150,23 +154,25 @@
                 self._retry_pending(limit)
         self._reset_timer()
 
-    def _expire(self, spend: PendingSpend) -> None:
+    def _expire(self, pending_spend: PendingSpend) -> None:
         for spends in self.pending.values():
-            if spend in spends:
-                spends.remove(spend)
-                return self._finish(spend, False)
+            if pending_spend in spends:
+                spends.remove(pending_spend)
+                return self._finish(pending_spend, False)
 
-    def _finish(self, spend: PendingSpend, is_paid: bool, release: ReleaseCallback | None = None) -> None:
-        if spend.timer is not None:
-            spend.timer.cancel()
-        spend.on_done(is_paid, release)
+    def _finish(
+        self, pending_spend: PendingSpend, is_paid: bool, release: ReleaseCallback | None = None
+    ) -> None:
+        if pending_spend.timer is not None:
+            pending_spend.timer.cancel()
+        pending_spend.on_done(is_paid, release)
 
     def _retry_pending(self, limit: str) -> None:
         """Retries the spends that wait for a limit, in their order."""
         now = self.clock.now()
-        for spend in self.pending.pop(limit, []):
-            if (lacking := self._spend_if_possible(now, spend)) is not None:
-                self._enqueue(lacking, spend)
+        for pending_spend in self.pending.pop(limit, []):
+            if (lacking := self._spend_if_possible(now, pending_spend)) is not None:
+                self._enqueue(lacking, pending_spend)
 
     # ---- messages ----
 
--- a/roadpulley/fleet/rights/holder.py
+++ b/roadpulley/fleet/rights/holder.py
@@ -136,12 +136,12 @@
         holding.demand, holding.demand_at = holding.demand * decay + units, now
         holding.largest_spend = max(units, holding.largest_spend * decay)
 
-    def can_spend(self, now: MonotonicTime, limit: str, units: float, use_duration_s: float = 0.0) -> bool:
+    def can_spend(self, now: MonotonicTime, limit: str, units: float, duration_s: float = 0.0) -> bool:
         """Whether the held rights cover the units; if not, `prepare_request` requests more."""
         holding = self._get_holding(now, limit)
         # Each spend sets its own duration. With that of another one, its use could outlast the right that
         # pays for it.
-        holding.use_duration_s = use_duration_s if holding.is_concurrency else 0.0
+        holding.use_duration_s = duration_s if holding.is_concurrency else 0.0
         if holding.spendable_units(now) >= units - UNIT_EPSILON:
             return True
         holding.lacking_units = max(holding.lacking_units, units)
@@ -177,20 +177,22 @@
 
     # ---- requests ----
 
-    def handle_announcement(self, now: MonotonicTime, partition: int, fence: int, lifetime_s: float) -> bool:
+    def handle_announcement(
+        self, now: MonotonicTime, partition_id: int, fence: int, lifetime_s: float
+    ) -> bool:
         """Processes an announcement of an allocator; False if a newer allocator is known."""
         # An announcement of an earlier allocator may arrive late. Requests would go to an allocator that can
         # no longer grant anything.
-        if fence < self.fences.get(partition, 0):
+        if fence < self.fences.get(partition_id, 0):
             return False
-        if fence > self.fences.get(partition, 0):
-            self.fences[partition] = fence
-            for holding in self._holdings_of(partition):
+        if fence > self.fences.get(partition_id, 0):
+            self.fences[partition_id] = fence
+            for holding in self._holdings_of(partition_id):
                 holding.pending, holding.retry_at = None, 0.0
                 holding.returned.clear()  # the new allocator does not know these rights
                 holding.report_returns_at = NEVER_DUE
                 self._schedule_check(now, holding)
-        self.serving_until[partition] = now + lifetime_s
+        self.serving_until[partition_id] = now + lifetime_s
         return True
 
     def tick(self, now: MonotonicTime) -> list[RightsRequest]:
@@ -228,7 +230,7 @@
         wanted_units, min_units = (0.0, 0.0) if now < holding.retry_at else (wanted_units, min_units)
         if not wanted_units and now < holding.report_returns_at:
             return None
-        returned = tuple(holding.returned[:MAX_RETURNED_PER_REQUEST])
+        returned_rights = tuple(holding.returned[:MAX_RETURNED_PER_REQUEST])
         del holding.returned[:MAX_RETURNED_PER_REQUEST]
         holding.report_returns_at = now if holding.returned else NEVER_DUE
         self.request_count += 1
@@ -240,23 +242,23 @@
             holding.limit,
             wanted_units,
             min_units,
-            returned,
+            returned_rights,
         )
         holding.pending = PendingRequest(request, now, now + self.times.answer)
         return request
 
     def _retry_request(
-        self, now: MonotonicTime, holding: LimitHolding, pending: PendingRequest
+        self, now: MonotonicTime, holding: LimitHolding, pending_request: PendingRequest
     ) -> RightsRequest | None:
-        if now >= pending.first_sent_at + self.times.reply_timeout_s:
+        if now >= pending_request.first_sent_at + self.times.reply_timeout_s:
             holding.pending = None  # a right granted for it expires unused
             holding.retry_at = now + self.times.answer
             return None
-        if now < pending.resend_at:
+        if now < pending_request.resend_at:
             return None
-        pending.tries += 1
-        pending.resend_at = now + self.times.answer * 2 ** (pending.tries - 1)
-        return pending.request
+        pending_request.tries += 1
+        pending_request.resend_at = now + self.times.answer * 2 ** (pending_request.tries - 1)
+        return pending_request.request
 
     def _compute_demand(self, now: MonotonicTime, holding: LimitHolding) -> tuple[float, float]:
         """The units to request, and the minimum that is of use."""
@@ -287,8 +289,12 @@
     def handle_reply(self, now: MonotonicTime, reply: RightsReply) -> bool:
         """Processes a reply; True if it brought units."""
         holding = self.holdings.get(reply.limit)
-        pending = holding.pending if holding is not None else None
-        if holding is None or pending is None or reply.request_number != pending.request.request_number:
+        pending_request = holding.pending if holding is not None else None
+        if (
+            holding is None
+            or pending_request is None
+            or reply.request_number != pending_request.request.request_number
+        ):
             return False  # a late or repeated reply would add the same units twice
         holding.pending = None
         holding.lacking_units = 0.0
@@ -302,10 +308,12 @@
             else min(self.times.holder_lease_s, reply.holder_lease_s)
         )
         if reply.units > 0:
-            expires_at = pending.first_sent_at + lease_s
+            expires_at = pending_request.first_sent_at + lease_s
             return_delay_s = min(lease_s, self.times.holder_lease_s) * self.times.keep
             holding.rights.append(
-                HeldRight(reply.right_id, reply.units, expires_at, pending.first_sent_at + return_delay_s)
+                HeldRight(
+                    reply.right_id, reply.units, expires_at, pending_request.first_sent_at + return_delay_s
+                )
             )
         self._schedule_check(now, holding)
         return reply.units > 0
@@ -348,13 +356,13 @@
 
     def _schedule_check(self, now: MonotonicTime, holding: LimitHolding) -> None:
         """Schedules a check of a limit: the cost of a spend may not grow with the number of limits."""
-        check_at = min(self._check_times(holding))
+        next_check = min(self._check_times(holding))
         if now >= self.serving_until.get(holding.partition, 0.0):
-            check_at = max(check_at, now + UNSERVED_CHECK_INTERVAL_S)
-        check_at = max(check_at, now + MIN_CHECK_INTERVAL_S)
-        if check_at < holding.check_at:
-            holding.check_at = check_at
-            heapq.heappush(self.check_heap, (check_at, holding.limit))
+            next_check = max(next_check, now + UNSERVED_CHECK_INTERVAL_S)
+        next_check = max(next_check, now + MIN_CHECK_INTERVAL_S)
+        if next_check < holding.check_at:
+            holding.check_at = next_check
+            heapq.heappush(self.check_heap, (next_check, holding.limit))
 
     def _check_times(self, holding: LimitHolding) -> Iterator[MonotonicTime]:
         yield holding.demand_at + IDLE_TIMEOUT_S
@@ -370,8 +378,8 @@
             for right in holding.rights
         )
 
-    def _holdings_of(self, partition: int) -> Iterator[LimitHolding]:
-        return (holding for holding in self.holdings.values() if holding.partition == partition)
+    def _holdings_of(self, partition_id: int) -> Iterator[LimitHolding]:
+        return (holding for holding in self.holdings.values() if holding.partition == partition_id)
 
 
 def customer_limit_name(plan: str, customer: str) -> str:
--- a/roadpulley/fleet/rights/service.py
+++ b/roadpulley/fleet/rights/service.py
@@ -98,9 +98,11 @@
         # The waiting period for the rights of earlier allocators starts here. It would be too short if one of
         # them could still grant rights, so this may run only after the duty has been acquired.
         settings = self.settings
-        now, inherited = self.clock.now(), self.inherited.pop(partition, None)
+        now, inherited_ledgers = self.clock.now(), self.inherited.pop(partition, None)
         snapshots = (
-            inherited.usable_snapshots(now, duty.fence, settings.times) if inherited is not None else {}
+            inherited_ledgers.usable_snapshots(now, duty.fence, settings.times)
+            if inherited_ledgers is not None
+            else {}
         )
         allocator = Allocator(duty.fence, now, self.limits, settings.times, self.rng, snapshots)
         self.allocators[partition] = duty, allocator
@@ -131,12 +133,12 @@
             await asyncio.sleep(SNAPSHOT_DELIVERY_S)
 
     def _handle_handover_offer(self, route: Route, offer: HandoverOffer) -> None:
-        inherited = self.inherited.get(offer.partition)
-        if inherited is None or inherited.fence < offer.fence:
+        inherited_ledgers = self.inherited.get(offer.partition)
+        if inherited_ledgers is None or inherited_ledgers.fence < offer.fence:
             # Snapshots are valid from the first request on, as that one may have sealed the ledgers. A later
             # time would accept them after another allocator has granted their units.
             self.inherited[offer.partition] = InheritedLedgers(offer.fence, self.clock.now())
-        elif inherited.fence > offer.fence:
+        elif inherited_ledgers.fence > offer.fence:
             return
         self.send(route, HandoverRequest(offer.partition, offer.fence))
 
@@ -154,8 +156,8 @@
         self.handover_requests[request.partition].set()
 
     def _handle_snapshot(self, snapshot: LedgerSnapshot) -> None:
-        if (inherited := self.inherited.get(snapshot.partition)) is not None:
-            inherited.add(self.clock.now(), snapshot)
+        if (inherited_ledgers := self.inherited.get(snapshot.partition)) is not None:
+            inherited_ledgers.add(self.clock.now(), snapshot)
 
     def set_order_limits(self, limits: Mapping[str, Limit]) -> None:
         """Applies the limits of operators' orders, in addition to those of the settings."""
@@ -265,19 +267,19 @@
 
     def report(self) -> dict[str, Any]:
         """The limits that this instance allocates, and the known allocators of all partitions."""
-        now, rows, partitions = self.clock.now(), [], []
+        now, rows, partition_rows = self.clock.now(), [], []
         for partition in range(self.settings.partitions):
             allocator = self.active_allocator(partition)
             fence, route, expires_at = self.announced.get(partition, (0, ("", 0), 0.0))
             if allocator is None:
                 address = route[0] if now < expires_at else ""
-                partitions.append(
+                partition_rows.append(
                     {"part": partition, "fence": fence, "given_out_by": address or "nobody seen"}
                 )
                 continue
             waits = [ledger.ready_at for ledger in allocator.ledgers.values()] or [allocator.ready_at]
             wait_s = round(max(0.0, max(waits) - now), 2)
-            partitions.append(
+            partition_rows.append(
                 {
                     "part": partition,
                     "fence": allocator.fence,
@@ -298,7 +300,7 @@
                     }
                 )
         return {
-            "parts": partitions,
+            "parts": partition_rows,
             "limits": rows,
             "beside": len(self.local_processes.worker_paths),
             "counts": dict(self.counts + self.local_processes.counters),
--- a/tests/fleet/test_rights.py
+++ b/tests/fleet/test_rights.py
@@ -26,12 +26,12 @@
 def make_request(
     number: int,
     wanted_units: float,
-    *returned: ReturnedRight,
+    *returned_rights: ReturnedRight,
     holder: int = 1,
     min_units: float = 0.0,
     fence: int = FENCE,
 ) -> RightsRequest:
-    return RightsRequest(0, fence, holder, number, LIMIT_NAME, wanted_units, min_units, returned)
+    return RightsRequest(0, fence, holder, number, LIMIT_NAME, wanted_units, min_units, returned_rights)
 
 
 def granted_units(reply: RightsReply | None) -> float:
@@ -304,7 +304,7 @@
 def test_suspended_process_resumes_with_expired_rights() -> None:
     holder = make_holder_with_right()
     assert not holder.try_spend(20.0, LIMIT_NAME, 1.0)
-    assert not any(returned.unused_units for request in holder.tick(20.0) for returned in request.returned)
+    assert not any(right.unused_units for sent in holder.tick(20.0) for right in sent.returned)
 
 
 def test_repeated_or_late_replies_add_no_units() -> None:
@@ -327,9 +327,7 @@
     holder = make_holder_with_right(units=5.0)
     holder.try_spend(0.1, LIMIT_NAME, 1.0)
     requests = holder.tick(0.75)
-    assert [returned for request in requests for returned in request.returned] == [
-        ReturnedRight(RightId(FENCE, 1), 4.0)
-    ]
+    assert [right for sent in requests for right in sent.returned] == [ReturnedRight(RightId(FENCE, 1), 4.0)]
     assert not holder.try_spend(0.76, LIMIT_NAME, 1.0)
     assert holder.tick(0.77) == []
 
@@ -341,7 +339,7 @@
     assert holder.try_spend(
         0.3, LIMIT_NAME, 1.0
     )  # it is still valid, as the new allocator waits for its expiry
-    assert all(not request.returned for request in holder.tick(0.8))
+    assert all(not sent.returned for sent in holder.tick(0.8))
     holder.try_spend(0.9, LIMIT_NAME, 9.0)
     request = holder.prepare_request(0.9, LIMIT_NAME)
     assert request is not None
--- a/tests/fleet/test_rights_world.py
+++ b/tests/fleet/test_rights_world.py
@@ -39,9 +39,9 @@
     """Outstanding units don't reduce the room to refill."""
 
     def _raise_level(self, now: float, ledger: LimitLedger) -> None:
-        outstanding_units, ledger.outstanding_units = ledger.outstanding_units, 0.0
+        saved_units, ledger.outstanding_units = ledger.outstanding_units, 0.0
         super()._raise_level(now, ledger)
-        ledger.outstanding_units = outstanding_units
+        ledger.outstanding_units = saved_units
 
 
 class AcceptsReturnsTwice(Allocator):
@@ -176,7 +176,7 @@
 class IgnoresUseDuration(Holder):
     """A right pays for requests that may outlast it."""
 
-    def can_spend(self, now: float, limit: str, units: float, use_duration_s: float = 0.0) -> bool:
+    def can_spend(self, now: float, limit: str, units: float, duration_s: float = 0.0) -> bool:
         return super().can_spend(now, limit, units)
 
 
@@ -245,14 +245,14 @@
 
 
 def with_outstanding(
-    snapshot: LedgerSnapshot, outstanding: tuple[tuple[float, float], ...]
+    snapshot: LedgerSnapshot, outstanding_rights: tuple[tuple[float, float], ...]
 ) -> LedgerSnapshot:
     return LedgerSnapshot(
         snapshot.partition,
         snapshot.fence,
         snapshot.limit,
         snapshot.level + sum(units for units, _ in snapshot.outstanding),
-        outstanding,
+        outstanding_rights,
     )
 
 
