--- a/mintford/ceilings.py
+++ b/mintford/ceilings.py
@@ -101,7 +101,7 @@
         return self.own_tokens >= units or (counted and (self.uses_rights or self.shared_tokens >= units))
 
     def needs_shared_part(self, units: float) -> bool:
-        """Whether only the shared part can pay. The request's units must be added to the counter first.""" ""
+        """Whether only the shared part can pay. The request's units must be added to the counter first."""
         return self.own_tokens < units <= self.shared_tokens
 
     def take(self, units: float, counted: bool) -> None:
--- a/mintford/rules.py
+++ b/mintford/rules.py
@@ -1,7 +1,8 @@
-"""Every decision of one mintford gateway. Types, events and actions: see mintford/interface.py.
+"""All decisions of one gateway. See mintford/interface.py for the types, events and actions.
 
-A gateway knows its settings, its seed, the `now` it is handed and its own events; nothing else. Each section
-of the policy is a file: quotas, load and choice, attempts, shedding, guards of the rules. Here they meet.
+A gateway depends on nothing but its settings, its seed, its events and the time `now` that comes with them.
+Each section of the policy has its own file: quotas, load, attempts, shedding, guards. This file combines
+them.
 """
 
 from __future__ import annotations
@@ -29,6 +30,8 @@
 
 
 class Gateway:
+    """Decides for one gateway: `handle` takes an event and returns the actions that follow."""
+
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
         chance = random.Random(seed)
@@ -39,7 +42,7 @@
         self.loop_lag, self.orders = LoopLagController(settings, chance), Orders()
         self.shedding = Shedding(self.fleet, self.attempts, self.loop_lag, chance)
         self.started_at = -1.0  # the time of the first event
-        self.admits_requests = True  # new requests are taken
+        self.admits_requests = True  # whether new requests are accepted
         self.count_avoided, self.get_early_refusal = self.fleet.count_avoided, self.loop_lag.get_early_refusal
         self.handlers: dict[type, Callable[[float, Any, api.Actions], object]] = {
             api.RequestArrived: self.on_request,
@@ -64,14 +67,15 @@
             ),
             api.PlanChanged: lambda now, event, _: changes.apply_plan_change(self.quotas, now, event),
             api.RequestAbandoned: lambda _, event, __: self.attempts.requests.pop(event.request, None),
-        }  # peers' messages change no decision
+        }  # messages of peers change no decision
 
     @property
     def shed_level(self) -> float:
-        """Above 0: requests of little worth are turned away at the door."""
+        """Above 0, requests of little worth are refused before they are read."""
         return self.loop_lag.shed_level
 
     def handle(self, now: float, event: api.Event) -> api.Actions:
+        """Take an event at the time `now`, in milliseconds, and return the actions in their order."""
         out: api.Actions = []
         if self.started_at < 0:
             self.started_at = self.fleet.last_answer_at = now
@@ -85,18 +89,22 @@
     # ---- events ----
 
     def on_list(self, now: float, event: api.BackendsChanged, out: api.Actions) -> None:
-        if event.scope is api.ListScope.FAILED:  # the old list stays
+        """Apply a backend list. If the list could not be read, keep the old one and retry later."""
+        if event.scope is api.ListScope.FAILED:
             return out.append(api.SetTimer(self.settings.rules.drain_grace, "follow"))
         self.fleet.update_list(now, event)
 
     def on_request(self, now: float, event: api.RequestArrived, out: api.Actions) -> None:
-        left, c = event.expires - now, self.quotas.get_customer(now, event, out)
-        kind = self.classes.get(event.request_class) or api.RequestClass(event.request_class, left, left)
+        """Decide on a new request, or let it wait for a reading of the counter."""
+        remaining, c = event.expires - now, self.quotas.get_customer(now, event, out)
+        kind = self.classes.get(event.request_class) or api.RequestClass(
+            event.request_class, remaining, remaining
+        )
         request = self.attempts.requests[event.request] = Request(
-            event, kind, c, now, self.attempts.estimate_elapsed(kind, left, event.is_repeat)
+            event, kind, c, now, self.attempts.estimate_elapsed(kind, remaining, event.is_repeat)
         )
         request.attempt_limit = self.settings.max_attempts
-        # Where the door is shut clients are to ask another gateway, which a refusal lets them do at once.
+        # A gateway that accepts no new requests refuses them, so that clients can try another one at once.
         if not self.admits_requests or self.orders.is_refused(event):
             return self.attempts.finish(request, out)
         worth = kind.importance / max(self.loop_lag.top_importance, 1e-9)
@@ -106,6 +114,7 @@
             self.admit_request(now, request, out)
 
     def on_settings(self, now: float, event: api.SettingsChanged, out: api.Actions) -> None:
+        """Apply new settings to all sections of the policy."""
         changes.apply_settings(self.quotas, now, self.settings, event.settings)
         self.settings = event.settings
         self.classes = {c.name: c for c in event.settings.classes}
@@ -115,142 +124,180 @@
         self.fleet.apply_settings(now, event.settings)
 
     def on_gateway_share(self, now: float, event: api.GatewayShareChanged, out: api.Actions) -> None:
+        """Change this process's share of the gateway, and hand over the state that it gives up."""
         out.append(api.SendHandover(handover.split_off(self.quotas, self.fleet, now, event.share)))
 
     def on_orders(self, now: float, event: api.OrdersChanged, out: api.Actions) -> None:
+        """Apply new orders of operators."""
         self.orders.current, self.fleet.excluded_backends = event, event.excluded_backends
         self.fleet.update_list(now, api.BackendsChanged(api.ListScope.CHANGES, ()))
 
     def on_rights_decided(self, now: float, event: api.RightsDecided, out: api.Actions) -> None:
+        """Continue a request that waited for rights."""
         if request := self.attempts.requests.get(event.request):
             self.orders.apply_decision(request, event.granted)
         self.resume_request(now, out, event.request, False)
 
-    def resume_request(self, now: float, out: api.Actions, waiting: str, counted: bool) -> None:
-        """With a request that has waited for a reading, or for a right."""
-        request = self.attempts.requests.get(waiting)
+    def resume_request(self, now: float, out: api.Actions, request_id: str, counted: bool) -> None:
+        """Decide on a request that has waited for a reading or for rights."""
+        request = self.attempts.requests.get(request_id)
         if request and not request.attempts:
             self.admit_request(now, request, out, counted)
 
     def on_timer(self, now: float, event: api.TimerFired, out: api.Actions) -> None:
+        """Subscribe to the backend list again, or check the requests that are due."""
         if event.token == "follow":
             return out.append(api.SubscribeBackends())
         for request in self.attempts.pop_due(now, event.token):
             self.check_request(now, request, out)
 
     def on_response_started(self, now: float, event: api.ResponseStarted, out: api.Actions) -> None:
-        """The first bytes of a value are on their way: no other attempt, and no other end of the request."""
-        # Danger: how long the rest takes is also the client's doing, and says nothing of the backend.
+        """Commit to this attempt, as the first bytes of its response are being sent to the client.
+
+        The request gets no other attempt and no other final answer. The latency is measured here, because the
+        time for the rest depends on the client too and says nothing about the backend.
+        """
         attempt = self.attempts.in_flight.get((event.request, event.attempt))
         if attempt is None or attempt.response_started:
             return
         attempt.response_started, request = True, attempt.request
-        lag, patience = (
+        elapsed, timeout = (
             max(1.0, now - attempt.sent_at - self.loop_lag.lag),
             self.compute_timeout(now, attempt),
         )
-        self.fleet.record_outcome(now, attempt.backend, request.marks, api.Outcome.OK, lag, patience)
+        self.fleet.record_outcome(now, attempt.backend, request.marks, api.Outcome.OK, elapsed, timeout)
         if self.attempts.requests.pop(event.request, None):
             self.attempts.cancel_all(request, out, except_number=event.attempt)
 
     def on_attempt_ended(self, now: float, event: api.AttemptEnded, out: api.Actions) -> None:
+        """Record the outcome of an attempt, and finish its request or start another attempt."""
         attempt = self.attempts.remove_attempt(event)
         if attempt is None:
             return
-        request, never_ran = attempt.request, event.outcome in NOT_RUN_OUTCOMES
-        lag = max(1.0, now - attempt.sent_at - self.loop_lag.lag)
-        patience = self.compute_timeout(now, attempt)
+        request, has_not_run = attempt.request, event.outcome in NOT_RUN_OUTCOMES
+        elapsed = max(1.0, now - attempt.sent_at - self.loop_lag.lag)
+        timeout = self.compute_timeout(now, attempt)
         if not attempt.response_started or event.outcome is api.Outcome.RESET:
-            self.fleet.record_outcome(now, attempt.backend, request.marks, event.outcome, lag, patience)
+            self.fleet.record_outcome(now, attempt.backend, request.marks, event.outcome, elapsed, timeout)
         if event.outcome is api.Outcome.OK:
             self.quotas.settle(now, request.customer, request.charged_units, event.settled_units, out)
-            request.charged_units = 0.0  # once only
-        if never_ran:
+            request.charged_units = 0.0  # a request is settled only once
+        if has_not_run:
             request.possibly_run.remove(attempt)
         if event.request not in self.attempts.requests:
             if attempt.response_started:
-                request.possibly_run.clear()  # as below
+                request.possibly_run.clear()  # breaks the reference cycle, as below
             return
         if event.finished or event.outcome is api.Outcome.OK:
             del self.attempts.requests[request.id]
             self.attempts.cancel_all(request, out)
             if not request.live_attempts:
-                request.possibly_run.clear()  # else it and its attempts would wait for the collector
+                # Breaks the reference cycle of the request and its attempts. Otherwise they would stay in
+                # memory until the garbage collector runs.
+                request.possibly_run.clear()
         elif not request.live_attempts and not self.send_another(
-            now, request, out, price=0.0 if never_ran else 1.0
+            now, request, out, price=0.0 if has_not_run else 1.0
         ):
             self.attempts.finish(request, out)
 
-    # ---- the way of a request ----
+    # ---- admission and attempts ----
 
     def admit_request(self, now: float, request: Request, out: api.Actions, counted: bool = False) -> None:
-        """Send the request on if the lease, the guards and the backends let it, else refuse it."""
+        """Send the request if the lease, the ceiling, the orders and the backends' load allow it, else
+        refuse it.
+        """
         c, kind, plan, units = request.customer, request.kind, request.customer.plan, request.units
         counted = counted or request.has_rights
-        short = units - c.tokens if plan.rate else 0.0  # 0 or less: the lease can pay
-        crowded = bool(plan.open_limit) and c.open_attempts + 1 > max(1.0, plan.open_limit * c.part)
-        strain = (expected := self.shedding.estimate_latency(now)) / max(kind.latency_target, 1.0)
-        earned = SPARE_RETRY_TOKENS_PER_REQUEST if strain < SPARE_CAPACITY_RATIO else RETRY_TOKENS_PER_REQUEST
-        self.attempts.retry_tokens = min(MAX_RETRY_TOKENS, self.attempts.retry_tokens + earned)
-        earns = plan.overage_earnings - plan.overage_cost if short > 0 or crowded else 1.0
+        shortage = units - c.tokens if plan.rate else 0.0  # 0 or less if the lease can pay
+        exceeds_open_limit = bool(plan.open_limit) and c.open_attempts + 1 > max(
+            1.0, plan.open_limit * c.part
+        )
+        load_ratio = (expected := self.shedding.estimate_latency(now)) / max(kind.latency_target, 1.0)
+        added_tokens = (
+            SPARE_RETRY_TOKENS_PER_REQUEST if load_ratio < SPARE_CAPACITY_RATIO else RETRY_TOKENS_PER_REQUEST
+        )
+        self.attempts.retry_tokens = min(MAX_RETRY_TOKENS, self.attempts.retry_tokens + added_tokens)
+        earned_ratio = (
+            plan.overage_earnings - plan.overage_cost if shortage > 0 or exceeds_open_limit else 1.0
+        )
         over_ceiling = bool(plan.ceiling_rate) and not c.ceiling.can_pay(units, counted)
-        # Danger: allocators go by the ceilings of the settings. Other terms are kept by the even part alone.
-        ask = (
+        # The allocators of rights know only the ceilings in the settings. A ceiling with other terms is
+        # enforced by this gateway's own part alone.
+        needs_rights = (
             over_ceiling
             and c.ceiling.uses_rights
             and not request.rights_requested
             and plan in self.settings.plans
         )
-        # Refuse early what would be answered too late, and what earns less than it costs.
-        refused = (over_ceiling and not ask) or earns <= 0 or bool(request.pending_limits)
-        # What is late already earns next to nothing: it may take what nobody else wants, and no more.
-        late = now + self.fleet.typical_latency > request.first_target_at
-        spare = strain < SPARE_CAPACITY_RATIO and earns == 1.0 and c.store > LOW_STORE_RATIO * plan.burst
-        kept = (
+        # Refuse early the requests that would be answered too late, and those that earn less than they cost.
+        refused = (over_ceiling and not needs_rights) or earned_ratio <= 0 or bool(request.pending_limits)
+        # A request that is already late earns almost nothing. It may use only spare capacity and quota.
+        is_late = now + self.fleet.typical_latency > request.first_target_at
+        has_spare_capacity = (
+            load_ratio < SPARE_CAPACITY_RATIO
+            and earned_ratio == 1.0
+            and c.store > LOW_STORE_RATIO * plan.burst
+        )
+        reserved_units = (
             self.shedding.compute_reserved_ratio(kind) * plan.burst
-            if c.is_store_known() and earns == 1.0
+            if c.is_store_known() and earned_ratio == 1.0
             else 0.0
         )
-        refused = refused or (late and not spare) or (kept > 0 and c.store - units < kept)
-        refused = refused or self.shedding.is_too_late(now, kind, earns, request.target_at, expected)
-        may_go = request.can_send_to if request.excluded_pools else None
-        backend = None if refused else self.fleet.choose_backend(now, request.marks, may_go)
+        refused = (
+            refused
+            or (is_late and not has_spare_capacity)
+            or (reserved_units > 0 and c.store - units < reserved_units)
+        )
+        refused = refused or self.shedding.is_too_late(now, kind, earned_ratio, request.target_at, expected)
+        filter_backend = request.can_send_to if request.excluded_pools else None
+        backend = None if refused else self.fleet.choose_backend(now, request.marks, filter_backend)
         if backend is None:
             wait = (
-                short * 1000 / max(plan.rate * c.part, 1e-9)
-                if short > 0
+                shortage * 1000 / max(plan.rate * c.part, 1e-9)
+                if shortage > 0
                 else kind.latency_target * DEFAULT_TIMEOUT_RATIO
             )
             if c.unsaid < 0:
                 self.quotas.report_spending(now, c, out)
             return self.attempts.finish(request, out, wait)
-        if (owed := self.orders.list_required_limits(request, backend)) or ask:
-            request.rights_requested, request.pending_limits = request.rights_requested or ask, owed
+        if (required_limits := self.orders.list_required_limits(request, backend)) or needs_rights:
+            request.rights_requested, request.pending_limits = (
+                request.rights_requested or needs_rights,
+                required_limits,
+            )
             self.attempts.schedule_check(now, request, now + 2 * self.settings.counter_timeout, out)
-            return out.append(api.SpendRights(request.id, plan.name if ask else "", c.key, units, owed))
-        request.charged_units = self.quotas.take(c, units, short <= 0, counted)
+            return out.append(
+                api.SpendRights(request.id, plan.name if needs_rights else "", c.key, units, required_limits)
+            )
+        request.charged_units = self.quotas.take(c, units, shortage <= 0, counted)
         self.quotas.report_spending(now, c, out)
         self.send_attempt(now, request, backend, out)
 
-    def send_attempt(self, now: float, request: Request, b: Backend, out: api.Actions) -> None:
-        attempt = self.attempts.send(now, request, b, out)
+    def send_attempt(self, now: float, request: Request, backend: Backend, out: api.Actions) -> None:
+        """Start an attempt and schedule the check for the case that it takes too long."""
+        attempt = self.attempts.send(now, request, backend, out)
         self.attempts.schedule_check(now, request, now + self.compute_timeout(now, attempt), out)
 
     def compute_timeout(self, now: float, attempt: Attempt) -> float:
-        # Danger: an answer that waits here to be read is not late, and its backend not to blame.
+        """How many milliseconds an attempt may take.
+
+        The lag of this gateway's own loop is added, because an answer that waits here to be read is not late
+        and its backend is not at fault.
+        """
         request = attempt.request
         return 2 * self.loop_lag.lag + self.fleet.compute_timeout(
             now, attempt.backend, request.marks, request.kind.latency_target
         )
 
     def check_request(self, now: float, request: Request, out: api.Actions) -> None:
-        """A request's time is up, or it has waited for longer than usual."""
+        """Handle a request that is about to expire, or that has waited longer than usual."""
         if now >= request.expires - EXPIRY_MARGIN_MS - 1:
-            return self.attempts.finish(request, out)  # every request held ends here at the latest
+            return self.attempts.finish(request, out)  # no request stays open beyond this
         if not request.attempts:
-            return self.admit_request(now, request, out)  # the counter is silent
+            return self.admit_request(now, request, out)  # the counter has not answered in time
         self.attempts.schedule_check(now, request, math.inf, out)
-        # An attempt out far longer than usual is doubled, or called off and its outcome brings the next.
+        # An attempt that takes far longer than usual gets a duplicate. Where that is not allowed it is
+        # cancelled, and its outcome starts the next attempt.
         if len(request.live_attempts) == 1 and request.kind.effect is not api.Effect.UNSAFE:
             if self.settings.may_duplicate:
                 self.send_another(now, request, out, price=1.0)
@@ -258,9 +305,11 @@
                 self.attempts.cancel_all(request, out)
 
     def send_another(self, now: float, request: Request, out: api.Actions, price: float) -> bool:
-        """Send a further attempt if one can be in time and in the budget; what never ran is not charged."""
-        most = min(request.attempt_limit, self.settings.max_attempts)
-        in_time = now + self.fleet.typical_latency < request.target_at and request.attempts < most
+        """Send a further attempt if it can be in time and the retry budget can pay the price. Return
+        whether it was sent.
+        """
+        max_count = min(request.attempt_limit, self.settings.max_attempts)
+        in_time = now + self.fleet.typical_latency < request.target_at and request.attempts < max_count
         backend = None
         if in_time and self.attempts.retry_tokens >= price:
             request.excluded_pools = self.orders.current.limited_pools
