--- a/roadpulley/fleet/orders/client.py
+++ b/roadpulley/fleet/orders/client.py
@@ -19,25 +19,25 @@
 from .messages import BookPage, Order, PollReply
 
 TICK_INTERVAL_S = 0.02
-Ended = Callable[[], None]
+EndCallback = Callable[[], None]
 
 log = logging.getLogger("roadpulley.orders")
 
 
 def to_orders_changed(orders: tuple[Order, ...]) -> api.OrdersChanged:
     """Converts orders to the event of the decision module."""
-    limited: dict[tuple[str, str], tuple[str, ...]] = {}
+    limit_names: dict[tuple[str, str], tuple[str, ...]] = {}
     for order in orders:
         if order.is_limit:
-            of = order.scope, order.subject
-            limited[of] = (*limited.get(of, ()), order.limit_name)
+            scope_and_subject = order.scope, order.subject
+            limit_names[scope_and_subject] = (*limit_names.get(scope_and_subject, ()), order.limit_name)
 
     def subjects(kind: str) -> frozenset[str]:
         return frozenset(order.subject for order in orders if order.kind == kind)
 
-    pools = tuple(subject for scope, subject in limited if scope == "pool")
-    off = frozenset(map(hash_host_name, subjects("keep-off")))
-    return api.OrdersChanged(limited, pools, subjects("block"), subjects("shed"), off)
+    pools = tuple(subject for scope, subject in limit_names if scope == "pool")
+    avoided_backends = frozenset(map(hash_host_name, subjects("keep-off")))
+    return api.OrdersChanged(limit_names, pools, subjects("block"), subjects("shed"), avoided_backends)
 
 
 class OrderClient:
@@ -46,12 +46,12 @@
     def __init__(
         self,
         line: AgentLink,
-        terms: FollowerSettings,
+        settings: FollowerSettings,
         on_change: Callable[[tuple[Order, ...]], None],
         clock: Clock | None = None,
     ) -> None:
         self.line, self.on_change, self.clock = line, on_change, clock or from_environment()
-        self.follower = Follower(terms, line.worker_id)
+        self.follower = Follower(settings, line.worker_id)
         self.active_orders: tuple[Order, ...] = ()
         self.was_fresh = False
         line.listeners.append(self._handle_message)
@@ -67,12 +67,12 @@
             self._update_active_orders()
             await asyncio.sleep(TICK_INTERVAL_S)
 
-    def _handle_message(self, body: Any) -> None:
+    def _handle_message(self, message: Any) -> None:
         now = self.clock.now()
-        if isinstance(body, PollReply) and body.holder == self.line.worker_id:
-            self.follower.handle_reply(now, body)
-        elif isinstance(body, BookPage):
-            self.follower.handle_page(now, body)
+        if isinstance(message, PollReply) and message.holder == self.line.worker_id:
+            self.follower.handle_reply(now, message)
+        elif isinstance(message, BookPage):
+            self.follower.handle_page(now, message)
         else:
             return
         self._update_active_orders()
@@ -83,16 +83,16 @@
         if self.was_fresh != self.follower.is_fresh(now):
             self.was_fresh = not self.was_fresh
             if self.was_fresh or self.follower.book.orders:
-                kept = "kept" if self.follower.settings.keep else "let go"
+                policy = "kept" if self.follower.settings.keep else "let go"
                 log.info(
                     "orders are followed"
                     if self.was_fresh
-                    else f"no publisher of orders responds: orders are {kept}"
+                    else f"no publisher of orders responds: orders are {policy}"
                 )
-        standing = self.follower.current_book(now).orders_for_follower(wall_ms())
-        if standing != self.active_orders:
-            self.active_orders = standing
-            self.on_change(standing)
+        current_orders = self.follower.current_book(now).orders_for_follower(wall_ms())
+        if current_orders != self.active_orders:
+            self.active_orders = current_orders
+            self.on_change(current_orders)
 
 
 class LimitSpender:
@@ -109,20 +109,20 @@
         asked: api.SpendRights,
         lasting: float,
         within: float,
-        done: Callable[[bool, Ended | None], None],
+        done: Callable[[bool, EndCallback | None], None],
     ) -> None:
         now = self.rights.clock.now()
-        ours = [limit for limit in asked.limits if self.even_shares.try_take(now, limit, 1.0)]
-        needs = tuple(UnitCost(limit, 1.0, lasting) for limit in asked.limits if limit not in ours)
+        taken_limits = [limit for limit in asked.limits if self.even_shares.try_take(now, limit, 1.0)]
+        costs = tuple(UnitCost(limit, 1.0, lasting) for limit in asked.limits if limit not in taken_limits)
         if asked.plan:
-            needs = (UnitCost(customer_limit_name(asked.plan, asked.customer), asked.units), *needs)
+            costs = (UnitCost(customer_limit_name(asked.plan, asked.customer), asked.units), *costs)
 
-        def known(paid: bool, ended: Ended | None) -> None:
-            for limit in () if paid else ours:
+        def finish(is_paid: bool, release: EndCallback | None) -> None:
+            for limit in () if is_paid else taken_limits:
                 self.even_shares.put_back(limit, 1.0)
-            done(paid, ended)
+            done(is_paid, release)
 
-        if needs:
-            self.rights.spend_all(needs, within, known)
+        if costs:
+            self.rights.spend_all(costs, within, finish)
         else:
-            known(True, None)
+            finish(True, None)
--- a/roadpulley/fleet/orders/even_shares.py
+++ b/roadpulley/fleet/orders/even_shares.py
@@ -29,10 +29,10 @@
 
 
 class EvenShares:
-    """Splits the ratio `share_ratio` of each ordered rate evenly among `among` processes."""
+    """Splits the ratio `share_ratio` of each ordered rate evenly among `process_count` processes."""
 
-    def __init__(self, share_ratio: float, among: int) -> None:
-        self.part = share_ratio / max(1, among)
+    def __init__(self, share_ratio: float, process_count: int) -> None:
+        self.process_share = share_ratio / max(1, process_count)
         self.buckets: dict[str, TokenBucket] = {}
 
     def set_orders(self, now: MonotonicTime, orders: Iterable[Order]) -> None:
@@ -40,7 +40,7 @@
         for order in orders:
             if order.kind != "rate":
                 continue
-            rate, burst = self.part * order.rate, self.part * order.burst
+            rate, burst = self.process_share * order.rate, self.process_share * order.burst
             bucket = self.buckets.setdefault(order.limit_name, TokenBucket(rate, burst, 0.0, now))
             bucket.fill(now)
             bucket.level += burst - bucket.burst if burst < bucket.burst else 0.0
--- a/roadpulley/fleet/orders/follower.py
+++ b/roadpulley/fleet/orders/follower.py
@@ -57,58 +57,58 @@
             return None
         self.poll_at = now + self.settings.poll
         self.poll_number += 1
-        since = now - REPLY_TIMEOUT_POLLS * self.settings.poll
-        self.open_polls = {n: at for n, at in self.open_polls.items() if at >= since} | {
-            self.poll_number: now
-        }
+        oldest_sent_at = now - REPLY_TIMEOUT_POLLS * self.settings.poll
+        self.open_polls = {
+            number: sent_at for number, sent_at in self.open_polls.items() if sent_at >= oldest_sent_at
+        } | {self.poll_number: now}
         return Poll(self.holder, self.poll_number, self.book.version)
 
-    def handle_announcement(self, now: MonotonicTime, fence: int, id: Version) -> bool:
+    def handle_announcement(self, now: MonotonicTime, fence: int, newest_version: Version) -> bool:
         """Processes an announcement of a publisher; False if one under a higher fence is known."""
         if fence < self.highest_fence:
             return False
         self.highest_fence = fence
-        if id > self.book.version:
+        if newest_version > self.book.version:
             self.poll_at = min(self.poll_at, now)
         return True
 
     # ---- replies ----
 
-    def handle_reply(self, now: MonotonicTime, said: PollReply) -> bool:
+    def handle_reply(self, now: MonotonicTime, reply: PollReply) -> bool:
         """Processes a reply to a poll; True if the book has changed or is fresh again."""
         # The lease starts when the poll was sent: a reply that was delayed for long would otherwise renew
         # an old book.
         if (
-            said.number not in self.open_polls
-            or said.fence < self.highest_fence
-            or said.version < self.book.version
+            reply.number not in self.open_polls
+            or reply.fence < self.highest_fence
+            or reply.version < self.book.version
         ):
             return False
-        self.highest_fence = said.fence
-        self.pending_reply = said
+        self.highest_fence = reply.fence
+        self.pending_reply = reply
         return self._adopt(now)
 
-    def handle_page(self, now: MonotonicTime, sheet: BookPage) -> bool:
-        book = self.assembler.add(sheet)
+    def handle_page(self, now: MonotonicTime, page: BookPage) -> bool:
+        book = self.assembler.add(page)
         if book is not None and self.pending_reply is not None and book.version == self.pending_reply.version:
             return self._adopt(now, book)
         return False
 
     def _adopt(self, now: MonotonicTime, book: OrderBook | None = None) -> bool:
-        said = self.pending_reply
-        if said is None or said.number not in self.open_polls:
+        reply = self.pending_reply
+        if reply is None or reply.number not in self.open_polls:
             return False
         book = book or self.book
-        if book.version != said.version:
+        if book.version != reply.version:
             return False  # its pages have not all arrived
-        asked_at = self.open_polls.pop(said.number)
+        sent_at = self.open_polls.pop(reply.number)
         self.pending_reply = None
-        before, was_fresh = self.book.version, self.is_fresh(now)
+        previous_version, was_fresh = self.book.version, self.is_fresh(now)
         if self.requested_at > -math.inf:
             self.ages.append(now - self.requested_at)
-        self.book, self.requested_at = book, asked_at
-        self.fresh_until = max(self.fresh_until, asked_at + min(said.lease_s, self.settings.max_lease_s))
-        return before != book.version or not was_fresh
+        self.book, self.requested_at = book, sent_at
+        self.fresh_until = max(self.fresh_until, sent_at + min(reply.lease_s, self.settings.max_lease_s))
+        return previous_version != book.version or not was_fresh
 
     # ---- current orders ----
 
--- a/roadpulley/fleet/orders/messages.py
+++ b/roadpulley/fleet/orders/messages.py
@@ -41,9 +41,9 @@
 
 MAX_ORDERS = 64
 MAX_SUBJECT_BYTES, MAX_REASON_BYTES, MAX_AUTHOR_BYTES = 64, 96, 32
-MAX_ORDERS_PER_PAGE = 3  # so that a page fits into a datagram
+MAX_ORDERS_PER_PAGE = 3  # a page has to fit into a datagram
 MAX_DURATION_S = 366 * 86_400.0
-MAX_CLOCK_SKEW_MS = 5_000  # of wall clocks; without a publisher an order ends this much later
+MAX_CLOCK_SKEW_MS = 5_000  # difference of wall clocks; a follower that is cut off ends orders this much later
 
 # The scopes of each kind of order. A pool is a zone of backends; discovery names zones and backends.
 SCOPES_BY_KIND = {
@@ -103,11 +103,11 @@
             return name
         return f"{name[:12]}{hashlib.blake2b(name.encode(), digest_size=16).hexdigest()}"
 
-    def to_limit(self, part: float, open_lease: float) -> Limit:
-        """The limit that allocators grant: the ratio `part` of a rate, or a whole concurrency limit."""
+    def to_limit(self, rate_ratio: float, open_lease_s: float) -> Limit:
+        """The limit that allocators grant: the ratio `rate_ratio` of a rate, or a whole concurrency limit."""
         if self.kind == "open":
-            return Limit(0.0, float(self.most), open_lease)
-        return Limit(part * self.rate, part * self.burst)
+            return Limit(0.0, float(self.most), open_lease_s)
+        return Limit(rate_ratio * self.rate, rate_ratio * self.burst)
 
 
 def validate_order(order: Order) -> str:
@@ -231,11 +231,13 @@
 )
 
 
-def split_into_pages(book: OrderBook, take: bool = False) -> list[BookPage]:
-    parts = [
+def split_into_pages(book: OrderBook, to_store: bool = False) -> list[BookPage]:
+    page_orders = [
         book.orders[n : n + MAX_ORDERS_PER_PAGE] for n in range(0, len(book.orders), MAX_ORDERS_PER_PAGE)
     ] or [()]
-    return [BookPage(book.version, len(parts), n, part, take) for n, part in enumerate(parts)]
+    return [
+        BookPage(book.version, len(page_orders), n, orders, to_store) for n, orders in enumerate(page_orders)
+    ]
 
 
 class PageAssembler:
@@ -245,16 +247,16 @@
         self.version = NO_VERSION
         self.pages: dict[int, BookPage] = {}
 
-    def add(self, sheet: BookPage) -> OrderBook | None:
+    def add(self, page: BookPage) -> OrderBook | None:
         """Adds a page; returns the book if that completes it."""
-        most = math.ceil(MAX_ORDERS / MAX_ORDERS_PER_PAGE)
-        if sheet.version < self.version or not 0 <= sheet.index < sheet.page_count <= most:
+        max_pages = math.ceil(MAX_ORDERS / MAX_ORDERS_PER_PAGE)
+        if page.version < self.version or not 0 <= page.index < page.page_count <= max_pages:
             return None
-        if sheet.version > self.version:
-            self.version, self.pages = sheet.version, {}
-        self.pages[sheet.index] = sheet
-        if len(self.pages) < sheet.page_count:
+        if page.version > self.version:
+            self.version, self.pages = page.version, {}
+        self.pages[page.index] = page
+        if len(self.pages) < page.page_count:
             return None
         return OrderBook(
-            self.version, tuple(o for n in range(sheet.page_count) for o in self.pages[n].orders)
+            self.version, tuple(order for n in range(page.page_count) for order in self.pages[n].orders)
         )
--- a/roadpulley/fleet/orders/publisher.py
+++ b/roadpulley/fleet/orders/publisher.py
@@ -24,18 +24,17 @@
     validate_order,
 )
 
-MAX_QUEUED_CHANGES = 64  # waiting for the change that is being replicated
-MAX_REMEMBERED_OUTCOMES = 256  # kept to reply to repeated calls
-FULL_READ_TIMEOUT_RATIO = (
-    3.0  # times the answer: for which those who follow are waited for, if they are needed
-)
-READY_RETRY_RATIO = 5.0  # of the retry interval, for voters whose vote is not needed
+MAX_QUEUED_CHANGES = 64  # changes that wait while another one is replicated
+MAX_REMEMBERED_OUTCOMES = 256  # stored to reply to repeated calls
+# Of the retry interval: the time for followers to reply, if too few voters have their memory.
+FULL_READ_TIMEOUT_RATIO = 3.0
+READY_RETRY_RATIO = 5.0  # retry intervals between two tries at a voter whose vote is not needed
 FOLLOWER_TIMEOUT_S = 3.0  # after its last poll a follower counts as lost
 
 
 class PublisherState(Enum):
-    READING = "reading"  # the books of a majority of voters
-    REPLICATING = "having it taken"  # the newest book, to a majority of voters
+    READING = "reading"  # it reads the books of a majority of voters
+    REPLICATING = "having it taken"  # it sends the newest book to a majority of voters
     READY = "ready"
     SUPERSEDED = "overtaken"  # a voter has replied with a higher fence
 
@@ -55,16 +54,22 @@
     """
 
     def __init__(
-        self, fence: int, roll: VoterConfig, highest_known: OrderBook, retry_interval_s: float
+        self, fence: int, voter_config: VoterConfig, highest_known: OrderBook, retry_interval_s: float
     ) -> None:
-        self.fence, self.roll, self.book, self.retry_interval_s = fence, roll, highest_known, retry_interval_s
+        self.fence, self.voter_config, self.book, self.retry_interval_s = (
+            fence,
+            voter_config,
+            highest_known,
+            retry_interval_s,
+        )
         self.state = PublisherState.READING
-        self.read_voters: dict[
-            str, bool
-        ] = {}  # voters whose book has been read; whether they have their memory
+        # Voters whose book has been read, and whether they have their memory.
+        self.read_voters: dict[str, bool] = {}
         self.accepted_by: set[str] = set()  # voters that have accepted `book`
         self.retry_at: dict[str, MonotonicTime] = {}
-        self.full_read_until: MonotonicTime | None = None  # set by the first tick
+        self.full_read_until: MonotonicTime | None = (
+            None  # end of the wait for followers; set by the first tick
+        )
         self.is_full_read_over = False  # followers have had time to reply
         self.forced = False  # an operator has told it to continue without the missing voters
         self.current_change: ChangeRequest | None = None
@@ -73,37 +78,37 @@
         self.followers: dict[str, FollowerStatus] = {}
         self.higher_fence = 0
         self.published: OrderBook | None = None  # the last book acknowledged under this fence
-        self.lost_memory_count = 0  # voters without memory at a read without a majority of voters with memory
+        self.lost_memory_count = 0  # voters, if the read had no majority with memory
 
     # ---- voters ----
 
-    def set_roll(self, roll: VoterConfig) -> None:
+    def set_voter_config(self, voter_config: VoterConfig) -> None:
         """Changes the voters; a new one has not accepted any book yet."""
-        self.roll = roll
+        self.voter_config = voter_config
         if self.state is PublisherState.READY:
             # The majority that has accepted the book may not be a majority of the new voters: the book could
             # be lost with the former ones.
             self._propose(self.book.orders)
 
-    def handle_voter_reply(self, voter: str, keeps: VoterReply, book: OrderBook | None) -> None:
+    def handle_voter_reply(self, voter: str, reply: VoterReply, book: OrderBook | None) -> None:
         """Processes the reply of a voter, or of a follower that does not vote.
 
         `book`: once all its pages arrived.
         """
-        if keeps.promised > self.fence or keeps.version.fence > self.fence:
+        if reply.promised > self.fence or reply.version.fence > self.fence:
             self.state, self.higher_fence = (
                 PublisherState.SUPERSEDED,
-                max(keeps.promised, keeps.version.fence),
+                max(reply.promised, reply.version.fence),
             )
             return
         if self.state is PublisherState.READING:
-            if keeps.version > self.book.version:
-                if book is None or book.version != keeps.version:
+            if reply.version > self.book.version:
+                if book is None or book.version != reply.version:
                     return  # without its book, a newer one than ours would be undone
                 self.book = book
-            if keeps.promised == self.fence:
-                self.read_voters[voter] = keeps.whole
-        elif keeps.version == self.book.version and keeps.whole:
+            if reply.promised == self.fence:
+                self.read_voters[voter] = reply.whole
+        elif reply.version == self.book.version and reply.whole:
             self.accepted_by.add(voter)
         self._advance()
 
@@ -131,17 +136,17 @@
         return self.forced and self._has_majority(set(self.read_voters))
 
     def _voters_with_memory(self) -> set[str]:
-        return {voter for voter, whole in self.read_voters.items() if whole}
+        return {voter for voter, has_memory in self.read_voters.items() if has_memory}
 
     def _count_lost_memory(self) -> int:
         return len(self.all_voters() & set(self.read_voters) - self._voters_with_memory())
 
-    def _has_majority(self, names: set[str]) -> bool:
-        rolls: tuple[Mapping[str, str], ...] = (self.roll.before, self.roll.voters)
-        return all(len(names & set(voters)) >= majority_size(voters) for voters in rolls)
+    def _has_majority(self, voter_names: set[str]) -> bool:
+        electorates: tuple[Mapping[str, str], ...] = (self.voter_config.before, self.voter_config.voters)
+        return all(len(voter_names & set(voters)) >= majority_size(voters) for voters in electorates)
 
     def all_voters(self) -> set[str]:
-        return {*self.roll.before, *self.roll.voters}
+        return {*self.voter_config.before, *self.voter_config.voters}
 
     def force(self) -> None:
         """Continues although too few voters have their memory.
@@ -158,50 +163,54 @@
         self.book = OrderBook(Version(self.fence, self.book.version.number + 1), orders)
         self.state, self.accepted_by, self.retry_at = PublisherState.REPLICATING, set(), {}
 
-    def submit(self, wish: ChangeRequest) -> ChangeOutcome | None:
+    def submit(self, change: ChangeRequest) -> ChangeOutcome | None:
         """Queues an operator's change; returns its outcome if that is known."""
-        if known := self.change_outcomes.get(wish.ticket):
-            return known
-        if not wish.lift and (why := validate_order(wish.order)):
-            return self._finish_change(wish, why)
+        if known_outcome := self.change_outcomes.get(change.ticket):
+            return known_outcome
+        if not change.lift and (error := validate_order(change.order)):
+            return self._finish_change(change, error)
         if len(self.queued_changes) >= MAX_QUEUED_CHANGES:
-            return ChangeOutcome(wish.ticket, self.book.version, "too many calls wait; try again")
-        waiting = [*self.queued_changes, *([self.current_change] if self.current_change else [])]
-        if all(wish.ticket != other.ticket for other in waiting):
-            self.queued_changes.append(wish)
+            return ChangeOutcome(change.ticket, self.book.version, "too many calls wait; try again")
+        waiting_changes = [*self.queued_changes, *([self.current_change] if self.current_change else [])]
+        if all(change.ticket != other.ticket for other in waiting_changes):
+            self.queued_changes.append(change)
         self._start_next_change()
-        return self.change_outcomes.get(wish.ticket)
+        return self.change_outcomes.get(change.ticket)
 
     def _start_next_change(self) -> None:
         while self.queued_changes and self.state is PublisherState.READY:
-            self.current_change = wish = self.queued_changes.popleft()
-            others = tuple(o for o in self.book.orders if o.key != wish.order.key)
-            if any(o.ticket == wish.ticket for o in self.book.orders):
-                self._finish_change(wish, "")  # the previous publisher replicated it, but could not reply
-            elif wish.lift and len(others) == len(self.book.orders):
-                self._finish_change(wish, "there is no such order")
-            elif not wish.lift and len(others) >= MAX_ORDERS:
-                self._finish_change(wish, f"there are {MAX_ORDERS} orders already; lift one")
+            self.current_change = change = self.queued_changes.popleft()
+            other_orders = tuple(order for order in self.book.orders if order.key != change.order.key)
+            if any(order.ticket == change.ticket for order in self.book.orders):
+                self._finish_change(change, "")  # the previous publisher replicated it, but could not reply
+            elif change.lift and len(other_orders) == len(self.book.orders):
+                self._finish_change(change, "there is no such order")
+            elif not change.lift and len(other_orders) >= MAX_ORDERS:
+                self._finish_change(change, f"there are {MAX_ORDERS} orders already; lift one")
             else:
-                self._propose(others if wish.lift else (*others, wish.order))
+                self._propose(other_orders if change.lift else (*other_orders, change.order))
 
-    def _finish_change(self, wish: ChangeRequest, why: str) -> ChangeOutcome:
-        if self.current_change is wish:
+    def _finish_change(self, change: ChangeRequest, error: str) -> ChangeOutcome:
+        if self.current_change is change:
             self.current_change = None
-        outcome = self.change_outcomes[wish.ticket] = ChangeOutcome(wish.ticket, self.book.version, why)
+        outcome = self.change_outcomes[change.ticket] = ChangeOutcome(change.ticket, self.book.version, error)
         while len(self.change_outcomes) > MAX_REMEMBERED_OUTCOMES:
             del self.change_outcomes[next(iter(self.change_outcomes))]
         return outcome
 
     # ---- followers ----
 
-    def record_poll(self, now: MonotonicTime, name: str, id: Version) -> None:
-        self.followers[name] = FollowerStatus(id, now)
+    def record_poll(self, now: MonotonicTime, name: str, book_version: Version) -> None:
+        self.followers[name] = FollowerStatus(book_version, now)
 
     def count_followers(self, now: MonotonicTime) -> tuple[int, int]:
         """Counts the followers with the newest book, and those that have polled recently."""
-        there = [seen for seen in self.followers.values() if now - seen.polled_at < FOLLOWER_TIMEOUT_S]
-        return sum(seen.version == self.book.version for seen in there), len(there)
+        active_followers = [
+            follower for follower in self.followers.values() if now - follower.polled_at < FOLLOWER_TIMEOUT_S
+        ]
+        return sum(follower.version == self.book.version for follower in active_followers), len(
+            active_followers
+        )
 
     # ---- time ----
 
@@ -216,20 +225,29 @@
             self.is_full_read_over = now >= self.full_read_until
             self._advance()
         if self.state is PublisherState.READY:
-            standing = self.book.unexpired_orders(wall_ms)
-            if len(standing) < len(self.book.orders):
-                self._propose(standing)
-        over = set(self.read_voters) if self.state is PublisherState.READING else self.accepted_by
-        again = self.retry_interval_s * (READY_RETRY_RATIO if self.state is PublisherState.READY else 1.0)
-        due = [v for v in sorted(self.all_voters() - over) if now >= self.retry_at.get(v, 0.0)]
-        self.retry_at |= dict.fromkeys(due, now + again)
-        return due
+            unexpired = self.book.unexpired_orders(wall_ms)
+            if len(unexpired) < len(self.book.orders):
+                self._propose(unexpired)
+        finished_voters = set(self.read_voters) if self.state is PublisherState.READING else self.accepted_by
+        retry_delay_s = self.retry_interval_s * (
+            READY_RETRY_RATIO if self.state is PublisherState.READY else 1.0
+        )
+        due_voters = [
+            voter
+            for voter in sorted(self.all_voters() - finished_voters)
+            if now >= self.retry_at.get(voter, 0.0)
+        ]
+        self.retry_at |= dict.fromkeys(due_voters, now + retry_delay_s)
+        return due_voters
 
     def describe_wait(self) -> str:
         """Describes to operators which voters the read waits for; empty after the read."""
         if self.state is not PublisherState.READING:
             return ""
-        silent, blank = sorted(self.all_voters() - set(self.read_voters)), self._count_lost_memory()
-        if not blank:
+        missing_voters, lost_memory = (
+            sorted(self.all_voters() - set(self.read_voters)),
+            self._count_lost_memory(),
+        )
+        if not lost_memory:
             return f"a majority of {', '.join(sorted(self.all_voters()))}"
-        return f"{', '.join(silent)}: {blank} voters have lost their memory, and these may know a newer book"
+        return f"{', '.join(missing_voters)}: {lost_memory} voters have lost their memory, and these may know a newer book"
--- a/roadpulley/fleet/orders/service.py
+++ b/roadpulley/fleet/orders/service.py
@@ -45,7 +45,7 @@
 CALL_RETRY_INTERVAL_S = 0.25
 CALL_TIMEOUT_S = 20.0
 MAX_CALLS = 64
-MAX_AGE_SAMPLES = 4_096  # the latest ages of the followed book
+MAX_AGE_SAMPLES = 4_096  # ages of the followed book; older samples are dropped
 
 log = structlog.get_logger("roadpulley.fleet.orders")
 
@@ -76,7 +76,7 @@
         send: Callable[[Route, Any], None],
         route_to_voter: Callable[[str], Route | None],
         peer_routes: Callable[[], Iterable[Route]],
-        get_roll: Callable[[], VoterConfig],
+        get_voter_config: Callable[[], VoterConfig],
         call_in_loop: Callable[[Callable[[], None]], None],
         on_change: Callable[[], None],
     ) -> None:
@@ -87,9 +87,9 @@
             send,
             route_to_voter,
         )
-        self.peer_routes, self.get_roll, self.call_in_loop, self.on_change = (
+        self.peer_routes, self.get_voter_config, self.call_in_loop, self.on_change = (
             peer_routes,
-            get_roll,
+            get_voter_config,
             call_in_loop,
             on_change,
         )
@@ -144,20 +144,23 @@
 
     def _update_active_orders(self, now: MonotonicTime) -> None:
         """Updates the active orders, which also change when orders end or the lease expires."""
-        fresh, book = self.follower.is_fresh(now), self.follower.current_book(now)
-        standing = book.orders_for_follower(wall_ms())
-        if fresh != self.was_fresh and self.follower.book.version != NO_VERSION:
-            words = "orders are followed" if fresh else "no publisher of orders responds"
-            kept = "kept" if self.settings.follower_settings.keep else "let go"
+        fresh_now, book = self.follower.is_fresh(now), self.follower.current_book(now)
+        current_orders = book.orders_for_follower(wall_ms())
+        if fresh_now != self.was_fresh and self.follower.book.version != NO_VERSION:
+            event = "orders are followed" if fresh_now else "no publisher of orders responds"
+            policy = "kept" if self.settings.follower_settings.keep else "let go"
             log.info(
-                words, id=list(book.version), orders=len(standing), **({} if fresh else {"they_are": kept})
+                event,
+                id=list(book.version),
+                orders=len(current_orders),
+                **({} if fresh_now else {"they_are": policy}),
             )
         self.ages.extend(self.follower.ages)
         self.follower.ages.clear()
-        self.was_fresh = fresh
-        if standing != self.active_orders:
-            self.active_orders = standing
-            log.info("orders", id=list(book.version), orders=len(standing))
+        self.was_fresh = fresh_now
+        if current_orders != self.active_orders:
+            self.active_orders = current_orders
+            log.info("orders", id=list(book.version), orders=len(current_orders))
             self.on_change()
 
     # ---- publisher ----
@@ -167,10 +170,13 @@
         self.call_in_loop(lambda: self._start_publisher(duty))
 
     def _start_publisher(self, duty: HeldDuty) -> None:
-        ours = max(self.follower.book, self.voter.state.book, key=lambda b: b.version)
-        self.duty, self.publisher = duty, Publisher(duty.fence, self.get_roll(), ours, self.retry_interval_s)
+        newest_book = max(self.follower.book, self.voter.state.book, key=lambda b: b.version)
+        self.duty, self.publisher = (
+            duty,
+            Publisher(duty.fence, self.get_voter_config(), newest_book, self.retry_interval_s),
+        )
         self.voter_pages, self.voter_replies, self.outcome_routes = {}, {}, {}
-        log.info("publishes orders", fence=duty.fence, knows=list(ours.version))
+        log.info("publishes orders", fence=duty.fence, knows=list(newest_book.version))
 
     def _active_publisher(self) -> Publisher | None:
         """The publisher, while this instance holds the duty.
@@ -184,11 +190,11 @@
         return self.publisher
 
     def _run_publisher(self, now: MonotonicTime, publisher: Publisher) -> None:
-        if publisher.roll.id != self.get_roll().id:
-            publisher.set_roll(self.get_roll())
+        if publisher.voter_config.id != self.get_voter_config().id:
+            publisher.set_voter_config(self.get_voter_config())
         for voter in publisher.tick(now, wall_ms()):
-            for body in self._voter_requests(publisher):
-                self._send_to_voter(voter, body)
+            for request in self._voter_requests(publisher):
+                self._send_to_voter(voter, request)
         if publisher.state is PublisherState.READING and now >= self.query_all_at:
             self.query_all_at = now + self.retry_interval_s
             for route in self.peer_routes():
@@ -200,47 +206,47 @@
     def _voter_requests(self, publisher: Publisher) -> list[PrepareRequest | BookPage]:
         if publisher.state is PublisherState.READING:
             return [PrepareRequest(publisher.fence)]
-        return list(split_into_pages(publisher.book, take=True))
+        return list(split_into_pages(publisher.book, to_store=True))
 
-    def _announce(self, publisher: Publisher, id: Version) -> None:
+    def _announce(self, publisher: Publisher, book_version: Version) -> None:
         for route in self.peer_routes():
-            self.send(route, PublisherAnnouncement(publisher.fence, id))
+            self.send(route, PublisherAnnouncement(publisher.fence, book_version))
 
-    def _send_to_voter(self, voter: str, body: PrepareRequest | BookPage) -> None:
+    def _send_to_voter(self, voter: str, request: PrepareRequest | BookPage) -> None:
         if voter == self.name:
-            asyncio.get_running_loop().call_soon(self._handle_own_request, body)
+            asyncio.get_running_loop().call_soon(self._handle_own_request, request)
         elif route := self.route_to_voter(voter):
-            self.send(route, body)
+            self.send(route, request)
 
-    def _handle_own_request(self, body: PrepareRequest | BookPage) -> None:
-        for retry_interval_s in self._handle_publisher_request(("", 0), body):
-            self._handle_voter_message(self.name, retry_interval_s)
+    def _handle_own_request(self, request: PrepareRequest | BookPage) -> None:
+        for reply in self._handle_publisher_request(("", 0), request):
+            self._handle_voter_message(self.name, reply)
 
-    def _handle_voter_message(self, voter: str, body: VoterReply | BookPage) -> None:
+    def _handle_voter_message(self, voter: str, message: VoterReply | BookPage) -> None:
         """Processes a reply or a page of a voter; the last page may arrive after the reply."""
         publisher = self._active_publisher()
         if publisher is None:
             return
-        if isinstance(body, BookPage):
-            book = self.voter_pages.setdefault(voter, PageAssembler()).add(body)
-            keeps = self.voter_replies[voter][0] if voter in self.voter_replies else None
-            if book is None or keeps is None:
+        if isinstance(message, BookPage):
+            book = self.voter_pages.setdefault(voter, PageAssembler()).add(message)
+            reply = self.voter_replies[voter][0] if voter in self.voter_replies else None
+            if book is None or reply is None:
                 return
-            self.voter_replies[voter] = keeps, book
+            self.voter_replies[voter] = reply, book
         else:
             book = self.voter_replies[voter][1] if voter in self.voter_replies else None
-            self.voter_replies[voter] = body, book
-        before = publisher.published
+            self.voter_replies[voter] = message, book
+        previous = publisher.published
         publisher.handle_voter_reply(voter, *self.voter_replies[voter])
         if publisher.state is PublisherState.SUPERSEDED:
             log.warning("a higher fence publishes orders", fence=publisher.fence, voter=voter)
             if self.work is not None:
                 self.work.promised_fence = publisher.higher_fence
-        elif publisher.published is not None and publisher.published is not before:
+        elif publisher.published is not None and publisher.published is not previous:
             self._handle_published(publisher, publisher.published)
 
     def _handle_published(self, publisher: Publisher, book: OrderBook) -> None:
-        lost = publisher.lost_memory_count  # voters without memory, if too few others replied
+        lost = publisher.lost_memory_count  # voters without memory, if the read had no majority with memory
         log.info("orders are acknowledged", id=list(book.version), orders=len(book.orders), lost=lost)
         self.follower.handle_announcement(self.clock.now(), publisher.fence, book.version)
         self._announce(publisher, book.version)
@@ -255,32 +261,35 @@
     # ---- voter ----
 
     def _handle_publisher_request(
-        self, route: Route, body: PrepareRequest | BookPage
+        self, route: Route, request: PrepareRequest | BookPage
     ) -> list[VoterReply | BookPage]:
-        if isinstance(body, PrepareRequest):
-            keeps = self.voter.prepare(body.fence)
-            if keeps is None:
+        if isinstance(request, PrepareRequest):
+            reply = self.voter.prepare(request.fence)
+            if reply is None:
                 return []
             # The followed book is acknowledged. It may be newer than the voter's own if that lost its memory.
-            best = max(self.voter.state.book, self.follower.book, key=lambda b: b.version)
-            return [VoterReply(keeps.promised, best.version, keeps.whole), *split_into_pages(best)]
-        book = self.incoming_books.setdefault(route, PageAssembler()).add(body)
+            newest_book = max(self.voter.state.book, self.follower.book, key=lambda b: b.version)
+            return [
+                VoterReply(reply.promised, newest_book.version, reply.whole),
+                *split_into_pages(newest_book),
+            ]
+        book = self.incoming_books.setdefault(route, PageAssembler()).add(request)
         if book is None:
             return []
         del self.incoming_books[route]
-        keeps = self.voter.accept(book)
-        return [keeps] if keeps else []
+        reply = self.voter.accept(book)
+        return [reply] if reply else []
 
     # ---- follower ----
 
     def _send_poll(self, now: MonotonicTime, poll: Poll) -> None:
         if self._active_publisher() is not None:
-            self._answer_poll(now, poll, self.name, lambda body: self._handle_poll_message(body))
+            self._answer_poll(now, poll, self.name, lambda message: self._handle_poll_message(message))
         elif self.publisher_route is not None:
             self.send(self.publisher_route, poll)
 
     def _answer_poll(
-        self, now: MonotonicTime, poll: Poll, name: str, say: Callable[[PollReply | BookPage], None]
+        self, now: MonotonicTime, poll: Poll, name: str, send_message: Callable[[PollReply | BookPage], None]
     ) -> None:
         """Replies to a follower's poll, if this instance is the publisher."""
         publisher = self._active_publisher()
@@ -288,74 +297,74 @@
             return
         publisher.record_poll(now, name, poll.version)
         book = publisher.published
-        say(
+        send_message(
             PollReply(
                 poll.holder, poll.number, publisher.fence, book.version, self.settings.follower_settings.holds
             )
         )
         if poll.version != book.version:
-            for sheet in split_into_pages(book):
-                say(sheet)
+            for page in split_into_pages(book):
+                send_message(page)
 
-    def _handle_poll_message(self, body: PollReply | BookPage) -> None:
+    def _handle_poll_message(self, message: PollReply | BookPage) -> None:
         now = self.clock.now()
-        if isinstance(body, PollReply):
-            changed = self.follower.handle_reply(now, body)
+        if isinstance(message, PollReply):
+            is_changed = self.follower.handle_reply(now, message)
         else:
-            changed = self.follower.handle_page(now, body)
-        if changed:
+            is_changed = self.follower.handle_page(now, message)
+        if is_changed:
             self._update_active_orders(now)
 
     # ---- messages between instances ----
 
-    def handle_peer_message(self, route: Route, name: str, body: Body) -> None:
+    def handle_peer_message(self, route: Route, name: str, message: Body) -> None:
         """Processes a message of the instance `name`."""
         now = self.clock.now()
-        match body:
+        match message:
             case PublisherAnnouncement():
-                if self.follower.handle_announcement(now, body.fence, body.version):
+                if self.follower.handle_announcement(now, message.fence, message.version):
                     self.publisher_route = route
                 else:
                     self.counts["words of an earlier publisher"] += 1
             case Poll():
-                self._answer_poll(now, body, name, lambda answer: self.send(route, answer))
+                self._answer_poll(now, message, name, lambda reply: self.send(route, reply))
             case PollReply():
-                self._handle_poll_message(body)
+                self._handle_poll_message(message)
             case ChangeRequest():
-                if outcome := self._submit_to_publisher(body):
+                if outcome := self._submit_to_publisher(message):
                     self.send(route, outcome)
                 else:
-                    self.outcome_routes[body.ticket] = route
+                    self.outcome_routes[message.ticket] = route
             case ChangeOutcome():
-                self._record_outcome(body)
+                self._record_outcome(message)
             case VoterReply():
-                self._handle_voter_message(name, body)
+                self._handle_voter_message(name, message)
             case PrepareRequest():
-                for answer in self._handle_publisher_request(route, body):
-                    self.send(route, answer)
+                for reply in self._handle_publisher_request(route, message):
+                    self.send(route, reply)
             case BookPage():
-                self._handle_page(route, name, body)
+                self._handle_page(route, name, message)
 
-    def _handle_page(self, route: Route, name: str, sheet: BookPage) -> None:
-        if sheet.store:
-            for answer in self._handle_publisher_request(route, sheet):
-                self.send(route, answer)
+    def _handle_page(self, route: Route, name: str, page: BookPage) -> None:
+        if page.store:
+            for reply in self._handle_publisher_request(route, page):
+                self.send(route, reply)
             return
         if self.publisher is not None:
-            self._handle_voter_message(name, sheet)
-        self._handle_poll_message(sheet)
+            self._handle_voter_message(name, page)
+        self._handle_poll_message(page)
 
     # ---- local processes ----
 
     def handle_local_poll(self, poll: Poll) -> None:
         """Replies to a local process; its lease ends no later than that of this instance."""
         now, book = self.clock.now(), self.follower.current_book(self.clock.now())
-        holds = self.follower.remaining_lease(now)
-        said = PollReply(poll.holder, poll.number, book.version.fence, book.version, holds)
-        self.local_processes.send_to(poll.holder, said)
+        remaining_lease_s = self.follower.remaining_lease(now)
+        reply = PollReply(poll.holder, poll.number, book.version.fence, book.version, remaining_lease_s)
+        self.local_processes.send_to(poll.holder, reply)
         if poll.version != book.version:
-            for sheet in split_into_pages(book):
-                self.local_processes.send_to(poll.holder, sheet)
+            for page in split_into_pages(book):
+                self.local_processes.send_to(poll.holder, page)
 
     # ---- operators ----
 
@@ -377,11 +386,13 @@
         if call is None:
             return {"step": "unknown", "ticket": ticket, "why": "it is not known here any more"}
         if call.outcome is None:
-            over = self.clock.now() - call.started_at > CALL_TIMEOUT_S
+            is_timed_out = self.clock.now() - call.started_at > CALL_TIMEOUT_S
             why = (
-                "no publisher answers; whether it is ordered is not known" if over else self._describe_wait()
+                "no publisher answers; whether it is ordered is not known"
+                if is_timed_out
+                else self._describe_wait()
             )
-            return {"step": "failed" if over else "waiting", "ticket": ticket, "why": why}
+            return {"step": "failed" if is_timed_out else "waiting", "ticket": ticket, "why": why}
         outcome = call.outcome
         step = "failed" if outcome.error else "done"
         return {"step": step, "ticket": ticket, "why": outcome.error, "id": list(outcome.version)}
@@ -401,11 +412,11 @@
         elif self.publisher_route is not None:
             self.send(self.publisher_route, call.change)
 
-    def _submit_to_publisher(self, wish: ChangeRequest) -> ChangeOutcome | None:
+    def _submit_to_publisher(self, requested_change: ChangeRequest) -> ChangeOutcome | None:
         publisher = self._active_publisher()
         if publisher is None:
             return None
-        outcome = publisher.submit(wish)
+        outcome = publisher.submit(requested_change)
         self._run_publisher(self.clock.now(), publisher)
         return outcome
 
@@ -422,42 +433,42 @@
 
     def report(self) -> dict[str, Any]:
         now, follower = self.clock.now(), self.follower
-        book, wall = follower.current_book(now), wall_ms()
-        found: dict[str, Any] = {
+        book, wall_time_ms = follower.current_book(now), wall_ms()
+        result: dict[str, Any] = {
             "id": list(book.version),
             "known": "newest" if follower.is_fresh(now) else "not heard lately",
             "age_s": round(now - follower.requested_at, 2) if follower.requested_at > 0 else None,
             "cut_off": "keep" if self.settings.follower_settings.keep else "let-go",
-            "orders": [format_order(order, wall) for order in book.orders_for_follower(wall)],
+            "orders": [format_order(order, wall_time_ms) for order in book.orders_for_follower(wall_time_ms)],
             "counts": dict(self.counts),
         }
         if publisher := self._active_publisher():
-            same, there = publisher.count_followers(now)
-            found["publishes"] = {
+            up_to_date, active_count = publisher.count_followers(now)
+            result["publishes"] = {
                 "fence": publisher.fence,
                 "step": publisher.state.value,
                 "waits_for": publisher.describe_wait(),
                 "id": list(publisher.book.version),
-                "follow_it": same,
-                "polled_lately": there,
+                "follow_it": up_to_date,
+                "polled_lately": active_count,
             }
-        return found
+        return result
 
 
-def format_order(order: Order, wall: int) -> dict[str, Any]:
+def format_order(order: Order, wall_time_ms: int) -> dict[str, Any]:
     """Formats an order for the report to operators."""
     if order.kind == "rate":
-        what = f"{order.rate:g}/s, burst {order.burst:g}"
+        details = f"{order.rate:g}/s, burst {order.burst:g}"
     elif order.kind == "open":
-        what = f"{order.most} open"
+        details = f"{order.most} open"
     else:
-        what = ""
-    left = f"{(order.ends_ms - wall) / 1000:.0f}" if order.ends_ms else ""
+        details = ""
+    remaining_s = f"{(order.ends_ms - wall_time_ms) / 1000:.0f}" if order.ends_ms else ""
     return {
         "order": order.kind,
         "of": f"{order.scope} {order.subject}",
-        "what": what,
-        "left_s": left,
+        "what": details,
+        "left_s": remaining_s,
         "who": order.who,
         "why": order.why,
     }
--- a/roadpulley/fleet/orders/settings.py
+++ b/roadpulley/fleet/orders/settings.py
@@ -21,13 +21,13 @@
 
 def read_order_settings(table: Table, drift: float) -> OrderSettings:
     """Raises ValidationError."""
-    poll, holds = table.read_number("poll_s", 0.3, 0.02, 60), table.read_number("holds_s", 5.0, 0.1, 3600)
+    poll_s, holds_s = table.read_number("poll_s", 0.3, 0.02, 60), table.read_number("holds_s", 5.0, 0.1, 3600)
     cut_off = table.read_text("cut_off", "keep", choices=CUT_OFF_CHOICES)
-    lease = table.read_number("open_lease_s", 15.0, 0.5, 600)
+    lease_s = table.read_number("open_lease_s", 15.0, 0.5, 600)
     table.reject_unknown_keys()
-    if holds < 4 * poll:
-        right = f"give {4 * poll:g} or more: three asks may be lost"
+    if holds_s < 4 * poll_s:
+        remedy = f"give {4 * poll_s:g} or more: three asks may be lost"
         raise ValidationError(
-            table.path_of("holds_s"), f"is {holds:g}, and is asked for every {poll:g} s", right
+            table.path_of("holds_s"), f"is {holds_s:g}, and is asked for every {poll_s:g} s", remedy
         )
-    return OrderSettings(FollowerSettings(poll, holds, cut_off == "keep", drift), lease)
+    return OrderSettings(FollowerSettings(poll_s, holds_s, cut_off == "keep", drift), lease_s)
--- a/roadpulley/fleet/orders/voter.py
+++ b/roadpulley/fleet/orders/voter.py
@@ -55,22 +55,22 @@
             try:
                 self.state = msgspec.json.decode(self.path.read_bytes(), type=VoterState)
             except (OSError, msgspec.DecodeError) as error:
-                right = "bring it back, or remove it: then it counts as one that lost its memory"
-                raise ValidationError(str(self.path), f"can't be read ({error})", right) from error
+                remedy = "bring it back, or remove it: then it counts as one that lost its memory"
+                raise ValidationError(str(self.path), f"can't be read ({error})", remedy) from error
 
-    def store(self, kept: VoterState) -> bool:
+    def store(self, new_state: VoterState) -> bool:
         """Replaces the state after writing it to disk; False if that failed.
 
         A promise that is sent before it is on disk could be broken after a restart.
         """
-        if kept is not self.state and self.path is not None:
+        if new_state is not self.state and self.path is not None:
             try:
                 self.path.parent.mkdir(parents=True, exist_ok=True)
-                write_atomically(self.path, msgspec.json.encode(kept))
+                write_atomically(self.path, msgspec.json.encode(new_state))
             except OSError as error:
                 log.error("cannot store the orders of this voter", path=str(self.path), why=str(error))
                 return False
-        self.state = kept
+        self.state = new_state
         return True
 
     def prepare(self, fence: int) -> VoterReply | None:
--- a/roadpulley/fleet/orders/work.py
+++ b/roadpulley/fleet/orders/work.py
@@ -10,7 +10,7 @@
 from roadpulley.fleet.duties.work import HeldDuty, StaleFenceError
 
 DUTY = "fleet.orders"
-FENCE_CHECK_INTERVAL_S = 0.5  # interval of the check whether voters refuse the fence
+FENCE_CHECK_INTERVAL_S = 0.5  # between two checks whether voters refuse the fence
 
 
 class PublisherWork:
--- a/roadpulley/fleet/rights/client.py
+++ b/roadpulley/fleet/rights/client.py
@@ -21,7 +21,7 @@
 
 
 DoneCallback = Callable[[bool], None]
-ReleaseCallback = Callable[[], None]
+EndCallback = Callable[[], None]
 
 
 @dataclass(frozen=True)
@@ -41,7 +41,7 @@
     """A spend that waits until all its costs can be paid together, or until its timeout."""
 
     costs: tuple[UnitCost, ...]
-    on_done: Callable[[bool, ReleaseCallback | None], None]
+    on_done: Callable[[bool, EndCallback | None], None]
     timer: asyncio.TimerHandle | None = None
 
 
@@ -89,7 +89,7 @@
         self,
         costs: tuple[UnitCost, ...],
         timeout_s: float,
-        on_done: Callable[[bool, ReleaseCallback | None], None],
+        on_done: Callable[[bool, EndCallback | None], None],
     ) -> None:
         """Pays all costs together as soon as that is possible, and none of them before.
 
@@ -160,9 +160,7 @@
                 spends.remove(pending_spend)
                 return self._finish(pending_spend, False)
 
-    def _finish(
-        self, pending_spend: PendingSpend, is_paid: bool, release: ReleaseCallback | None = None
-    ) -> None:
+    def _finish(self, pending_spend: PendingSpend, is_paid: bool, release: EndCallback | None = None) -> None:
         if pending_spend.timer is not None:
             pending_spend.timer.cancel()
         pending_spend.on_done(is_paid, release)
--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -109,7 +109,7 @@
 def test_other_voters_have_to_take_the_book_before_more_is_published() -> None:
     made = ready()
     roll = VoterConfig(VoterConfigId(1, 8), {**VOTERS, "v3": "", "v4": ""}, VOTERS)
-    made.set_roll(roll)
+    made.set_voter_config(roll)
     assert made.state is PublisherState.REPLICATING
     took(made, "v0", "v1")
     assert made.state is PublisherState.REPLICATING  # of five, three
