--- a/roadpulley/fleet/orders/messages.py
+++ b/roadpulley/fleet/orders/messages.py
@@ -236,7 +236,7 @@
         book.orders[n : n + MAX_ORDERS_PER_PAGE] for n in range(0, len(book.orders), MAX_ORDERS_PER_PAGE)
     ] or [()]
     return [
-        BookPage(book.version, len(page_orders), n, orders, to_store) for n, orders in enumerate(page_orders)
+        BookPage(book.version, len(page_orders), n, group, to_store) for n, group in enumerate(page_orders)
     ]
 
 
--- a/roadpulley/fleet/orders/publisher.py
+++ b/roadpulley/fleet/orders/publisher.py
@@ -180,8 +180,8 @@
     def _start_next_change(self) -> None:
         while self.queued_changes and self.state is PublisherState.READY:
             self.current_change = change = self.queued_changes.popleft()
-            other_orders = tuple(order for order in self.book.orders if order.key != change.order.key)
-            if any(order.ticket == change.ticket for order in self.book.orders):
+            other_orders = tuple(o for o in self.book.orders if o.key != change.order.key)
+            if any(o.ticket == change.ticket for o in self.book.orders):
                 self._finish_change(change, "")  # the previous publisher replicated it, but could not reply
             elif change.lift and len(other_orders) == len(self.book.orders):
                 self._finish_change(change, "there is no such order")
@@ -244,10 +244,10 @@
         """Describes to operators which voters the read waits for; empty after the read."""
         if self.state is not PublisherState.READING:
             return ""
-        missing_voters, lost_memory = (
+        missing, lost = (
             sorted(self.all_voters() - set(self.read_voters)),
             self._count_lost_memory(),
         )
-        if not lost_memory:
+        if not lost:
             return f"a majority of {', '.join(sorted(self.all_voters()))}"
-        return f"{', '.join(missing_voters)}: {lost_memory} voters have lost their memory, and these may know a newer book"
+        return f"{', '.join(missing)}: {lost} voters have lost their memory, and these may know a newer book"
