--- a/roadpulley/edges/connection.py
+++ b/roadpulley/edges/connection.py
@@ -1,29 +1,30 @@
-"""One client's connection: its commands, the answers in their order, and its end.
-
-| state     | takes commands | writes answers | reads                        | becomes                 |
-| --------- | -------------- | -------------- | ---------------------------- | ----------------------- |
-| OPEN      | yes            | yes            | unless it is stuck           | LAST, LINGERING, CLOSED |
-| LAST      | no             | those it owes  | no                           | LINGERING, CLOSED       |
-| LINGERING | no             | no: FIN is out | to the end, and drops it all | CLOSED                  |
-| CLOSED    | no             | no             | no                           | -                       |
-
-A state only ever rises. All ends pass `close`, where what the connection held goes back, once.
-
-| event                                    | OPEN                          | LAST       | LINGERING       |
-| ---------------------------------------- | ----------------------------- | ---------- | --------------- |
-| bytes                                    | commands, in order            | stay unread | dropped         |
-| end, reset, or the kernel tells of one   | CLOSED                        | CLOSED     | CLOSED          |
-| QUIT, malformed bytes, time of a command | LAST                          | -          | -               |
-| the time until its first command         | read once more; LINGERING at rest | -      | -               |
-| the last answer is written               | LINGERING in a drain, at rest | LINGERING  | -               |
-| drain, idle for long                     | read once more; LINGERING at rest | -      | -               |
-| room is short                            | CLOSED if unused              | -          | CLOSED          |
-| its time, its bytes                      | answers left unread: CLOSED   | the same   | CLOSED          |
-| the process ends                         | LAST                          | -          | -               |
-
-Danger: closing over unread bytes resets a connection, and takes along answers that are still on their way.
-So the sending side ends first (a lingering close, RFC 9112, 9.6), and what comes then is read and never
-acted on: a client that is told the end without an answer sends its request again elsewhere.
+"""One client connection: its commands, their replies in order, and the end of the connection.
+
+| state     | handles commands | writes replies | reads                      | next states                 |
+| --------- | ---------------- | -------------- | -------------------------- | --------------------------- |
+| OPEN      | yes              | yes            | unless it is blocked       | FLUSHING, LINGERING, CLOSED |
+| FLUSHING  | no               | outstanding    | no                         | LINGERING, CLOSED           |
+| LINGERING | no               | no: FIN sent   | to the end, discards it    | CLOSED                      |
+| CLOSED    | no               | no             | no                         | -                           |
+
+A state only advances. Every end passes `close`, which releases the resources of the connection once.
+
+| event                                 | OPEN                              | FLUSHING     | LINGERING |
+| ------------------------------------- | --------------------------------- | ------------ | --------- |
+| bytes arrive                          | commands, in order                | stay unread  | discarded |
+| end or reset, read or reported by TCP | CLOSED                            | CLOSED       | CLOSED    |
+| QUIT, malformed bytes, late command   | FLUSHING                          | -            | -         |
+| timeout of the first command          | read once more; LINGERING if idle | -            | -         |
+| the last reply is written             | LINGERING if draining and idle    | LINGERING    | -         |
+| drain, idle timeout                   | read once more; LINGERING if idle | -            | -         |
+| room is needed                        | CLOSED if unused                  | -            | CLOSED    |
+| replies unread for too long           | CLOSED                            | CLOSED       | -         |
+| linger timeout, linger bytes exceeded | -                                 | -            | CLOSED    |
+| the process ends                      | FLUSHING                          | -            | -         |
+
+Closing a socket with unread bytes resets the connection and destroys replies that are still in flight. So the
+sending side is shut down first (a lingering close, RFC 9112, section 9.6). Bytes that arrive after that are
+read and never acted on: a client that sees the end without a reply sends its request again elsewhere.
 """
 
 from __future__ import annotations
@@ -41,51 +42,52 @@
 if TYPE_CHECKING:
     from .resp_server import RespServer
 
-MAX_PENDING_COMMANDS = (
-    32  # commands of one connection that may wait for their answers before it is read no further
-)
-MAX_PENDING_COMMAND_BYTES = 128 * 1024  # bytes of these commands, likewise
-MAX_UNSENT_BYTES = 128 * 1024  # bytes of answers that a client may leave unread, likewise
-BODY_TIMEOUT_MS = 30_000.0  # for all of a long body, and for the room that it needs
-# From connecting, or from its first byte, until a command has to be whole. A client may take 2 s for a head,
-# and one that never ends it is owed an end within 3 s of connecting; a sweep comes between.
+# A connection is not read while it exceeds one of the next three bounds.
+MAX_PENDING_COMMANDS = 32  # commands without a reply
+MAX_PENDING_COMMAND_BYTES = 128 * 1024  # total size of these commands
+MAX_UNSENT_BYTES = 128 * 1024  # replies that the client has not read
+BODY_TIMEOUT_MS = 30_000.0  # for receiving a long body, and for the wait until its memory is granted
+# From the connection's start, or a command's first byte, until the command is complete. A client may take 2 s
+# for the head of a request, and an incomplete one must end within 3 s of connecting, including a sweep
+# interval.
 COMMAND_TIMEOUT_MS = 2_400.0
-WRITE_STALL_TIMEOUT_MS = 5_000.0  # how long a client may leave answers unread without taking any
-# The same in a long value, of which little is held here: a kernel tells of room only when much of its buffer
-# is free, so that a reader of some KiB a second seems to stand still for long.
+WRITE_STALL_TIMEOUT_MS = 5_000.0  # without any progress of a client that has replies to read
+# The same for streamed replies, which hold little memory. The kernel reports a socket as writable only when
+# much of its buffer is free, so a client that reads a few KiB a second makes no visible progress for long.
 STREAM_STALL_TIMEOUT_MS = 30_000.0
-IDLE_TIMEOUT_MS = 30_000.0  # unused for this long: closed
-FIRST_COMMAND_GRACE_MS = (
-    400.0  # in a drain, from being taken in until its first command: a round trip and a slow client
-)
-# From FIN until it is closed at the latest: far over a round trip, so that the last answer has arrived, and
-# short beside a drain. What a flood may send in it is bounded too.
-LINGER_TIMEOUT_MS, MAX_LINGER_BYTES = 500.0, 256 * 1024
-SETUP_COMMANDS = {b"CLIENT", b"SELECT"}  # commands of connection set-up
+IDLE_TIMEOUT_MS = 30_000.0
+# How long a drain waits for the first command of a new connection: a round trip and a slow client.
+FIRST_COMMAND_GRACE_MS = 400.0
+# From FIN until the socket is closed: well over a round trip, so that the last reply arrives, and short
+# compared to a drain. The bytes that a client may send in that time are bounded too.
+LINGER_TIMEOUT_MS = 500.0
+MAX_LINGER_BYTES = 256 * 1024
+SETUP_COMMANDS = {b"CLIENT", b"SELECT"}  # sent by client libraries when they connect; answered with OK
 OPEN, FLUSHING, LINGERING, CLOSED = range(4)
-TCP_ESTABLISHED = 1  # of the states of TCP, as the kernel numbers them
+TCP_ESTABLISHED = 1  # the state number in the kernel's struct tcp_info
 
 
 class ClientConnection:
+    """Reads commands from one client socket and writes their replies."""
+
     def __init__(self, server: RespServer, accepted: socket.socket) -> None:
         self.server, self.socket, self.fd = server, accepted, accepted.fileno()
         self.reader = CommandReader()
         self.slots: deque[Slot] = deque()
-        self.pending_bytes = 0  # bytes of the commands in `slots`
-        self.discarded_bytes = 0  # bytes, while it lingers
-        self.streaming_replies = 0  # long values under way
-        self.body_grant_bytes = 0  # bytes of the budget, for a long body that is not whole
+        self.pending_bytes = 0  # total size of the commands in `slots`
+        self.discarded_bytes = 0  # read in state LINGERING
+        self.streaming_replies = 0  # replies being streamed
+        self.body_grant_bytes = 0  # of the memory budget, for a long body that is incomplete
         self.body_granted_at = 0.0
         self.unsent = bytearray()
         self.state = OPEN
-        self.is_reading = self.is_writing = self.is_pumping = self.has_unparsed_bytes = False
-        self.last_used_at = self.last_progress_at = now_ms()  # moved: answers were last taken by the client
-        self.command_deadline: float | None = (
-            self.last_used_at + COMMAND_TIMEOUT_MS
-        )  # of a command that is owed; None: between commands
+        self.is_reading = self.is_writing = self.is_advancing = self.has_unparsed_bytes = False
+        self.last_used_at = self.last_progress_at = now_ms()  # progress: the client read replies
+        # For the command that is being received, or the first one; None between commands.
+        self.command_deadline: float | None = self.last_used_at + COMMAND_TIMEOUT_MS
         self._update_reading()
 
-    # ---- from the event loop ----
+    # ---- event loop callbacks ----
 
     def _on_readable(self) -> None:
         try:
@@ -95,29 +97,35 @@
         except OSError:
             count = 0
         if not count:
-            return self.close()  # a client that closes has gone away
+            return self.close()  # a half-closed connection counts as closed
         self.receive(self.server.read_view[:count])
 
     def receive(self, data: bytes | memoryview) -> None:
+        """Parse bytes from the client and handle the commands in them."""
         if self.state != OPEN:
-            return  # nothing more is answered here, and it must not pile up either
+            return  # not handled any more, and must not accumulate
         self.reader.feed(data)
         self.has_unparsed_bytes = True
-        self.pump()
+        self.advance()
 
     def _on_writable(self) -> None:
         self._send()
-        if self.slots and self.state < LINGERING and (long := self.slots[0].stream) and long.is_started:
-            long.resume_if_drained()
-        self.pump()
+        if (
+            self.slots
+            and self.state < LINGERING
+            and (streaming_reply := self.slots[0].stream)
+            and streaming_reply.is_started
+        ):
+            streaming_reply.resume_if_drained()
+        self.advance()
 
     # ---- commands ----
 
-    def pump(self) -> None:
-        """Take commands and write answers, as far as both go; answers given at once are written together."""
-        if self.is_pumping or self.state >= LINGERING:
+    def advance(self) -> None:
+        """Handle commands and write replies as far as possible; replies given at once are batched."""
+        if self.is_advancing or self.state >= LINGERING:
             return
-        self.is_pumping = True
+        self.is_advancing = True
         try:
             if self.slots:
                 self._write_replies()
@@ -126,12 +134,12 @@
             while self.has_unparsed_bytes and not self._is_blocked():
                 self._process_commands()
                 self._write_replies()
-                # Danger: the end of a drain goes out with the last answer. A turn later its client
-                # has taken the connection for free and sent its next request, which would be turned back.
+                # In a drain, FIN follows the last reply at once. One iteration of the event loop later, the
+                # client may already have sent its next request on the idle connection, and would see it fail.
                 if self.server.draining and self.is_at_rest:
                     self._on_readable()
         finally:
-            self.is_pumping = False
+            self.is_advancing = False
         if not self.slots and not self.unsent:
             if self.state == FLUSHING:
                 self.start_lingering()
@@ -140,8 +148,8 @@
         self._update_reading()
 
     def _is_blocked(self) -> bool:
-        # Danger: a long value that breaks takes its connection along. What was read behind it would be lost,
-        # what was not is sent again by the client.
+        # No commands are read behind a streamed reply: if its backend fails, the connection is closed.
+        # Commands read by then would be lost, while the client sends unread ones again elsewhere.
         return (
             self.state != OPEN
             or self.streaming_replies > 0
@@ -152,7 +160,7 @@
         )
 
     def _process_commands(self) -> None:
-        """Take what commands the bytes read so far hold."""
+        """Handle the complete commands among the bytes read so far."""
         try:
             while not self._is_blocked():
                 args = self.reader.next_command()
@@ -161,7 +169,7 @@
                         continue
                     self.has_unparsed_bytes = False
                     if self.reader.wanted_body_bytes or self.reader.is_reading_body:
-                        # A long body has its time from its last piece, and in all.
+                        # A long body has a timeout between its pieces and one in total.
                         if not self.reader.wanted_body_bytes:
                             self.command_deadline = min(
                                 now_ms() + COMMAND_TIMEOUT_MS, self.body_granted_at + BODY_TIMEOUT_MS
@@ -177,7 +185,7 @@
             self.refuse_protocol(str(error))
 
     def _request_body_grant(self) -> bool:
-        """Ask for the room that a long body needs; whether it is granted at once."""
+        """Request memory for a long body; returns whether it was granted at once."""
         size = self.reader.wanted_body_bytes
         try:
             granted = self.server.body_budget.acquire(self, size, self._on_body_granted)
@@ -196,38 +204,43 @@
     def _on_body_granted(self) -> None:
         self._start_body(self.reader.wanted_body_bytes)
         self.has_unparsed_bytes = True
-        self.pump()
+        self.advance()
 
     def _write_replies(self) -> None:
-        """Write the answers that are due, in the order of the commands."""
-        due: list[bytes] = []
+        """Write the replies that are complete, in the order of the commands."""
+        replies: list[bytes] = []
         while self.slots and self.slots[0].reply is not None:
             slot = self.slots.popleft()
             self.pending_bytes -= slot.size
-            due.append(slot.reply or b"")
-        if due and self.state < LINGERING:
-            waiting, before = bool(self.unsent), len(self.unsent)
-            self.unsent += due[0] if len(due) == 1 else b"".join(due)
-            self.server.unsent_bytes += len(self.unsent) - before
-            if not waiting:
+            replies.append(slot.reply or b"")
+        if replies and self.state < LINGERING:
+            had_unsent, unsent_before = bool(self.unsent), len(self.unsent)
+            self.unsent += replies[0] if len(replies) == 1 else b"".join(replies)
+            self.server.unsent_bytes += len(self.unsent) - unsent_before
+            if not had_unsent:
                 self.last_progress_at = now_ms()
                 self._send()
             self.server.note_use(self)
             if self.server.unsent_bytes > self.server.max_unsent_bytes:
                 self.server.close_slowest_reader()
-        if self.slots and self.state < LINGERING and (long := self.slots[0].stream) and not long.is_started:
-            long.start()
+        if (
+            self.slots
+            and self.state < LINGERING
+            and (streaming_reply := self.slots[0].stream)
+            and not streaming_reply.is_started
+        ):
+            streaming_reply.start()
 
-    def write_chunk(self, long: StreamingReply, data: bytes | bytearray | memoryview) -> None:
-        """Write a piece of the value whose turn it is."""
-        waiting = bool(self.unsent)
+    def write_chunk(self, streaming_reply: StreamingReply, data: bytes | bytearray | memoryview) -> None:
+        """Write a piece of the streamed reply that is next in order."""
+        had_unsent = bool(self.unsent)
         self.unsent += data
         self.server.unsent_bytes += len(data)
-        if not waiting:
+        if not had_unsent:
             self.last_progress_at = now_ms()
             self._send()
         if self.state < LINGERING and len(self.unsent) > self.server.high_water_bytes():
-            long.pause_source()
+            streaming_reply.pause_source()
 
     def _send(self) -> None:
         try:
@@ -248,15 +261,18 @@
                 self.server.loop.remove_writer(self.fd)
 
     def _update_reading(self) -> None:
-        if self.state < LINGERING and (go := not self._is_blocked()) != self.is_reading:
-            self.is_reading = go
-            if go:
+        if self.state < LINGERING and (should_read := not self._is_blocked()) != self.is_reading:
+            self.is_reading = should_read
+            if should_read:
                 self.server.loop.add_reader(self.fd, self._on_readable)
             else:
                 self.server.loop.remove_reader(self.fd)
 
     def refuse_protocol(self, reason: str) -> None:
-        # What follows cannot be told from the rest of a command; earlier requests still get their answers.
+        """Refuse malformed input with an error reply; earlier commands still get their replies.
+
+        Later input cannot be parsed, as the boundary of the command is unknown.
+        """
         slot = Slot(self)
         slot.answered, slot.reply = True, b"-ERR protocol error\r\n"
         self.slots.append(slot)
@@ -264,6 +280,7 @@
         self.server.refusals[reason] += 1
 
     def handle_command(self, args: list[bytes]) -> None:
+        """Handle one complete command: a request goes to the handler, anything else is answered here."""
         body = self.reader.take_body()
         slot = Slot(self, sum(map(len, args)) + (len(body) if body else 0))
         slot.body_grant_bytes, self.body_grant_bytes = self.body_grant_bytes, 0
@@ -271,8 +288,8 @@
         self.slots.append(slot)
         verb = args[0].upper()
         if verb in REQUEST_VERBS:
-            if self.server.handler.is_shedding and (away := self.server.refuse_early(args)):
-                slot.class_name, reply = away
+            if self.server.handler.is_shedding and (early_refusal := self.server.refuse_early(args)):
+                slot.class_name, reply = early_refusal
                 return slot.answer(reply)
             try:
                 command = self.server.parser.parse(args, body)
@@ -296,7 +313,7 @@
         else:
             slot.answer(b"-ERR unknown command\r\n")
 
-    # ---- the end ----
+    # ---- end of the connection ----
 
     @property
     def is_closed(self) -> bool:
@@ -304,40 +321,42 @@
 
     @property
     def is_idle(self) -> bool:
+        """No command is open and no reply unsent."""
         return self.state == OPEN and not self.slots and not self.unsent
 
     def is_overdue(self, now: float) -> bool:
+        """Whether a command is incomplete after its deadline."""
         return self.state == OPEN and self.command_deadline is not None and now > self.command_deadline
 
     @property
     def is_awaiting_input(self) -> bool:
-        """A command has begun and it is its client's turn, or it waits for room."""
+        """A command is incomplete, and waits for the client or for memory."""
         return self.is_reading or self.reader.wanted_body_bytes > 0
 
     @property
     def is_at_rest(self) -> bool:
-        """Nothing is open here, and no command has begun to come."""
+        """Idle, and no command is partly received."""
         return self.is_idle and not self.reader.buffered_bytes
 
     def close_if_disconnected(self) -> bool:
-        """Whether its client has left; closes then.
+        """Close the connection if its client has disconnected; returns whether it has ended.
 
-        Danger: a connection that is stuck is not read, nor is one in time while the loop is late, and its end
-        may lie behind bytes that must wait. Only the kernel knows of it.
+        A blocked connection is not read, and no connection is read in time while the event loop is late; the
+        end may also lie behind unread bytes. Only the kernel's TCP state shows it.
         """
         if self.state < LINGERING:
             try:
-                told = self.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)
+                tcp_info = self.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)
             except OSError:
-                return False  # not TCP: only reading tells
-            if told and told[0] != TCP_ESTABLISHED:
+                return False  # not a TCP socket: only reading shows the end
+            if tcp_info and tcp_info[0] != TCP_ESTABLISHED:
                 self.close()
         return self.state >= LINGERING
 
     def close_if_idle(self, room: bool = False) -> None:
-        """End it unless something is open here, also what has come and was not read yet.
+        """Read what has arrived, then end the connection if it is idle.
 
-        `room`: its descriptor is needed now. What it was answered last arrived long ago.
+        `room`: its descriptor is needed, so it is closed without lingering; its last reply arrived long ago.
         """
         if self.is_idle and self.is_reading:
             self._on_readable()
@@ -348,31 +367,31 @@
                 self.start_lingering()
 
     def close_for_drain(self) -> None:
-        """The server drains: end it once nothing is open here.
+        """End the connection in a drain, if it is idle.
 
-        Danger: one just taken in has its first command under way; closed now, its client could not know
-        whether that was read.
+        A new connection gets time for its first command, which may be in flight: if the connection were
+        closed, its client could not know whether the command was read.
         """
         if self.state != OPEN or not self.server.draining:
             return
         if (
             self in self.server.without_request
-            and (due := self.last_used_at + FIRST_COMMAND_GRACE_MS) > now_ms()
+            and (deadline := self.last_used_at + FIRST_COMMAND_GRACE_MS) > now_ms()
         ):
-            self.server.timers.call_at(due, self.close_for_drain)
+            self.server.timers.call_at(deadline, self.close_for_drain)
         else:
             self.close_if_idle()
 
     def finish_commands(self) -> None:
-        """Take what has come, and no more commands; it ends with the answers that it owes."""
+        """Read what has arrived and handle no later commands; the connection ends after its last reply."""
         if self.state == OPEN and self.is_reading:
             self._on_readable()
         if self.state == OPEN:
             self.state = FLUSHING
-            self.pump()
+            self.advance()
 
     def check_timeouts(self, now: float) -> None:
-        """End what the client has begun and does not go on with, and what it has left."""
+        """Apply all timeouts, and detect a client that has disconnected."""
         if self.state == LINGERING:
             if now > self.last_progress_at + LINGER_TIMEOUT_MS:
                 self.close()
@@ -381,29 +400,30 @@
         elif self.unsent and now - self.last_progress_at > (
             STREAM_STALL_TIMEOUT_MS if self.streaming_replies else WRITE_STALL_TIMEOUT_MS
         ):
-            self.server.refusals["answers left unread"] += 1
+            self.server.refusals["client does not read its replies"] += 1
             self.close()
         elif self.is_overdue(now) and self.is_awaiting_input:
             if self.is_reading:
-                self._on_readable()  # while the loop was late the rest may have come
+                self._on_readable()  # the rest may have arrived while the event loop was late
             if self.is_at_rest:
-                # Danger: an error now would be read as the answer to the first request, if that is under way.
+                # No error reply: if the first request is in flight, the client would take the error for its
+                # reply.
                 self.close_if_idle()
             elif self.is_overdue(now):
-                self.refuse_protocol("command not whole in time")
-                self.pump()
+                self.refuse_protocol("command timeout")
+                self.advance()
         elif self.is_idle and now - self.last_used_at > IDLE_TIMEOUT_MS:
             self.close_if_idle()
 
     def start_lingering(self) -> None:
-        """End the sending side, then read to the end: what comes is dropped."""
+        """Shut down the sending side, then discard what arrives until the client closes."""
         self.state, self.command_deadline, self.last_progress_at = LINGERING, None, now_ms()
         self.reader = CommandReader()
         self._release_body_grant()
         try:
             self.socket.shutdown(socket.SHUT_WR)
         except OSError:
-            return self.close()  # the client was first
+            return self.close()  # the client closed first
         self.server.add_lingering(self)
         if not self.is_reading:
             self.is_reading = True
@@ -412,7 +432,7 @@
         self.server.loop.add_reader(self.fd, self._discard)
 
     def _release_body_grant(self) -> None:
-        """The room of a long body that is not whole, or the wish for it."""
+        """Return the memory of an incomplete long body, or withdraw the request for it."""
         self.server.body_budget.cancel_wait(self)
         if self.body_grant_bytes:
             self.server.body_budget.release(self.body_grant_bytes)
@@ -430,6 +450,7 @@
             self.close()
 
     def close(self) -> None:
+        """Close the socket, release all resources, and report open requests to the handler."""
         if self.is_closed:
             return
         self.state = CLOSED
--- a/roadpulley/edges/resp_server.py
+++ b/roadpulley/edges/resp_server.py
@@ -1,7 +1,7 @@
 """The RESP server that clients connect to.
 
-The sockets are driven directly: connections that come by hundreds are taken in as there is room for them, and
-what each may make the process hold is bounded.
+It drives its sockets directly instead of through asyncio's transports, to accept connections only while there
+is room for them and to bound the memory that each may use.
 """
 
 from __future__ import annotations
@@ -25,20 +25,22 @@
 log = logging.getLogger(__name__)
 
 READ_BUFFER_BYTES = 32 * 1024
-BACKLOG = 1024  # connections that wait to be taken in, at no cost in descriptors
-MAX_ACCEPTS_PER_WAKEUP = 32  # so that those taken in are also read between
-MAX_SHARED_ACCEPTS_PER_WAKEUP = 2  # so that a rush does not all go to the worker that woke first
-SWEEP_INTERVAL_MS, LOG_INTERVAL_MS = 250.0, 1_000.0
-MIN_EVICTABLE_IDLE_MS = 2_000.0  # unused for this long: may be closed when room is short
-NEW_CONNECTION_GRACE_MS = 100.0  # in which a new connection is let say something, however short room is
-MAX_LINGERING_DIVISOR = (
-    4  # of the bound on connections: so many may stand only until their clients have seen the end
-)
-ACCEPT_RETRY_INTERVAL_MS = 20.0  # until there may be room, or a descriptor, again
+BACKLOG = 1024  # connections that wait in the kernel, without a descriptor of this process
+MAX_ACCEPTS_PER_WAKEUP = 32  # so that accepted connections are read in between
+MAX_SHARED_ACCEPTS_PER_WAKEUP = 2  # so that a burst of connections is spread over the workers
+SWEEP_INTERVAL_MS = 250.0
+LOG_INTERVAL_MS = 1_000.0
+MIN_EVICTABLE_IDLE_MS = 2_000.0  # connections idle for longer may be closed to make room
+NEW_CONNECTION_GRACE_MS = 100.0  # a new connection has this long to send before it may be closed to make room
+# At most the connection limit divided by this may linger until their clients have read the end.
+MAX_LINGERING_DIVISOR = 4
+ACCEPT_RETRY_INTERVAL_MS = 20.0  # after running out of connections or descriptors
 
 
 class Handler(Protocol):
-    is_shedding: bool  # some requests are turned away at the door
+    """What the server needs of the driver of the decision module."""
+
+    is_shedding: bool  # some classes are refused before their requests are parsed
 
     def encode_early_refusal(self, request_class: str) -> bytes | None: ...
 
@@ -48,7 +50,10 @@
 
 
 class RespServer:
-    """Listens, and bounds the connections of clients and what they may hold."""
+    """Accepts clients, and bounds their connections and memory.
+
+    `memory_bytes`: for unsent replies; half as much again for request bodies.
+    """
 
     def __init__(
         self,
@@ -58,37 +63,36 @@
         parser: RequestParser,
         max_connections: int,
         memory_bytes: int,
-        tallies: RequestStats | None = None,
+        request_stats: RequestStats | None = None,
     ) -> None:
         self.loop, self.timers, self.handler, self.max_connections = loop, timers, handler, max_connections
-        self.tallies = tallies or RequestStats()
+        self.request_stats = request_stats or RequestStats()
         self.set_parser(parser)
-        self.streaming_replies = 0  # long values under way
+        self.streaming_replies = 0  # replies being streamed on all connections
         self.body_budget = MemoryBudget(max(MAX_BODY_BYTES, memory_bytes // 2))
-        self.max_unsent_bytes, self.unsent_bytes = (
-            memory_bytes,
-            0,
-        )  # bytes of answers that are not taken yet, of all clients
-        self.read_buffer = bytearray(
-            READ_BUFFER_BYTES
-        )  # of all connections: each takes out at once what it has read
+        # Replies that clients have not read yet, on all connections.
+        self.max_unsent_bytes, self.unsent_bytes = memory_bytes, 0
+        # Shared by all connections: each consumes at once what it has read.
+        self.read_buffer = bytearray(READ_BUFFER_BYTES)
         self.read_view = memoryview(self.read_buffer)
-        self.connections: dict[ClientConnection, None] = {}  # the longest unused first
-        self.without_request: dict[
-            ClientConnection, None
-        ] = {}  # of these, those that never asked, the oldest first
-        self.lingering: dict[ClientConnection, None] = {}  # of all, those that have ended but for their bytes
-        self.refusals: Tally[str] = Tally()  # since the last line of the log, by reason
+        self.connections: dict[ClientConnection, None] = {}  # least recently used first
+        # Subset of `connections` that never sent a valid request, the oldest first.
+        self.without_request: dict[ClientConnection, None] = {}
+        self.lingering: dict[ClientConnection, None] = {}  # subset of `connections` in state LINGERING
+        self.refusals: Tally[str] = Tally()  # by reason, since the last log line
         self.last_log_at = 0.0
         self.draining = self.accepting = self.has_shared_listener = False
-        self.answers_ping = True  # to PING
+        self.answers_ping = True
         self.listener: socket.socket | None = None
-        self.accept_timer: Timer | None = None  # to accept again
+        self.accept_timer: Timer | None = None  # while accepting is paused
         self.all_closed = asyncio.Event()
         self.all_closed.set()
 
     async def listen(self, host: str, port: int, given: socket.socket | None = None) -> int:
-        """Start to accept; gives the port. A socket that is given is bound; other processes have it too."""
+        """Start to accept connections; returns the port.
+
+        `given`: a bound socket that is shared with other processes, instead of a new one.
+        """
         self.has_shared_listener = given is not None
         self.listener = given or socket.create_server((host, port), backlog=BACKLOG)
         self.listener.setblocking(False)
@@ -103,13 +107,17 @@
         if self.listener is not None and not self.accepting:
             self.accepting = True
             if self.has_shared_listener:
-                # Danger: the supervisor has it refuse once nobody accepts, which may cross the start of this
-                # one: it would serve and never be reached. Asked again, it listens again.
+                # The supervisor shuts the shared socket down once no worker accepts. If that races with the
+                # start of this worker, it would serve but never get a connection. Calling listen again
+                # reopens the socket.
                 self.listener.listen(BACKLOG)
             self.loop.add_reader(self.listener.fileno(), self._accept)
 
     def _pause_accepting(self) -> None:
-        """Those that wait in the kernel's queue cost nothing; closing them would fail their requests."""
+        """Leave new connections in the kernel's queue for a while.
+
+        They cost nothing there; accepting and closing them would fail their requests.
+        """
         if self.listener is not None and self.accepting:
             self.accepting = False
             self.loop.remove_reader(self.listener.fileno())
@@ -118,15 +126,16 @@
             )
 
     def _accept(self) -> None:
-        for turn in range(
+        for iteration in range(
             MAX_SHARED_ACCEPTS_PER_WAKEUP if self.has_shared_listener else MAX_ACCEPTS_PER_WAKEUP
         ):
-            # Room is made only for one that is known to wait, as on the first turn.
-            if (turn and len(self.connections) >= self.max_connections) or not self._accept_one():
+            # Only in the first iteration is a connection known to wait, so only then is another evicted for
+            # it.
+            if (iteration and len(self.connections) >= self.max_connections) or not self._accept_one():
                 return
 
     def _accept_one(self) -> bool:
-        """Take in the next that waits; False where none does, or there is no room for it yet."""
+        """Accept the next connection; returns False if none waits or there is no room for it yet."""
         if self.listener is None:
             return False
         if len(self.connections) >= self.max_connections and not self.evict_idle_connection():
@@ -137,7 +146,7 @@
         except (BlockingIOError, InterruptedError):
             return False
         except ConnectionAbortedError:
-            return True  # it has left; the next may wait
+            return True  # the client left the queue; another may wait
         except OSError as error:
             self.refusals[f"not accepted: {error.strerror}"] += 1
             self._pause_accepting()
@@ -152,7 +161,10 @@
         return True
 
     def evict_idle_connection(self) -> bool:
-        """Give up a connection that nobody is using: one that has ended first, then one that never asked."""
+        """Close an unused connection to make room; returns whether one was closed.
+
+        Tried in order: a lingering one, one without a request yet, the least recently used idle one.
+        """
         if ended := next(iter(self.lingering), None):
             ended.close()
             return True
@@ -162,49 +174,60 @@
             oldest.close_if_idle(room=True)
             if oldest.is_closed:
                 return True
-        spare = next((c for c in self.connections if c.is_idle and c not in self.without_request), None)
-        if spare is not None and now - spare.last_used_at > MIN_EVICTABLE_IDLE_MS:
-            spare.close_if_idle(room=True)
-        return spare is not None and spare.is_closed
+        least_recent = next(
+            (c for c in self.connections if c.is_idle and c not in self.without_request), None
+        )
+        if least_recent is not None and now - least_recent.last_used_at > MIN_EVICTABLE_IDLE_MS:
+            least_recent.close_if_idle(room=True)
+        return least_recent is not None and least_recent.is_closed
 
     # ---- connections ----
 
     def note_request(self, connection: ClientConnection) -> None:
+        """The connection sent a valid request."""
         self.without_request.pop(connection, None)
 
     def note_use(self, connection: ClientConnection) -> None:
+        """Mark the connection as the most recently used."""
         connection.last_used_at = now_ms()
         if connection in self.connections:
             del self.connections[connection]
             self.connections[connection] = None
 
     def refuse_early(self, args: list[bytes]) -> tuple[str, bytes] | None:
-        """Class and refusal of a request that is not worth reading whole just now, if seen before."""
-        plain = ATTRIBUTES_PATTERN.fullmatch(args[3]) if len(args) > 3 else None
-        known = self.parser.known_attributes.get((args[0], *plain.group(2, 3, 7, 8, 9))) if plain else None
-        reply = self.handler.encode_early_refusal(known[0].name) if known else None
-        return (known[0].name, reply) if known and reply else None
+        """Class and refusal of a request whose class is shed before parsing, or None.
+
+        Only for attributes in the parser's cache, so that invalid requests still get their own error.
+        """
+        match = ATTRIBUTES_PATTERN.fullmatch(args[3]) if len(args) > 3 else None
+        validated = (
+            self.parser.known_attributes.get((args[0], *match.group(2, 3, 7, 8, 9))) if match else None
+        )
+        reply = self.handler.encode_early_refusal(validated[0].name) if validated else None
+        return (validated[0].name, reply) if validated and reply else None
 
     def find_class(self, args: list[bytes]) -> str | None:
-        """The class that a wrong request names, if it is or was one."""
-        found = CLASS_PATTERN.search(args[3]) if len(args) > 3 else None
-        name = found[1].decode(errors="replace") if found else ""
-        return name if name in self.tallies.answers else None
+        """The class that an invalid request names, if it is or was configured."""
+        match = CLASS_PATTERN.search(args[3]) if len(args) > 3 else None
+        name = match[1].decode(errors="replace") if match else ""
+        return name if name in self.request_stats.answers else None
 
     def high_water_bytes(self) -> int:
-        """Bytes of a long value that may wait for its client: of all of them together, half of the budget."""
+        """High-water mark of each streamed reply. All together may use half of the memory for replies."""
         return max(
             MIN_HIGH_WATER_BYTES,
             min(MAX_HIGH_WATER_BYTES, self.max_unsent_bytes // (2 * max(1, self.streaming_replies))),
         )
 
     def add_lingering(self, connection: ClientConnection) -> None:
+        """Register a lingering connection; closes the oldest one beyond the limit."""
         self.without_request.pop(connection, None)
         self.lingering[connection] = None
         if len(self.lingering) > self.max_connections // MAX_LINGERING_DIVISOR:
             next(iter(self.lingering)).close()
 
     def remove_connection(self, connection: ClientConnection) -> None:
+        """Forget a closed connection."""
         self.connections.pop(connection, None)
         self.without_request.pop(connection, None)
         self.lingering.pop(connection, None)
@@ -212,30 +235,30 @@
             self.all_closed.set()
 
     def close_slowest_reader(self) -> None:
-        """Give up the client that has taken nothing for the longest time, before memory runs out."""
-        waiting = (
-            c for c in self.connections if c.unsent and not c.streaming_replies
-        )  # long values are held back
-        slowest = min(waiting, key=lambda c: c.last_progress_at, default=None)
+        """Close the connection whose client has read nothing for the longest time, to bound memory."""
+        # Streamed replies are bounded by their high-water mark instead.
+        candidates = (c for c in self.connections if c.unsent and not c.streaming_replies)
+        slowest = min(candidates, key=lambda c: c.last_progress_at, default=None)
         if slowest is not None:
-            self.refusals["answers left unread"] += 1
+            self.refusals["client does not read its replies"] += 1
             slowest.close()
 
     def sweep(self) -> None:
+        """Check the timeouts of all connections and log refusals, periodically."""
         now = now_ms()
         for connection in list(self.connections):
             connection.check_timeouts(now)
-        if self.refusals and now - self.last_log_at >= LOG_INTERVAL_MS:  # one line tells of all
+        if self.refusals and now - self.last_log_at >= LOG_INTERVAL_MS:  # one line for all refusals
             log.warning("refused: %s", dict(self.refusals))
             self.refusals.clear()
             self.last_log_at = now
         self.timers.call_at(now + SWEEP_INTERVAL_MS, self.sweep)
 
     def set_parser(self, parser: RequestParser) -> None:
-        """Other terms from the next request on. What was counted of a class that is dropped stays."""
+        """Use another parser from the next request on. Statistics of removed classes are kept."""
         self.parser = parser
         for name in parser.classes:
-            self.tallies.add_class(name.decode())
+            self.request_stats.add_class(name.decode())
 
     def set_admission(self, answers_ping: bool, accepts: bool, keeps_idle: bool) -> None:
         """Change what the server offers to its clients.
@@ -249,8 +272,8 @@
             for connection in list(self.connections):
                 connection.close_for_drain()
         if not accepts and self.listener is not None:
-            # Danger: closing a listener resets all that wait at it, and what they have asked by then. Those
-            # at one that is shared are taken by the others.
+            # Closing a listening socket resets the connections in its queue, with the requests that they sent
+            # already. So they are accepted first. Those at a shared socket are accepted by other processes.
             while not self.has_shared_listener and self._accept_one():
                 pass
             self._pause_accepting()
@@ -258,6 +281,6 @@
             self.listener = None
 
     def finish(self) -> None:
-        """The process ends: what has come by now is taken, and refused at the door; nothing after that."""
+        """Before the process ends, read what has arrived and handle no later commands."""
         for connection in list(self.connections):
             connection.finish_commands()
--- a/roadpulley/edges/slots.py
+++ b/roadpulley/edges/slots.py
@@ -1,4 +1,4 @@
-"""Where an answer goes: its place among those of a connection, whole or in the pieces of a long value."""
+"""Reply slots of a client connection: replies are written in the order of the commands, whole or streamed."""
 
 from __future__ import annotations
 
@@ -9,14 +9,16 @@
 if TYPE_CHECKING:
     from .connection import ClientConnection
 
-MIN_HIGH_WATER_BYTES, MAX_HIGH_WATER_BYTES = (
-    4 * 1024,
-    64 * 1024,
-)  # of a long value that may wait here, however many there are
+# Bounds of the high-water mark of a streamed value, however many values are streamed at once.
+MIN_HIGH_WATER_BYTES = 4 * 1024
+MAX_HIGH_WATER_BYTES = 64 * 1024
 
 
 class Slot:
-    """The place of one command among the answers of its connection."""
+    """The reply of one command, in its place among the replies of the connection.
+
+    `size`: bytes of the command.
+    """
 
     __slots__ = (
         "answered",
@@ -32,14 +34,17 @@
     def __init__(self, connection: ClientConnection, size: int = 0) -> None:
         self.connection, self.size = connection, size
         self.reply: bytes | None = None
-        self.request: str | None = None  # the id of a request that is still open
-        self.class_name: str | None = None  # the class it names, where that is known
+        self.request: str | None = None  # id of the request while it is open
+        self.class_name: str | None = None  # class of the request, if known
         self.answered = False
-        self.body_grant_bytes = 0  # bytes of the budget that its body holds
-        self.stream: StreamingReply | None = None  # its answer, where that comes in pieces
+        self.body_grant_bytes = 0  # bytes that its body holds of the memory budget
+        self.stream: StreamingReply | None = None  # the reply, if it is streamed
 
     def begin_streaming(self, length: int, source: Source) -> Sink:
-        """The client that leaves is told of as before: `request` stays until the value has ended."""
+        """Start a streamed reply of `length` bytes.
+
+        `request` stays set until the stream ends, so that a disconnect is still reported to the handler.
+        """
         self.answered = True
         self.stream = StreamingReply(self, length, source)
         self.connection.streaming_replies += 1
@@ -47,36 +52,43 @@
         return self.stream
 
     def answer(self, reply: bytes) -> None:
+        """Give the whole reply, as RESP. Later replies are ignored."""
         if not self.answered:
             self.answered, self.reply, self.request = True, reply, None
             if self.class_name is not None:
-                self.connection.server.tallies.record_answer(self.class_name, reply)
+                self.connection.server.request_stats.record_answer(self.class_name, reply)
             if self.body_grant_bytes:
                 self.release_body_grant()
-            self.connection.pump()
+            self.connection.advance()
 
     def is_client_gone(self, ask: bool) -> bool:
+        """Whether the client has disconnected.
+
+        `ask`: query the kernel even if the connection is being read, as the end may not have been read yet.
+        """
         connection = self.connection
         return connection.is_closed or (
             (ask or not connection.is_reading) and connection.close_if_disconnected()
         )
 
     def release_body_grant(self) -> None:
-        granted, self.body_grant_bytes = self.body_grant_bytes, 0
-        self.connection.server.body_budget.release(granted)
+        """Return the memory of the request body to the budget."""
+        size, self.body_grant_bytes = self.body_grant_bytes, 0
+        self.connection.server.body_budget.release(size)
 
 
 class StreamingReply:
-    """A long value on its way to a client, a piece at a time; what waits for the client is bounded."""
+    """A reply that is streamed from a backend to a client. The bytes that wait for the client are bounded."""
 
     __slots__ = ("is_paused", "pending", "slot", "source", "is_started")
 
     def __init__(self, slot: Slot, length: int, source: Source) -> None:
         self.slot, self.source = slot, source
-        self.pending = bytearray(b"$%d\r\n" % length)  # what waits for the answers before it
+        self.pending = bytearray(b"$%d\r\n" % length)  # bytes that wait until the earlier replies are written
         self.is_started = self.is_paused = False
 
     def feed(self, data: bytes | memoryview) -> None:
+        """Write a chunk, or keep it until the earlier replies are written."""
         connection = self.slot.connection
         if connection.is_closed:
             return
@@ -89,6 +101,7 @@
             self.pause_source()
 
     def free_bytes(self) -> int:
+        """How many bytes may be fed now."""
         connection = self.slot.connection
         return max(
             MIN_HIGH_WATER_BYTES,
@@ -96,17 +109,19 @@
         )
 
     def start(self) -> None:
-        """The answers before it are written."""
+        """Begin to write: the earlier replies are written."""
         data, self.pending, self.is_started = self.pending, bytearray(), True
         self.slot.connection.write_chunk(self, data)
         self.resume_if_drained()
 
     def pause_source(self) -> None:
+        """Make the backend connection stop reading, once the high-water mark is exceeded."""
         if not self.is_paused:
             self.is_paused = True
             self.source.pause()
 
     def resume_if_drained(self) -> None:
+        """Resume the backend connection at half of the high-water mark."""
         if (
             self.is_paused
             and len(self.slot.connection.unsent) <= self.slot.connection.server.high_water_bytes() // 2
@@ -115,25 +130,30 @@
             self.source.resume()
 
     def release(self, reply: bytes) -> None:
+        """End the stream: return what it holds, and count the reply under its class."""
         slot, connection = self.slot, self.slot.connection
         if slot.stream is None:
-            return  # the client has gone
+            return  # the client disconnected
         slot.stream, slot.request = None, None
         if slot.body_grant_bytes:
             slot.release_body_grant()
         connection.streaming_replies -= 1
         connection.server.streaming_replies -= 1
         if slot.class_name is not None:
-            connection.server.tallies.record_answer(slot.class_name, reply)
+            connection.server.request_stats.record_answer(slot.class_name, reply)
 
     def finish(self) -> None:
+        """All chunks were fed."""
         self.release(b"$")
         self.slot.reply = bytes(self.pending) + b"\r\n"
-        self.slot.connection.pump()
+        self.slot.connection.advance()
 
     def abort(self) -> None:
-        """The client can tell only by the end of its connection."""
+        """The backend failed within the value.
+
+        The client can only learn it from the end of the connection.
+        """
         if self.slot.stream is not None:
             self.release(b"-ERR")
-            self.slot.connection.server.refusals["a long value that broke"] += 1
+            self.slot.connection.server.refusals["streamed value incomplete"] += 1
             self.slot.connection.close()
--- a/roadpulley/operations/life.py
+++ b/roadpulley/operations/life.py
@@ -73,7 +73,7 @@
         return ok(self.machine.state.value)
 
     def figures(self) -> Iterator[tuple[str, int]]:
-        tallies, fleet = self.server.tallies, self.driver.gateway.fleet
+        tallies, fleet = self.server.request_stats, self.driver.gateway.fleet
         for name, counts in tallies.answers.items():
             for outcome, count in zip(OUTCOMES, counts, strict=True):
                 yield f"operations.{name}.{outcome}", count
