--- a/mintford/changes.py
+++ b/mintford/changes.py
@@ -59,7 +59,7 @@
     if not old.rate:
         # No gateway charges anything under a plan without a quota, so its wants and totals mean nothing. This
         # gateway follows the store from its next reading on, and keeps to the even share until then.
-        c.heard = False
+        c.has_reading = False
         c.tokens = min(c.tokens, plan.burst * c.even_share)
     # Units spent without a ceiling were not counted. So a new ceiling starts empty, as after a restart,
     # otherwise it could be exceeded.
--- a/mintford/handover.py
+++ b/mintford/handover.py
@@ -13,12 +13,14 @@
     given, kept = [], min(1.0, part / (quotas.gateway_share or part or 1.0))
     for c in quotas.customers.values():
         quotas.refill(now, c)
-        lease = {name: getattr(c, name) for name in api.LEASE_FIELDS}
-        lease["store"] += c.unsaid  # this process will tell that, and the other read it; but not at its end
+        lease = {name: getattr(c, attribute) for name, attribute in api.LEASE_FIELDS.items()}
+        lease["store"] += (
+            c.unreported_units
+        )  # this process will tell that, and the other read it; but not at its end
         held = max(0.0, c.tokens), c.ceiling.own_tokens, c.ceiling.shared_allowance
-        amounts = (*(amount * (1 - kept) for amount in held), 0.0 if part else c.unsaid)
+        amounts = (*(amount * (1 - kept) for amount in held), 0.0 if part else c.unreported_units)
         given.append(api.CustomerSnapshot(c.key, c.plan_name, round(1 / c.even_share), lease, *amounts))
-        c.tokens, c.unsaid = c.tokens - amounts[0], c.unsaid - amounts[3]
+        c.tokens, c.unreported_units = c.tokens - amounts[0], c.unreported_units - amounts[3]
         c.ceiling.set_gateway_share(part, kept)
     quotas.gateway_share = part
     seen = (api.BackendSnapshot(b.id, b.started, b.marks) for b in fleet.backends.values() if b.marks)
@@ -36,7 +38,7 @@
         if c is None:
             c = quotas.add_customer(held.customer, held.plan, held.spread, now, now, 0.0)
             for name, value in held.lease.items():
-                setattr(c, name, value)
+                setattr(c, api.LEASE_FIELDS[name], value)
             c.tokens = 0.0
         c.tokens += held.tokens
         quotas.charge(c, held.unsaid)
--- a/mintford/interface.py
+++ b/mintford/interface.py
@@ -239,11 +239,28 @@
     settings: Settings
 
 
-# What a process knows of a customer's store. The names are those of attributes of mintford.quotas.Customer.
-LEASE_FIELDS = (
-    "store", "part", "lease_end", "read_at", "heard", "mine", "others", "left", "tail", "ended", "totals",
-    "unsure", "asked", "asked_at", "wants_told", "telling", "wanted", "wants",
-)  # fmt: skip
+# What a process knows of a customer's store. It maps the keys of the handover message to the attributes of
+# mintford.quotas.Customer. Other versions of this program read the keys, so they must not change.
+LEASE_FIELDS = {
+    "store": "store",
+    "part": "rate_share",
+    "lease_end": "lease_end",
+    "read_at": "read_at",
+    "heard": "has_reading",
+    "mine": "recent_own_units",
+    "others": "recent_peer_units",
+    "left": "first_estimate",
+    "tail": "late_peer_units",
+    "ended": "has_read_last_epoch",
+    "totals": "totals",
+    "unsure": "unconfirmed_units",
+    "asked": "recent_demand",
+    "asked_at": "demand_at",
+    "wants_told": "wants_period",
+    "telling": "reported_wants",
+    "wanted": "previous_wants",
+    "wants": "total_wants",
+}
 
 
 @dataclass(slots=True)
@@ -256,7 +273,7 @@
     customer: str
     plan: str
     spread: int
-    lease: dict[str, Any]  # by the names in LEASE_FIELDS
+    lease: dict[str, Any]  # by the keys of LEASE_FIELDS
     tokens: float  # of the lease
     own: float  # units of the gateway's own part of the ceiling
     unused: float  # units of the ceiling's shared part that this gateway may still take
--- a/mintford/quotas.py
+++ b/mintford/quotas.py
@@ -93,15 +93,15 @@
 
     def compute_share(self) -> float:
         """This gateway's part of what all want; by what was sent on where wants are not known."""
-        if self.wants > 0:
-            return min(1.0, self.wanted / self.wants)
-        spent = self.mine + self.others
-        return self.mine / spent if spent > ROUNDING_ERROR_UNITS else self.even_share
+        if self.total_wants > 0:
+            return min(1.0, self.previous_wants / self.total_wants)
+        spent = self.recent_own_units + self.recent_peer_units
+        return self.recent_own_units / spent if spent > ROUNDING_ERROR_UNITS else self.even_share
 
     def is_scarce(self, now: float) -> bool:
         """Whether this little is left, if the others have gone on as they did since the last reading."""
-        gone = PEER_SPENDING_MARGIN_RATIO * self.others / WANTS_PERIOD_MS * (now - self.read_at)
-        return not self.heard or self.tokens - gone < SCARCE_TOKENS_RATIO * self.max_units
+        gone = PEER_SPENDING_MARGIN_RATIO * self.recent_peer_units / WANTS_PERIOD_MS * (now - self.read_at)
+        return not self.has_reading or self.tokens - gone < SCARCE_TOKENS_RATIO * self.max_units
 
 
 class Quotas:
@@ -148,8 +148,8 @@
             del self.report_backlog[waiting := next(iter(self.report_backlog))]
             if known := self.customers.get(waiting):
                 self.report_spending(now, known, out)
-        fade = math.exp((c.asked_at - now) / WANTS_PERIOD_MS)
-        c.asked, c.asked_at = c.asked * fade + event.units, now
+        fade = math.exp((c.demand_at - now) / WANTS_PERIOD_MS)
+        c.recent_demand, c.demand_at = c.recent_demand * fade + event.units, now
         return c
 
     def add_customer(
@@ -172,8 +172,8 @@
             full_in = (c.plan.burst - c.store) / max(c.plan.rate, 1e-9) * 1000  # it knows more till then
             if c.open_attempts or now - c.refilled_at <= max(c.idle_timeout_ms, min(full_in, MAX_IDLE_MS)):
                 kept[key] = c
-            elif abs(c.unsaid) > ROUNDING_ERROR_UNITS and self.settings.has_counter:
-                said = round(c.unsaid, 3)
+            elif abs(c.unreported_units) > ROUNDING_ERROR_UNITS and self.settings.has_counter:
+                said = round(c.unreported_units, 3)
                 self.send_call(c, Call(key, CallKind.ADD_SPENT, c.get_epoch(now)[0], said, "", now, now), out)
         self.customers = kept
 
@@ -181,17 +181,17 @@
 
     def refill(self, now: float, c: Customer) -> None:
         plan = c.plan
-        if now > c.lease_end and c.heard:  # a lease unheard: the safe capacity is the even share
-            c.part, c.heard, c.wants, c.tail = c.even_share, False, 0.0, 0.0
+        if now > c.lease_end and c.has_reading:  # a lease unheard: the safe capacity is the even share
+            c.rate_share, c.has_reading, c.total_wants, c.late_peer_units = c.even_share, False, 0.0, 0.0
             c.totals.clear()
-            c.unsure.clear()
+            c.unconfirmed_units.clear()
             c.ceiling.reset_shared_tokens()
         passed, c.refilled_at = (now - c.refilled_at) / 1000, now
         c.store += passed * plan.rate
         if c.store > plan.burst:
             c.overflow, c.store = c.overflow + c.store - plan.burst, plan.burst
-        most = c.store if c.heard else max(c.max_units, plan.burst * c.even_share)
-        c.tokens = min(most, c.tokens + passed * plan.rate * c.part)
+        most = c.store if c.has_reading else max(c.max_units, plan.burst * c.even_share)
+        c.tokens = min(most, c.tokens + passed * plan.rate * c.rate_share)
         c.ceiling.refill(passed)
 
     def take(self, c: Customer, units: float, inside: bool, counted: bool) -> float:
@@ -202,7 +202,7 @@
         return charged
 
     def charge(self, c: Customer, units: float) -> None:
-        c.tokens, c.store, c.unsaid = c.tokens - units, c.store - units, c.unsaid + units
+        c.tokens, c.store, c.unreported_units = c.tokens - units, c.store - units, c.unreported_units + units
 
     def settle(self, now: float, c: Customer, charged: float, cost: float, out: api.Actions) -> None:
         """The true units of a request that was charged for a guess: the difference, to the same store.
@@ -211,7 +211,7 @@
         """
         if charged > 0 and cost > 0:
             self.charge(c, min(cost, max(self.settings.max_request_units, charged)) - charged)
-            if abs(c.unsaid) >= c.report_threshold:  # told at once, as no further request may come
+            if abs(c.unreported_units) >= c.report_threshold:  # told at once, as no further request may come
                 self.report_spending(now, c, out)
 
     # ---- calls ----
@@ -238,12 +238,17 @@
             and not c.ceiling.uses_rights
         ):
             return False  # it is refused whatever a reading says
-        if c.heard and now - c.read_at < MIN_SCARCE_REFRESH_INTERVAL_MS:
+        if c.has_reading and now - c.read_at < MIN_SCARCE_REFRESH_INTERVAL_MS:
             return False
         # What is all spent will not be there sooner than time gives it back, unless others give some back.
-        if c.heard and not c.unsaid and c.store < units and now - c.read_at < MIN_REFRESH_INTERVAL_MS:
+        if (
+            c.has_reading
+            and not c.unreported_units
+            and c.store < units
+            and now - c.read_at < MIN_REFRESH_INTERVAL_MS
+        ):
             return False
-        likely = not c.heard or c.tokens >= units
+        likely = not c.has_reading or c.tokens >= units
         worth *= (
             READ_CALL_PRIORITY if c.tokens >= units and c.ceiling.own_tokens >= units else 1.0
         )  # else surely refused
@@ -252,11 +257,19 @@
     def report_spending(self, now: float, c: Customer, out: api.Actions) -> None:
         """After units were charged: add them where they are scarce, or when a refresh is due."""
         # Danger: units added ahead for a request that was refused would be missed by the others meanwhile.
-        due = now >= c.fresh_until or abs(c.unsaid) >= c.report_threshold or c.unsaid < -ROUNDING_ERROR_UNITS
-        due = due or (abs(c.unsaid) > ROUNDING_ERROR_UNITS and (c.is_sparse or c.is_scarce(now)))
+        due = (
+            now >= c.fresh_until
+            or abs(c.unreported_units) >= c.report_threshold
+            or c.unreported_units < -ROUNDING_ERROR_UNITS
+        )
+        due = due or (abs(c.unreported_units) > ROUNDING_ERROR_UNITS and (c.is_sparse or c.is_scarce(now)))
         if self.settings.has_counter and c.plan.rate and due and not c.is_calling and now >= c.no_calls_until:
             if not self.call_counter(
-                now, c, "", out, need=REPORT_CALL_PRIORITY * min(1.0, abs(c.unsaid) / c.report_threshold)
+                now,
+                c,
+                "",
+                out,
+                need=REPORT_CALL_PRIORITY * min(1.0, abs(c.unreported_units) / c.report_threshold),
             ):
                 self.report_backlog[c.key] = None
 
@@ -282,14 +295,14 @@
         epoch, age = c.get_epoch(now)
         # What the others have sent on since the last reading of the last epoch, or in all of it: unless time
         # has paid back all of that.
-        paid = not c.heard and c.plan.rate * age >= 1000 * c.plan.burst
+        paid = not c.has_reading and c.plan.rate * age >= 1000 * c.plan.burst
         if epoch not in c.totals and not paid:
-            c.ended = False
+            c.has_read_last_epoch = False
             self.send_call(c, Call(c.key, CallKind.READ_LAST_EPOCH, epoch - 1, 0.0, "", c.read_at, now), out)
-        c.is_calling, said, c.unsaid = True, round(c.unsaid + ahead, 3), 0.0
+        c.is_calling, said, c.unreported_units = True, round(c.unreported_units + ahead, 3), 0.0
         self.send_call(c, Call(c.key, CallKind.ADD_SPENT, epoch, said, request, c.read_at, now, ahead), out)
         if (
-            c.heard and c.store < LOW_STORE_RATIO * c.plan.burst and not c.is_sparse
+            c.has_reading and c.store < LOW_STORE_RATIO * c.plan.burst and not c.is_sparse
         ):  # a part that thin holds no request
             self.report_wants(now, c, out)
         return True
@@ -297,11 +310,11 @@
     def report_wants(self, now: float, c: Customer, out: api.Actions) -> None:
         """Add this gateway's wants to the period's number, and read the last finished period's total."""
         period = int(now // WANTS_PERIOD_MS)
-        if c.wants_told < period:
-            c.wanted = c.telling if c.wants_told == period - 1 else 0.0
-            c.wants_told, c.telling, c.wants = period, round(c.asked, 3), 0.0
-            self.send_call(c, Call(c.key, CallKind.WANTS, period, c.telling, "", now, now), out)
-            if c.wanted:
+        if c.wants_period < period:
+            c.previous_wants = c.reported_wants if c.wants_period == period - 1 else 0.0
+            c.wants_period, c.reported_wants, c.total_wants = period, round(c.recent_demand, 3), 0.0
+            self.send_call(c, Call(c.key, CallKind.WANTS, period, c.reported_wants, "", now, now), out)
+            if c.previous_wants:
                 self.send_call(c, Call(c.key, CallKind.WANTS, period - 1, 0.0, "", now, now), out)
 
     def send_call(self, c: Customer, call: Call, out: api.Actions) -> None:
@@ -338,16 +351,16 @@
             ):  # Danger: a counter that is gone would be called for every request, twice
                 c.no_calls_until = now + MIN_REFRESH_INTERVAL_MS
         if call.kind is CallKind.WANTS:
-            if ok and not call.amount and call.period == c.wants_told - 1:
-                c.wants = max(event.total, c.wanted)
+            if ok and not call.amount and call.period == c.wants_period - 1:
+                c.total_wants = max(event.total, c.previous_wants)
         elif ok:
             self.refill(now, c)
             self.apply_total(now, c, call, event.total)
         elif event.outcome in NOT_RUN_OUTCOMES:
-            c.unsaid += call.amount
+            c.unreported_units += call.amount
         else:
-            c.unsure[call.period] = c.unsure.get(call.period, 0.0) + call.amount
-        c.unsaid -= (
+            c.unconfirmed_units[call.period] = c.unconfirmed_units.get(call.period, 0.0) + call.amount
+        c.unreported_units -= (
             call.reserved_units
         )  # now the request is judged: let in, it is charged; else this gives it back
         return call.request, ok and call.reserved_units > 0 and not self.settings.rights_ratio
@@ -376,30 +389,32 @@
 
     def apply_total(self, now: float, c: Customer, call: Call, total: float) -> None:
         """Take in a total: what others have added since the last reading is gone from the store."""
-        c.ended = c.ended or call.kind is CallKind.READ_LAST_EPOCH
-        known, unsure = c.totals.get(call.period), c.unsure.pop(call.period, 0.0)
+        c.has_read_last_epoch = c.has_read_last_epoch or call.kind is CallKind.READ_LAST_EPOCH
+        known, unsure = c.totals.get(call.period), c.unconfirmed_units.pop(call.period, 0.0)
         c.totals[call.period] = total
         # An epoch that ended before this gateway followed the store is a part of what it guessed.
-        if c.heard and (known is not None or call.kind is CallKind.ADD_SPENT):
+        if c.has_reading and (known is not None or call.kind is CallKind.ADD_SPENT):
             elsewhere = total - (known or 0.0) - call.amount
             # Danger: a call that was added and not answered would be taken for the others' spending, and the
             # customer pay twice. If the total has not risen by as much, it was not added.
             if elsewhere >= unsure - ROUNDING_ERROR_UNITS:
                 elsewhere -= unsure
             if call.kind is CallKind.READ_LAST_EPOCH and c.is_calling:
-                c.tail = elsewhere  # goes with the reading that is still to come: one time pays both back
+                c.late_peer_units = (
+                    elsewhere  # goes with the reading that is still to come: one time pays both back
+                )
             else:
-                if known is None and not c.ended:
+                if known is None and not c.has_read_last_epoch:
                     # What the others added to the last epoch is not known, so it might be overspent.
                     c.ceiling.reset_shared_tokens()
-                self.update_store(now, c, call, elsewhere + c.tail)
-                c.tail = 0.0
+                self.update_store(now, c, call, elsewhere + c.late_peer_units)
+                c.late_peer_units = 0.0
         else:
             self.estimate_store(now, c, call)
         for old in [period for period in c.totals if period < max(c.totals) - 1]:
             del c.totals[old]
         if call.kind is CallKind.ADD_SPENT:
-            c.heard, c.read_at = True, now
+            c.has_reading, c.read_at = True, now
             self.renew_lease(now, c)
 
     def update_store(self, now: float, c: Customer, call: Call, elsewhere: float) -> None:
@@ -416,9 +431,9 @@
         passed = max(1.0, now - call.last_read_at)
         fade = math.exp(-passed / WANTS_PERIOD_MS)
         lately = (1 - fade) * WANTS_PERIOD_MS / passed  # of what came evenly in that time
-        c.mine = max(0.0, c.mine * fade + call.amount * lately)
-        c.others = max(0.0, c.others * fade + elsewhere * lately)
-        c.left = math.nan
+        c.recent_own_units = max(0.0, c.recent_own_units * fade + call.amount * lately)
+        c.recent_peer_units = max(0.0, c.recent_peer_units * fade + elsewhere * lately)
+        c.first_estimate = math.nan
         elsewhere -= OVERFLOW_REFILL_RATIO * min(max(0.0, elsewhere), c.overflow)
         c.overflow = 0.0
         c.store = min(c.plan.burst, max(min(0.0, c.store), c.store - elsewhere))
@@ -442,23 +457,28 @@
         if now - self.counter_lost_at < c.idle_timeout_ms:
             c.ceiling.reset_shared_tokens()  # time has not paid back yet what the others spent before
         left = max(surely, min(likely, max(c.max_units, burst * c.even_share)))
-        if not math.isnan(c.left):  # the other total has come: by what it changes
-            c.store = min(burst, c.store + left - c.left)
+        if not math.isnan(c.first_estimate):  # the other total has come: by what it changes
+            c.store = min(burst, c.store + left - c.first_estimate)
         else:
-            c.store = min(c.store, max(0.0, left) - c.unsaid - call.amount + call.reserved_units)
-            c.mine, c.others = max(0.0, call.amount), 0.0
-        c.left = left
-        if call.kind is CallKind.READ_LAST_EPOCH and c.heard:
+            c.store = min(c.store, max(0.0, left) - c.unreported_units - call.amount + call.reserved_units)
+            c.recent_own_units, c.recent_peer_units = max(0.0, call.amount), 0.0
+        c.first_estimate = left
+        if call.kind is CallKind.READ_LAST_EPOCH and c.has_reading:
             self.renew_lease(now, c)
 
     def renew_lease(self, now: float, c: Customer) -> None:
         """Size the lease: all but what the others will spend, at most their share of what is there."""
         rate, c.lease_end = c.plan.rate, now + LEASE_MS
-        if c.wants_told < int(now // WANTS_PERIOD_MS) - 1:
-            c.wants = 0.0  # too old to go by
+        if c.wants_period < int(now // WANTS_PERIOD_MS) - 1:
+            c.total_wants = 0.0  # too old to go by
         share = c.compute_share()
-        ahead = PEER_SPENDING_MARGIN_RATIO * c.others / WANTS_PERIOD_MS * MIN_SCARCE_REFRESH_INTERVAL_MS
+        ahead = (
+            PEER_SPENDING_MARGIN_RATIO
+            * c.recent_peer_units
+            / WANTS_PERIOD_MS
+            * MIN_SCARCE_REFRESH_INTERVAL_MS
+        )
         c.tokens = c.store - min(max(0.0, c.store) * (1 - share), ahead)
-        load = min(1.0, (c.mine + c.others) / WANTS_PERIOD_MS * 1000 / rate)
-        c.part = 1 - (1 - share) * load
+        load = min(1.0, (c.recent_own_units + c.recent_peer_units) / WANTS_PERIOD_MS * 1000 / rate)
+        c.rate_share = 1 - (1 - share) * load
         c.fresh_until = now + max(MIN_REFRESH_INTERVAL_MS, c.tokens / (MAX_SURGE_RATIO * rate) * 1000)
--- a/mintford/records.py
+++ b/mintford/records.py
@@ -38,23 +38,32 @@
         self.epoch_phase_ms = int(self.digest[:8], 16) % EPOCH_PHASES * EPOCH_MS / EPOCH_PHASES
         self.max_units, self.refilled_at, self.open_attempts = unit, now, 0
         self.overflow = 0.0  # over the burst since the last reading
-        self.part = self.even_share  # the lease's part of the quota's rate
+        self.rate_share = self.even_share  # the lease's part of the quota's rate
         self.lease_end, self.fresh_until, self.read_at = now, now, now
-        self.heard = self.is_calling = False  # a reading stands; one is on its way
+        self.has_reading = self.is_calling = False  # a reading stands; one is on its way
         self.failed_calls, self.no_calls_until = (
             0,
             now,
         )  # calls one after the other; until when there are no more
-        self.unsaid = 0.0  # sent on and settled, not yet added
-        self.mine, self.others = 0.0, 0.0  # lately sent on, here and elsewhere: fading sums
+        self.unreported_units = 0.0  # sent on and settled, not yet added
+        self.recent_own_units, self.recent_peer_units = (
+            0.0,
+            0.0,
+        )  # lately sent on, here and elsewhere: fading sums
         self.totals: dict[int, float] = {}  # the last reading of this epoch, and of the last
-        self.unsure: dict[int, float] = {}  # by epoch: said, and never answered
-        self.left = math.nan  # of the store, as first guessed; no number once it is followed
-        self.ended = True  # the end of the last epoch is read, if it is needed
-        self.tail = 0.0  # what others added to the last epoch after this gateway's last reading of it
-        self.asked, self.asked_at = 0.0, now  # lately asked, refused ones too: a fading sum
-        self.wants_told = -1  # the period
-        self.telling, self.wanted, self.wants = 0.0, 0.0, 0.0  # wants here, told in this and the last; of all
+        self.unconfirmed_units: dict[int, float] = {}  # by epoch: said, and never answered
+        self.first_estimate = math.nan  # of the store, as first guessed; no number once it is followed
+        self.has_read_last_epoch = True  # the end of the last epoch is read, if it is needed
+        self.late_peer_units = (
+            0.0  # what others added to the last epoch after this gateway's last reading of it
+        )
+        self.recent_demand, self.demand_at = 0.0, now  # lately asked, refused ones too: a fading sum
+        self.wants_period = -1  # the period
+        self.reported_wants, self.previous_wants, self.total_wants = (
+            0.0,
+            0.0,
+            0.0,
+        )  # wants here, told in this and the last; of all
 
     def get_epoch(self, now: float) -> tuple[int, float]:
         """The epoch of its numbers, and how old that is in milliseconds."""
@@ -63,7 +72,7 @@
 
     def is_store_known(self) -> bool:
         """Whether its store is known: not only the least of it, nor the even share."""
-        return self.heard and math.isnan(self.left)
+        return self.has_reading and math.isnan(self.first_estimate)
 
 
 class CallKind(Enum):
--- a/mintford/rules.py
+++ b/mintford/rules.py
@@ -210,7 +210,7 @@
         counted = counted or request.has_rights
         shortage = units - c.tokens if plan.rate else 0.0  # 0 or less if the lease can pay
         exceeds_open_limit = bool(plan.open_limit) and c.open_attempts + 1 > max(
-            1.0, plan.open_limit * c.part
+            1.0, plan.open_limit * c.rate_share
         )
         load_ratio = (expected := self.shedding.estimate_latency(now)) / max(kind.latency_target, 1.0)
         added_tokens = (
@@ -253,11 +253,11 @@
         backend = None if refused else self.fleet.choose_backend(now, request.marks, filter_backend)
         if backend is None:
             wait = (
-                shortage * 1000 / max(plan.rate * c.part, 1e-9)
+                shortage * 1000 / max(plan.rate * c.rate_share, 1e-9)
                 if shortage > 0
                 else kind.latency_target * DEFAULT_TIMEOUT_RATIO
             )
-            if c.unsaid < 0:
+            if c.unreported_units < 0:
                 self.quotas.report_spending(now, c, out)
             return self.attempts.finish(request, out, wait)
         if (required_limits := self.orders.list_required_limits(request, backend)) or needs_rights:
--- a/tests/decisions/test_counted_ahead.py
+++ b/tests/decisions/test_counted_ahead.py
@@ -62,7 +62,9 @@
         sent = world.give(api.CounterReplied(call.name, outcome, 0.0))
         c = world.gateway.quotas.customers["c"]
         told = sum(call.amount for call in spent(sent))
-        assert len(sends(sent)) == 1 and c.unsaid + told == 1.0, "charged once, and still to be told"
+        assert len(sends(sent)) == 1 and c.unreported_units + told == 1.0, (
+            "charged once, and still to be told"
+        )
 
 
 def test_an_added_call_without_an_answer_is_not_taken_for_the_others_spending() -> None:
@@ -76,7 +78,7 @@
     counter.play(world, world.give(api.CounterReplied(call.name, api.Outcome.TIMED_OUT, 0.0)))
     world.pass_time(200)
     counter.play(world, world.ask())
-    assert counter.spent("c") + c.unsaid == 3.0
+    assert counter.spent("c") + c.unreported_units == 3.0
     assert 8 - 3 - 0.01 <= c.store <= 8 - 3 + 2 * 0.4 + 0.01, "three requests, and what time has given back"
 
 
@@ -160,4 +162,4 @@
         world.pass_time(1)
     assert counter.calls <= 6
     c = world.gateway.quotas.customers["c"]
-    assert counter.spent("c") + c.unsaid == 100
+    assert counter.spent("c") + c.unreported_units == 100
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -120,7 +120,7 @@
         through += len(sent(counter, world))
         world.pass_time(50)
     assert 20 <= through <= 8 + 20 + 1  # two a second for ten seconds and a burst of eight
-    assert counter.spent("c") + customer(world).unsaid == through
+    assert counter.spent("c") + customer(world).unreported_units == through
 
 
 def test_two_gateways_share_one_store_whichever_of_them_is_asked() -> None:
@@ -139,15 +139,15 @@
 def test_a_lease_unheard_reverts_to_the_even_share() -> None:
     world, counter = World(), Counter()
     sent(counter, world)
-    customer(world).part = 0.9
+    customer(world).rate_share = 0.9
     for _ in range(int(LEASE_MS // 1000)):
         for call in counts(world.ask()):
             answer(world, call, 0, api.Outcome.TIMED_OUT)
-        assert customer(world).part == 0.9, "failed refreshes keep the lease until it ends"
+        assert customer(world).rate_share == 0.9, "failed refreshes keep the lease until it ends"
         world.pass_time(1000)
     world.pass_time(500)
     world.ask()
-    assert customer(world).part == 0.5
+    assert customer(world).rate_share == 0.5
 
 
 def test_a_counter_that_lost_its_numbers_gives_nobody_a_second_burst() -> None:
@@ -209,7 +209,7 @@
         counter.fails = outcome
         world.pass_time(1500)
         sent(counter, world)
-        assert customer(world).unsaid == again
+        assert customer(world).unreported_units == again
 
 
 def test_refreshes_thin_out_while_the_counter_fails_calls_and_come_back() -> None:
@@ -350,9 +350,9 @@
     """Danger: a lapsed lease is sized from the whole numbers, which hold that rest already."""
     world, counter = World(), Counter()
     sent(counter, world)
-    customer(world).tail = 5.0  # its reading never came
+    customer(world).late_peer_units = 5.0  # its reading never came
     c = customer(world)
     world.gateway.quotas.refill(world.now + LEASE_MS - 100, c)
-    assert c.heard and c.tail == 5.0
+    assert c.has_reading and c.late_peer_units == 5.0
     world.gateway.quotas.refill(world.now + LEASE_MS + 100, c)
-    assert not c.heard and c.tail == 0.0
+    assert not c.has_reading and c.late_peer_units == 0.0
--- a/tests/decisions/test_settlement.py
+++ b/tests/decisions/test_settlement.py
@@ -67,7 +67,7 @@
         """Units that this gateway has charged: those that it has added, and those that it has yet to add."""
         c = self.worlds[place].gateway.quotas.customers.get("c")
         calls = (a for _, a in self.worlds[place].log if isinstance(a, api.AddToCounter))
-        return sum(a.amount for a in calls if a.name.startswith("s")) + (c.unsaid if c else 0.0)
+        return sum(a.amount for a in calls if a.name.startswith("s")) + (c.unreported_units if c else 0.0)
 
     def pass_time(self, milliseconds: float) -> None:
         for world in self.worlds:
@@ -106,7 +106,7 @@
             site.pass_time(step[1])
         elif site.out:
             site.end(step[1], step[3], step[2])
-        yet = [c.unsaid for w in site.worlds for c in w.gateway.quotas.customers.values()]
+        yet = [c.unreported_units for w in site.worlds for c in w.gateway.quotas.customers.values()]
         assert abs(site.counter.spent("c") + sum(yet) - site.ledger) < 0.02 * (1 + len(steps))
 
 
@@ -140,7 +140,7 @@
     for world in site.worlds:
         for c in world.gateway.quotas.customers.values():
             world.gateway.quotas.refill(world.now, c)
-    return [c for w in site.worlds for c in w.gateway.quotas.customers.values() if c.heard]
+    return [c for w in site.worlds for c in w.gateway.quotas.customers.values() if c.has_reading]
 
 
 def test_each_gateway_follows_the_true_store_within_the_stated_error() -> None:
@@ -192,4 +192,4 @@
         for send in sends(counter.play(world, world.ask(plan="bonus"))):
             world.give(api.AttemptEnded(send.request, 0, send.backend, api.Outcome.OK, 20.0, True, 5.0))
     c = world.gateway.quotas.customers["c"]
-    assert counter.spent("c") + c.unsaid == 5.0, "only the first was inside, and is settled"
+    assert counter.spent("c") + c.unreported_units == 5.0, "only the first was inside, and is settled"
--- a/tests/operations/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -145,14 +145,14 @@
     pair.meet()
     pair.counter.fails = api.Outcome.CONNECT  # nothing more is told by the old one
     pair.flood(pair.old, 2)
-    unsaid = pair.old.gateway.quotas.customers["c"].unsaid
+    unsaid = pair.old.gateway.quotas.customers["c"].unreported_units
     assert unsaid > 0
     pair.counter.fails = None
     before = pair.new.gateway.quotas.customers["c"].store
     pair.leave(told=True)
     c = pair.new.gateway.quotas.customers["c"]
-    assert c.unsaid == pytest.approx(unsaid) and c.store == pytest.approx(before - unsaid)
-    assert pair.old.gateway.quotas.customers["c"].unsaid == 0
+    assert c.unreported_units == pytest.approx(unsaid) and c.store == pytest.approx(before - unsaid)
+    assert pair.old.gateway.quotas.customers["c"].unreported_units == 0
 
 
 def test_a_successor_that_dies_leaves_the_old_one_the_whole_rate() -> None:
