--- a/roadpulley/__main__.py
+++ b/roadpulley/__main__.py
@@ -101,7 +101,9 @@
         driver, settings = self.life.driver, config.settings
         if config.raw_settings != standing.raw_settings:
             self.life.server.set_parser(RequestParser(settings, config.workers))
-            driver.backends.retune(config.connect_timeout_ms, config.keepalive_ms, settings.rules.drain_grace)
+            driver.backends.set_timeouts(
+                config.connect_timeout_ms, config.keepalive_ms, settings.rules.drain_grace
+            )
             driver.apply_settings(settings, config.max_open_requests)
             self.life.machine.times = lifecycle_times(settings)
         if config.discovery != self.discovery.address:
--- a/roadpulley/core/backends.py
+++ b/roadpulley/core/backends.py
@@ -1,8 +1,9 @@
-"""Pools of connections to backends, and the attempts made on them.
+"""Connection pools to the backends, and the attempts on their connections.
 
-The sockets are driven directly rather than through transports: what may be said of an attempt depends on
-whether its last byte has left the process, a cutoff holds at the first byte, and an attempt that is given up
-must be closed before the next one is sent. `send` and `close` tell and do that at once.
+Sockets are used directly rather than through asyncio transports. The outcome of an attempt depends on whether
+its last byte has left the process, a drain's cutoff applies to the first byte, and the connection of a
+cancelled attempt must be closed before the next attempt is sent. `send` and `close` of a socket act and
+report immediately.
 """
 
 from __future__ import annotations
@@ -22,65 +23,75 @@
 
 log = logging.getLogger(__name__)
 
-MAX_IDLE_RATIO = 0.6  # of the keep-alive time: retired before the backend may close it under a request
+MAX_IDLE_RATIO = 0.6  # of the keep-alive time: closed before the backend may close it during a request
 SWEEP_INTERVAL_MS = 1_000.0
-# Before the end of the grace for new work to a draining backend. Danger: a process may be held up for 150 ms
-# between reading its clock and writing; the rest is for the way to the backend.
+# New requests to a draining backend stop this long before the end of its grace. The process may be suspended
+# for 150 ms between reading the clock and writing; the rest is network latency.
 CUTOFF_MARGIN_MS = 150.0 + 50.0
 READ_BYTES = 64 * 1024
-# A long value of which nothing has come for this long, though it is read, is broken. Danger: past its
-# request's time its client is owed an end within half a second, and would wait for it in vain. The silence
-# may begin at that very time and be seen a look later, and the loop and the way to the client need some too.
+# A long value is cut off if nothing is received for the stall timeout while it is being read. Once its
+# request has expired, its client has to see an end within half a second, so the overdue timeout applies. The
+# stall may begin at that very moment and be noticed one check later, and the event loop and the network need
+# time too.
 STALL_TIMEOUT_MS, OVERDUE_STALL_TIMEOUT_MS = 5_000.0, 300.0
-# Before a connection is used again: a second answer may come some milliseconds after the first, and would be
-# taken for the next request's. Each stands idle so much longer, which is little beside a request's own time.
+# A connection is not reused for this long after an answer. A duplicate answer may arrive a few milliseconds
+# after the first one and would be taken for the answer to the next request.
 REUSE_DELAY_MS = 20.0
 
 
 class Host:
-    """A backend's address, its idle connections and when it was told to drain."""
+    """A backend: its address, its idle connections, and until when it accepts new requests."""
 
     def __init__(self, address: Address, started: float) -> None:
         self.address, self.started = address, started
-        self.idle: list[Connection] = []  # the last used at the end
-        self.cutoff = float("inf")
+        self.idle: list[Connection] = []  # the most recently used last
+        self.new_requests_until = float("inf")
 
-    def takes_new(self, now: float) -> bool:
-        return now < self.cutoff
+    def accepts_new_requests(self, now: float) -> bool:
+        """Whether the backend isn't draining, or is still within its grace."""
+        return now < self.new_requests_until
 
 
 class BackendPools:
-    """The pools. Decides nothing: it sends where it is told, or says why it cannot."""
+    """The connection pools of all backends.
+
+    Attempts go to the backend that the decision module chose, or end with the reason why they can't.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         timers: Timers,
-        connect_timeout: float,
-        keepalive: float,
-        drain_grace: float,
-        most: int,
-        memory: int,
-        tallies: RequestStats | None = None,
+        connect_timeout_ms: float,
+        keepalive_ms: float,
+        drain_grace_ms: float,
+        max_connections: int,
+        max_buffered_bytes: int,
+        stats: RequestStats | None = None,
     ) -> None:
-        self.tallies = tallies or RequestStats()
-        self.loop, self.timers, self.connect_timeout = loop, timers, connect_timeout
-        self.idle_ms, self.drain_grace, self.most = keepalive * MAX_IDLE_RATIO, drain_grace, most
-        self.most_held, self.held = memory, 0  # bytes of answers that are not whole, of all connections
-        self.freshness = IdleLimit()
+        self.stats = stats or RequestStats()
+        self.loop, self.timers, self.connect_timeout_ms = loop, timers, connect_timeout_ms
+        self.max_idle_ms, self.drain_grace_ms, self.max_connections = (
+            keepalive_ms * MAX_IDLE_RATIO,
+            drain_grace_ms,
+            max_connections,
+        )
+        self.max_buffered_bytes, self.buffered_bytes = max_buffered_bytes, 0  # of incomplete answers
+        self.idle_limit = IdleLimit()
         self.hosts: dict[int, Host] = {}
         self.connections: set[Connection] = set()
-        self.long: dict[Connection, None] = {}  # of these, those with a long value under way
-        self.looking = False  # a look at these is to come
-        self.buffer = bytearray(READ_BYTES)  # of all connections: each takes out at once what it has read
-        self.view = memoryview(self.buffer)
-        self.unopened: Tally[str] = Tally()  # since the last sweep: one line tells of all
-        self.spoilt: Tally[str] = Tally()  # answers, likewise
+        self.long_values: dict[Connection, None] = {}  # those that stream a long value
+        self.is_stall_check_scheduled = False
+        self.read_buffer = bytearray(READ_BYTES)  # shared: each connection consumes what it reads immediately
+        self.read_view = memoryview(self.read_buffer)
+        self.connect_errors: Tally[str] = Tally()  # since the last sweep, which logs them in one line
+        self.answer_errors: Tally[str] = Tally()  # likewise
         self.timers.call_at(now_ms() + SWEEP_INTERVAL_MS, self.sweep)
 
-    def retune(self, connect_timeout: float, keepalive: float, drain_grace: float) -> None:
-        self.connect_timeout, self.idle_ms = connect_timeout, keepalive * MAX_IDLE_RATIO
-        self.drain_grace = drain_grace
+    def set_timeouts(self, connect_timeout_ms: float, keepalive_ms: float, drain_grace_ms: float) -> None:
+        """Applies changed settings to the pools."""
+        self.connect_timeout_ms, self.max_idle_ms = connect_timeout_ms, keepalive_ms * MAX_IDLE_RATIO
+        self.drain_grace_ms = drain_grace_ms
 
     # ---- the list ----
 
@@ -92,7 +103,7 @@
         started: float = 0.0,
         since: float | None = None,
     ) -> None:
-        """`since`: from when on this may have counted as told; None: from now on."""
+        """Applies an entry of discovery's list. `since`: when it may have taken effect; None: now."""
         if state is not BackendState.READY:
             return self.retire(backend, since)
         host = self.hosts.get(backend)
@@ -101,65 +112,73 @@
         if host.address != address or host.started != started:
             self.close_idle(host)
             host.address, host.started = address, started
-        host.cutoff = float("inf")
+        host.new_requests_until = float("inf")
 
     def retire(self, backend: int, since: float | None = None) -> None:
+        """Drains a backend that is draining or no longer listed."""
         if host := self.hosts.get(backend):
-            # Danger: a drain counts as told while no watch is open; its grace may be over as it is heard.
+            # A drain takes effect even while no watch is open. Its grace may already be over when this
+            # gateway learns of it, so the grace is measured from `since`.
             since = now_ms() if since is None else since
-            host.cutoff = min(host.cutoff, since + self.drain_grace - CUTOFF_MARGIN_MS)
+            host.new_requests_until = min(
+                host.new_requests_until, since + self.drain_grace_ms - CUTOFF_MARGIN_MS
+            )
             self.close_idle(host)
 
     # ---- attempts ----
 
     def send(self, attempt: Attempt) -> None:
+        """Sends an attempt on an idle connection, or on a new one if there is none."""
         host = self.hosts.get(attempt.backend)
-        if host is None or not host.takes_new(now_ms()):
-            return attempt.end(resolve_outcome(Stage.CONNECTING, EndReason.SHUT))
+        if host is None or not host.accepts_new_requests(now_ms()):
+            return attempt.end(resolve_outcome(Stage.CONNECTING, EndReason.UNAVAILABLE))
         now = now_ms()
-        for place in range(len(host.idle) - 1, -1, -1):  # the last used first, once it has rested
-            connection = host.idle[place]
-            rested = now - connection.idle_since
-            if rested < REUSE_DELAY_MS:
+        for index in range(len(host.idle) - 1, -1, -1):  # the last used first, once it has idle_ms
+            connection = host.idle[index]
+            idle_ms = now - connection.idle_since
+            if idle_ms < REUSE_DELAY_MS:
                 continue
-            # Danger: what has come here since the loop last looked, an end or a second copy of an answer,
-            # would be the next request's. The kernel is asked once more, though it costs a call.
-            if rested < min(self.idle_ms, self.freshness.limit) and connection.alive():
-                del host.idle[place]
+            # Data that arrived since the loop last polled, such as an end of the connection or a duplicate
+            # answer, would be taken for the next request's. The extra system call asks the kernel for it.
+            if idle_ms < min(self.max_idle_ms, self.idle_limit.limit) and connection.is_alive():
+                del host.idle[index]
                 return connection.start(attempt)
             connection.close()
-        if len(self.connections) >= self.most:
+        if len(self.connections) >= self.max_connections:
             self.close_oldest()
-        if len(self.connections) >= self.most:
-            # Better one request turned away than no descriptors left.
-            return attempt.end(resolve_outcome(Stage.CONNECTING, EndReason.BROKEN))
+        if len(self.connections) >= self.max_connections:
+            # Failing one request is better than running out of descriptors.
+            return attempt.end(resolve_outcome(Stage.CONNECTING, EndReason.CONNECTION_ERROR))
         try:
             self.connections.add(Connection(self, host, attempt))
         except OSError as error:
-            self.unopened[error.strerror or "unknown"] += 1
-            attempt.end(resolve_outcome(Stage.CONNECTING, EndReason.BROKEN))
+            self.connect_errors[error.strerror or "unknown"] += 1
+            attempt.end(resolve_outcome(Stage.CONNECTING, EndReason.CONNECTION_ERROR))
 
-    def give_up(self, attempt: Attempt, ending: EndReason) -> None:
+    def cancel(self, attempt: Attempt, reason: EndReason) -> None:
+        """Ends an attempt, and closes its connection if it has one."""
         if attempt.connection is not None:
-            attempt.connection.end(ending)
+            attempt.connection.end(reason)
         else:
-            attempt.end(resolve_outcome(Stage.CONNECTING, ending))
+            attempt.end(resolve_outcome(Stage.CONNECTING, reason))
 
     # ---- pools ----
 
-    def current(self, connection: Connection) -> bool:
-        """Whether a connection still leads to what discovery lists: the same address and process."""
+    def is_current(self, connection: Connection) -> bool:
+        """Whether a connection leads to the address and process that discovery lists for its backend."""
         host = connection.host
         return connection.address == host.address and connection.started == host.started
 
     def release(self, connection: Connection) -> None:
+        """Returns a connection to its pool, or closes it if its backend drains or has moved."""
         host = connection.host
-        if host.cutoff < float("inf") or not self.current(connection):
+        if host.new_requests_until < float("inf") or not self.is_current(connection):
             return connection.close()
         connection.idle_since = now_ms()
         host.idle.append(connection)
 
-    def forget(self, connection: Connection) -> None:
+    def remove(self, connection: Connection) -> None:
+        """Removes a closed connection."""
         self.connections.discard(connection)
         if connection in connection.host.idle:
             connection.host.idle.remove(connection)
@@ -169,41 +188,47 @@
             connection.close()
 
     def close_oldest(self) -> None:
+        """Closes the connection that has been idle for longest, if any is idle."""
         idle = [h.idle[0] for h in self.hosts.values() if h.idle]
         if idle:
             min(idle, key=lambda c: c.idle_since).close()
 
-    def look_at_long(self) -> None:
-        """End long values that don't go on, as long as any are under way."""
+    def check_stalled_values(self) -> None:
+        """Ends stalled long values, and schedules the next check while any value is being streamed."""
         now = now_ms()
-        for connection in list(self.long):
+        for connection in list(self.long_values):
             attempt = connection.attempt
             overdue = attempt is not None and now > attempt.expires_at
-            if not connection.paused and now - connection.heard_at > (
+            if not connection.paused and now - connection.last_read_at > (
                 OVERDUE_STALL_TIMEOUT_MS if overdue else STALL_TIMEOUT_MS
             ):
-                self.spoilt["a long value that did not go on"] += 1
-                connection.end(EndReason.BROKEN)
-        self.looking = bool(self.long)
-        if self.looking:
-            self.timers.call_at(now + STALL_CHECK_INTERVAL_MS, self.look_at_long)
+                self.answer_errors["long value stalled"] += 1
+                connection.end(EndReason.CONNECTION_ERROR)
+        self.is_stall_check_scheduled = bool(self.long_values)
+        if self.is_stall_check_scheduled:
+            self.timers.call_at(now + STALL_CHECK_INTERVAL_MS, self.check_stalled_values)
 
     def sweep(self) -> None:
+        """Closes expired idle connections, removes drained backends and logs errors."""
         now = now_ms()
-        self.freshness.fade()
+        self.idle_limit.decay()
         for backend, host in list(self.hosts.items()):
             for connection in list(host.idle):
-                if now - connection.idle_since < min(self.idle_ms, self.freshness.limit):
+                if now - connection.idle_since < min(self.max_idle_ms, self.idle_limit.limit):
                     break
                 connection.close()
-            if not host.takes_new(now):
+            if not host.accepts_new_requests(now):
                 del self.hosts[backend]
-        for what, tally in (("connections not opened", self.unopened), ("spoilt answers", self.spoilt)):
-            if tally:
-                log.warning("%s: %s", what, dict(tally))
-                tally.clear()
+        for description, errors in (
+            ("failed connections", self.connect_errors),
+            ("malformed answers", self.answer_errors),
+        ):
+            if errors:
+                log.warning("%s: %s", description, dict(errors))
+                errors.clear()
         self.timers.call_at(now + SWEEP_INTERVAL_MS, self.sweep)
 
     def close(self) -> None:
+        """Closes all connections and ends their attempts."""
         for connection in list(self.connections):
-            connection.end(EndReason.BROKEN)
+            connection.end(EndReason.CONNECTION_ERROR)
--- a/roadpulley/core/clock.py
+++ b/roadpulley/core/clock.py
@@ -1,8 +1,8 @@
-"""The one clock of a gateway and the one queue of its timers.
+"""The clock of a gateway and the queue of its timers.
 
-Times are Unix milliseconds: the start times of backends and the counter's periods are compared with them,
-so all gateways must mean the same moment. The wall clock is read once and carried on by the monotonic one:
-a stepped wall clock must not stop timers or age every lease at once.
+Times are Unix milliseconds, because the start times of backends and the periods of the counter are compared
+with them and all gateways must refer to the same moments. The wall clock is read once and then advanced by
+the monotonic clock: a step of the wall clock must not stop timers or expire all leases at once.
 """
 
 from __future__ import annotations
@@ -13,16 +13,17 @@
 import time
 from collections.abc import Callable
 
-TICK_MS = 2.0  # how far timers are put together: small beside any time that is waited for
+TICK_MS = 2.0  # timers of one tick fire together; short compared with all timeouts
 _OFFSET_MS = time.time() * 1000 - time.monotonic() * 1000
 
 
 def now_ms() -> float:
+    """The current time in Unix milliseconds. It never goes backwards."""
     return time.monotonic() * 1000 + _OFFSET_MS
 
 
 class Timer:
-    """One call to come."""
+    """One scheduled callback."""
 
     __slots__ = ("callback", "due_at")
 
@@ -34,27 +35,28 @@
         self.callback = None
 
 
-def _later(timer: Timer) -> float:
+def _latest_first(timer: Timer) -> float:
     return -timer.due_at
 
 
 class Timers:
-    """Calls back at a time of `now_ms`, never before it, and up to one tick after it.
+    """Calls back at a time of `now_ms`: never before it, and at most one tick after it.
 
-    Timers of one tick lie in one list, and the heap holds ticks: most timers of a busy gateway are cancelled
-    before they are due, and cost no more than the place in a list.
+    The timers of a tick are in one list, and the heap holds ticks. Most timers of a busy gateway are
+    cancelled before they fire, and these cost no more than an entry in a list.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
-        self._slots: dict[int, list[Timer]] = {}  # by tick: those due before its end
+        self._slots: dict[int, list[Timer]] = {}  # by tick: the timers due before its end
         self._ticks: list[int] = []  # a heap
         self._handle: asyncio.TimerHandle | None = None
-        self._armed: float = math.inf  # the tick that the handle is for
-        self._running = 0  # the tick whose timers are being called; nothing is put before it
+        self._armed: float = math.inf  # the tick that `_handle` is scheduled for
+        self._running = 0  # the tick whose timers are being called; no timer is added to an earlier one
 
-    def call_at(self, due: float, callback: Callable[[], None]) -> Timer:
-        timer, tick = Timer(due, callback), max(int(due // TICK_MS) + 1, self._running)
+    def call_at(self, due_at: float, callback: Callable[[], None]) -> Timer:
+        """Schedules `callback` for `due_at`, a time of `now_ms`."""
+        timer, tick = Timer(due_at, callback), max(int(due_at // TICK_MS) + 1, self._running)
         slot = self._slots.get(tick)
         if slot is not None:
             slot.append(timer)
@@ -73,15 +75,17 @@
 
     def _run(self) -> None:
         ticks, slots, self._handle = self._ticks, self._slots, None
-        self._armed = -math.inf  # nothing to arm meanwhile
+        self._armed = -math.inf  # `call_at` must not schedule while this runs
         try:
-            # The event loop rounds to whole milliseconds and may call early; the module ignores a timer
-            # that comes before its time, and a request would then never be ended.
+            # The event loop rounds to whole milliseconds and may call early. The decision module ignores a
+            # timer that fires before its time, so a request would never end.
             while ticks and ticks[0] * TICK_MS <= now_ms():
                 self._running = ticks[0]
                 slot = slots[self._running]
-                slot.sort(key=_later)
-                while slot:  # left where it is until it is empty: a fault in one call must not lose the rest
+                slot.sort(key=_latest_first)
+                while (
+                    slot
+                ):  # the slot stays registered until it is empty: an exception must not lose its other timers
                     if callback := slot.pop().callback:
                         callback()
                 del slots[heapq.heappop(ticks)]
--- a/roadpulley/core/command.py
+++ b/roadpulley/core/command.py
@@ -1,4 +1,4 @@
-"""A request as the core takes it from any edge, and the place where its one answer goes."""
+"""The interface between the core and the protocol edges: a client's request and where its answer goes."""
 
 from __future__ import annotations
 
@@ -7,77 +7,79 @@
 
 
 class Source(Protocol):
-    """Where the pieces of a long value come from."""
+    """The sender of a streamed value, with flow control."""
 
     def pause(self) -> None:
-        """Bring no more until `resume`; what is on its way may still come."""
+        """Stops sending until `resume`; data that was already read may still follow."""
 
     def resume(self) -> None: ...
 
 
 class Sink(Protocol):
-    """Where the pieces of a long value go. Exactly one of `done` and `broken` ends it."""
+    """The receiver of a streamed value. The stream ends with exactly one call of `finish` or `abort`."""
 
     def feed(self, data: bytes | memoryview) -> None: ...
 
     def free_bytes(self) -> int:
-        """How many bytes it has room for now; above 0."""
+        """How many bytes it can accept now; always above 0."""
 
     def finish(self) -> None:
-        """All of it has come, and its end with it."""
+        """The value is complete, and its terminator was received."""
 
     def abort(self) -> None:
-        """No more of it will come, and the client must be able to tell."""
+        """The value was cut off, and the client must be able to notice that."""
 
 
 class ReplySlot(Protocol):
-    """Where the final answer of one command goes; an edge has one for each."""
+    """Receives the final answer of one command. An edge creates one for each command."""
 
-    request: str | None  # the id of a request that is still open
+    request: str | None  # the id while the request is open
 
     def answer(self, reply: bytes) -> None:
-        """Give the answer, as RESP. All but the first are ignored."""
+        """Sends the answer, encoded as RESP. Only the first call has an effect."""
 
-    def is_client_gone(self, ask: bool) -> bool:
-        """Whether its client has left, which is told of at once then.
+    def is_client_gone(self, probe: bool) -> bool:
+        """Whether the client has disconnected, without waiting for the next read event.
 
-        `ask`: the kernel, as an end that came by now may not have been read.
+        `probe`: also ask the kernel, because an end of the connection may not have been read yet.
         """
 
     def begin_streaming(self, length: int, source: Source) -> Sink:
-        """Begin the answer with a value of so many bytes, which come in pieces. It is the only answer."""
+        """Starts a streamed answer of `length` bytes in place of a call of `answer`."""
 
 
 @dataclass(slots=True)
 class Command:
-    """A request as it came; all but the time left is passed on unchanged."""
+    """A parsed request. It is forwarded unchanged except for its remaining time."""
 
-    head: bytes  # encoded: command, customer, id
-    attributes_before: bytes  # of the attributes, what stands before the time left
+    head: bytes  # encoded: command, customer and id
+    attributes_before: bytes  # the part of the attributes before the remaining time
     attributes_after: bytes
-    body: bytes  # encoded: what follows the attributes
-    argument_count: int  # arguments in all
+    body: bytes  # encoded: the arguments after the attributes
+    argument_count: int  # including the command's name
     id: str
     customer: str
     request_class: str
     plan: str
-    timeout_ms: float  # how long the client waits, in milliseconds
+    timeout_ms: float  # how long the client waits for an answer
     units: float
     spread: int
     first: int
     repeat: bool
-    long_body: memoryview | None = None  # a long body with its end, which goes behind what is encoded
-
-    def encode(self, wait: int) -> bytes:
-        """The command with the time left that a backend is told."""
-        left = b"%d" % wait
-        size = len(self.attributes_before) + len(left) + len(self.attributes_after)
+    long_body: memoryview | None = (
+        None  # a long body with its terminator, which is sent after the encoded part
+    )
+
+    def encode(self, remaining_ms: int) -> bytes:
+        """The command as sent to a backend, with the remaining time of the request."""
+        remaining = b"%d" % remaining_ms
+        size = len(self.attributes_before) + len(remaining) + len(self.attributes_after)
         return b"*%d\r\n%b$%d\r\n%b%b%b\r\n%b" % (
             self.argument_count,
             self.head,
             size,
             self.attributes_before,
-            left,
+            remaining,
             self.attributes_after,
             self.body,
         )
--- a/roadpulley/core/connection.py
+++ b/roadpulley/core/connection.py
@@ -1,6 +1,6 @@
-"""One connection to a backend, and the attempt that is on it.
+"""One connection to a backend, and the attempt on it.
 
-What ends an attempt passes `Connection.end` or `_answered`, and what it is told `core/outcomes.py`.
+Every attempt ends in `Connection.end` or `Connection._complete`, and `core/outcomes.py` gives its outcome.
 """
 
 from __future__ import annotations
@@ -23,32 +23,33 @@
 if TYPE_CHECKING:
     from .backends import BackendPools, Host
 
-USABLE_ERROR = re.compile(rb"(?:BUSY|ERR failed)(?: [!-~]{1,512})?")  # a load report may stand last
-STALL_CHECK_INTERVAL_MS = 100.0  # between two looks at the long values under way
+USABLE_ERROR = re.compile(rb"(?:BUSY|ERR failed)(?: [!-~]{1,512})?")  # a load report may follow
+STALL_CHECK_INTERVAL_MS = 100.0  # for long values that are being streamed
 EMPTY_VIEW = memoryview(b"")
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One try of a request at a backend; `ended` is called exactly once."""
+    """One attempt of a request at a backend. `on_end` is called exactly once."""
 
     backend: int
     encode: Callable[[int], bytes]
-    expires_at: float  # its first byte goes out before this or not at all
+    expires_at: float  # the first byte is sent before this time or not at all
     on_end: Callable[[Attempt, Outcome, bytes], None]
-    key: tuple[str, int] = ("", 0)  # its request, and its number among that one's attempts
-    # Told that a long value begins; gives where it goes, None if nobody wants it any more.
+    key: tuple[str, int] = ("", 0)  # the id of the request, and the number of the attempt
+    # Called when a long value begins. Returns its receiver, or None if nobody waits for it.
     on_long_value: Callable[[Attempt, int, Source], Sink | None] | None = None
-    latest_send_at: float = float("inf")  # the same, by the rule on repeats
-    is_client_waiting: Callable[[Attempt], bool] | None = None  # whether its client still waits
-    body: memoryview | None = None  # what goes behind the encoded command
+    latest_send_at: float = float("inf")  # the same limit, by the rule on repeats
+    is_client_waiting: Callable[[Attempt], bool] | None = None
+    body: memoryview | None = None  # sent after the encoded command
     connection: Connection | None = None
-    timer: Timer | None = None  # of its time-out
+    timer: Timer | None = None  # for the attempt's timeout
     has_ended: bool = False
-    streams_value: bool = False  # a long value of it is or was under way to the client
-    usage: bytes = b""  # figures on use that came with its answer
+    streams_value: bool = False  # its value is or was streamed to the client
+    usage: bytes = b""  # the usage figures of its answer
 
     def end(self, outcome: Outcome, value: bytes = b"") -> None:
+        """Ends the attempt. Only the first call has an effect."""
         if not self.has_ended:
             self.has_ended, self.connection = True, None
             if self.timer is not None:
@@ -59,22 +60,23 @@
 class Connection:
     """One connection, with one attempt on it at a time.
 
-    Answers come in order and giving up means closing, so a second attempt would share the first one's fate.
+    Answers are ordered, and cancelling an attempt closes the connection. A second attempt on it would be
+    delayed by the first one and be lost with it.
     """
 
     def __init__(self, pool: BackendPools, host: Host, attempt: Attempt) -> None:
         self.pool, self.host, self.address, self.started = pool, host, host.address, host.started
         self.attempt: Attempt | None = attempt
-        self.answer = bytearray()  # what has come of it
-        self.long: LongValue | None = None  # under way, and where it goes
+        self.answer = bytearray()  # the buffered part
+        self.long_value: LongValue | None = None  # being streamed, to `sink`
         self.sink: Sink | None = None
         self.paused = False  # by the sink
-        self.heard_at = 0.0
+        self.last_read_at = 0.0
         self.unsent = EMPTY_VIEW
-        self.body: memoryview | None = None  # to be sent after that
-        self.up = self.closed = self.writing = False
+        self.body: memoryview | None = None  # sent after `unsent`
+        self.is_connected = self.closed = self.writing = False
         self.idle_since = 0.0
-        self.age: float | None = None  # idle until its last request; None: that was its first
+        self.idle_before_ms: float | None = None  # before the current request; None: new connection
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.fd = self.socket.fileno()
         attempt.connection = self
@@ -88,42 +90,44 @@
             self.socket.close()
             raise
         self.timer: asyncio.TimerHandle | None = pool.loop.call_later(
-            pool.connect_timeout / 1000, self.end, EndReason.CONNECT_TIME
+            pool.connect_timeout_ms / 1000, self.end, EndReason.CONNECT_TIMEOUT
         )
-        pool.loop.add_writer(self.fd, self._came_up)
+        pool.loop.add_writer(self.fd, self._on_connected)
 
-    def _came_up(self) -> None:
+    def _on_connected(self) -> None:
         self.pool.loop.remove_writer(self.fd)
         if self.timer is not None:
             self.timer.cancel()
         if self.socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-            return self.end(EndReason.BROKEN)
-        self.up = True
-        self.pool.loop.add_reader(self.fd, self._readable)
+            return self.end(EndReason.CONNECTION_ERROR)
+        self.is_connected = True
+        self.pool.loop.add_reader(self.fd, self._on_readable)
         attempt = self.attempt
         assert attempt is not None
         if attempt.is_client_waiting is None or attempt.is_client_waiting(attempt):
             self.write()
         elif self.attempt is attempt:
-            self.end(EndReason.CALLED_OFF)
+            self.end(EndReason.CANCELLED)
 
     def start(self, attempt: Attempt) -> None:
-        self.age = now_ms() - self.idle_since
+        """Sends an attempt on this idle connection."""
+        self.idle_before_ms = now_ms() - self.idle_since
         self.attempt, attempt.connection = attempt, self
         self.write()
 
     def write(self) -> None:
-        # The wait for a connection may have outlasted the request or the time in which this backend, told
-        # to drain meanwhile, may be sent anything: both are judged again at the first byte.
+        """Sends the attempt on the connection, unless it has become too late for that."""
+        # While the connection was being established, the request may have expired, or the backend's grace for
+        # new requests may have ended. Both are checked again before the first byte.
         attempt = self.attempt
         assert attempt is not None
         now = now_ms()
         expired = now >= min(attempt.expires_at, attempt.latest_send_at)
-        if expired or not self.host.takes_new(now) or not self.pool.current(self):
+        if expired or not self.host.accepts_new_requests(now) or not self.pool.is_current(self):
             self.attempt = None
-            self.pool.release(self)  # it serves another, or closes
+            self.pool.release(self)
             return attempt.end(
-                resolve_outcome(Stage.CONNECTING, EndReason.EXPIRED if expired else EndReason.SHUT)
+                resolve_outcome(Stage.CONNECTING, EndReason.EXPIRED if expired else EndReason.UNAVAILABLE)
             )
         self.unsent = memoryview(attempt.encode(max(1, int(attempt.expires_at - now))))
         self.body = attempt.body
@@ -135,14 +139,14 @@
         except (BlockingIOError, InterruptedError):
             sent = 0
         except OSError:
-            return self.end(EndReason.BROKEN)
+            return self.end(EndReason.CONNECTION_ERROR)
         self.unsent = self.unsent[sent:]
         if not self.unsent and self.body is not None:
-            self.unsent, self.body = self.body, None  # never empty between: the last byte has not left
+            self.unsent, self.body = self.body, None  # not empty in between: the last byte isn't sent yet
         if not self.unsent:
-            # Danger: an empty view of a long value keeps all of it, as long as this connection is idle.
+            # An empty view of a long body would keep the whole body in memory while this connection is idle.
             self.unsent = EMPTY_VIEW
-            self.pool.tallies.attempts_sent += 1
+            self.pool.stats.attempts_sent += 1
         if bool(self.unsent) != self.writing:
             self.writing = not self.writing
             if self.writing:
@@ -150,8 +154,8 @@
             else:
                 self.pool.loop.remove_writer(self.fd)
 
-    def _readable(self) -> None:
-        view = self.pool.view if self.sink is None else self.pool.view[: self.sink.free_bytes()]
+    def _on_readable(self) -> None:
+        view = self.pool.read_view if self.sink is None else self.pool.read_view[: self.sink.free_bytes()]
         try:
             count = self.socket.recv_into(view)
         except (BlockingIOError, InterruptedError):
@@ -160,37 +164,41 @@
             count = 0
         if not count:
             if self.attempt is not None and not self.answer:
-                self.pool.freshness.note(self.age, True)
-            return self.end(EndReason.BROKEN)
+                self.pool.idle_limit.record(self.idle_before_ms, True)
+            return self.end(EndReason.CONNECTION_ERROR)
         if self.attempt is None:
-            self.pool.spoilt["said what nobody asked for"] += 1
+            self.pool.answer_errors["data without a request"] += 1
             return self.close()
         try:
-            answer = self._long(self.pool.view[:count]) if self.long is not None else self._short(count)
+            answer = (
+                self._read_streaming(self.pool.read_view[:count])
+                if self.long_value is not None
+                else self._read_buffered(count)
+            )
         except MalformedError as error:
-            self.pool.spoilt[str(error)] += 1
-            return self.end(EndReason.BROKEN)
-        # What a long value brings out, a client that leaves, may have ended it here.
+            self.pool.answer_errors[str(error)] += 1
+            return self.end(EndReason.CONNECTION_ERROR)
+        # Streaming a value may reveal that the client has disconnected, which ends the attempt.
         if answer is not None and self.attempt is not None:
-            self._answered(self.attempt, answer)
+            self._complete(self.attempt, answer)
 
-    def _short(self, count: int) -> Answer | None:
+    def _read_buffered(self, count: int) -> Answer | None:
         """Buffers an answer until it is complete. A long value is streamed from here on.
 
         Raises MalformedError.
         """
         if not self.answer:
-            self.pool.freshness.note(self.age, False)
-        self.answer += self.pool.view[:count]
-        self.pool.held += count
-        if (begun := parse_long_value_header(self.answer)) and (came := self._begin(*begun)):
-            return self._long(came)
-        if self.pool.held > self.pool.most_held:
-            raise MalformedError("no room for it")
+            self.pool.idle_limit.record(self.idle_before_ms, False)
+        self.answer += self.pool.read_view[:count]
+        self.pool.buffered_bytes += count
+        if (header := parse_long_value_header(self.answer)) and (received := self._start_streaming(*header)):
+            return self._read_streaming(received)
+        if self.pool.buffered_bytes > self.pool.max_buffered_bytes:
+            raise MalformedError("buffer limit exceeded")
         return parse_answer(self.answer)
 
-    def _begin(self, length: int, start: int) -> memoryview | None:
-        """Pass a long value on from now on, if it is wanted; gives what has come of it."""
+    def _start_streaming(self, length: int, start: int) -> memoryview | None:
+        """Starts streaming a long value, if its client waits for it. Returns the part that is received."""
         attempt = self.attempt
         if attempt is None or attempt.on_long_value is None or self.unsent:
             return None
@@ -199,106 +207,113 @@
             return None
         if attempt.timer is not None:
             attempt.timer.cancel()
-        came = memoryview(bytes(self.answer))[start:]
-        self.drop_answer()
+        received = memoryview(bytes(self.answer))[start:]
+        self.discard_answer()
         attempt.streams_value = True
-        self.long, self.sink = LongValue(length), sink
-        self.heard_at = now_ms()
-        if not self.pool.looking:
-            self.pool.looking = True
-            self.pool.timers.call_at(self.heard_at + STALL_CHECK_INTERVAL_MS, self.pool.look_at_long)
-        self.pool.long[self] = None
-        return came
-
-    def _long(self, data: memoryview) -> Answer | None:
-        assert self.long is not None
-        self.heard_at = now_ms()
-        if (value := self.long.consume(data)) and self.sink is not None:
+        self.long_value, self.sink = LongValue(length), sink
+        self.last_read_at = now_ms()
+        if not self.pool.is_stall_check_scheduled:
+            self.pool.is_stall_check_scheduled = True
+            self.pool.timers.call_at(
+                self.last_read_at + STALL_CHECK_INTERVAL_MS, self.pool.check_stalled_values
+            )
+        self.pool.long_values[self] = None
+        return received
+
+    def _read_streaming(self, data: memoryview) -> Answer | None:
+        assert self.long_value is not None
+        self.last_read_at = now_ms()
+        if (value := self.long_value.consume(data)) and self.sink is not None:
             self.sink.feed(value)
-        if self.long is None:
-            return None  # the client left meanwhile
-        if self.sink is not None and self.long.is_complete():
+        if self.long_value is None:
+            return None  # the client has disconnected
+        if self.sink is not None and self.long_value.is_complete():
             sink, self.sink = self.sink, None
             self.resume()
             sink.finish()
-        return self.long.parse_trailer() if self.long is not None else None
+        return self.long_value.parse_trailer() if self.long_value is not None else None
 
     def pause(self) -> None:
+        """Stops reading until `resume`."""
         if not self.paused and not self.closed:
             self.paused = True
             self.pool.loop.remove_reader(self.fd)
 
     def resume(self) -> None:
+        """Continues reading after `pause`."""
         if self.paused and not self.closed:
-            self.paused, self.heard_at = False, now_ms()
-            self.pool.loop.add_reader(self.fd, self._readable)
+            self.paused, self.last_read_at = False, now_ms()
+            self.pool.loop.add_reader(self.fd, self._on_readable)
 
-    def _answered(self, attempt: Attempt, answer: Answer) -> None:
-        self.drop_answer()
-        said, usable = read_error(answer.error)
+    def _complete(self, attempt: Attempt, answer: Answer) -> None:
+        self.discard_answer()
+        outcome, is_usable = parse_error(answer.error)
         if answer.value is not None:
-            said, usable = Outcome.OK, True
-        if self.unsent and said is not Outcome.FULL:
-            return self.end(EndReason.SAID)
+            outcome, is_usable = Outcome.OK, True
+        if self.unsent and outcome is not Outcome.FULL:
+            return self.end(EndReason.ANSWERED)
         self.attempt = None
-        # Danger: what else comes here would be taken for the answer to the next request.
-        if usable and answer.is_connection_reusable and not self.unsent:
+        # Further data on this connection would be taken for the answer to the next request.
+        if is_usable and answer.is_connection_reusable and not self.unsent:
             self.pool.release(self)
         else:
-            self.pool.spoilt["more than an answer, or an unknown error"] += 1
+            self.pool.answer_errors["data after an answer, or unknown error"] += 1
             self.close()
         attempt.usage = answer.usage
-        attempt.end(said, answer.value or b"")
+        attempt.end(outcome, answer.value or b"")
 
-    def drop_answer(self) -> None:
-        self.pool.held -= len(self.answer)
+    def discard_answer(self) -> None:
+        """Frees the buffered part of an answer and stops streaming."""
+        self.pool.buffered_bytes -= len(self.answer)
         self.answer = bytearray()
-        if self.long is not None:
-            self.long = None
-            self.pool.long.pop(self, None)
+        if self.long_value is not None:
+            self.long_value = None
+            self.pool.long_values.pop(self, None)
 
-    def stage(self) -> Stage:
-        if not self.up:
+    def get_stage(self) -> Stage:
+        """How far the current attempt has got."""
+        if not self.is_connected:
             return Stage.CONNECTING
         return Stage.SENDING if self.unsent else Stage.SENT
 
-    def end(self, ending: EndReason) -> None:
-        """Close, and end the attempt that is on it. The close comes first: never two attempts at once."""
-        told = resolve_outcome(self.stage(), ending)
+    def end(self, reason: EndReason) -> None:
+        """Closes the connection before it ends the attempt, so that two attempts never run at once."""
+        outcome = resolve_outcome(self.get_stage(), reason)
         attempt, self.attempt = self.attempt, None
         sink, self.sink = self.sink, None
-        passed_on = self.long is not None and sink is None  # only what follows a value was still to come
+        is_value_complete = self.long_value is not None and sink is None  # only the trailer is missing
         self.close()
         if sink is not None:
             sink.abort()
         if attempt is not None:
-            attempt.end(Outcome.OK if passed_on else told)
+            attempt.end(Outcome.OK if is_value_complete else outcome)
 
     def close(self) -> None:
+        """Closes the connection, without ending its attempt."""
         if self.closed:
             return
         self.closed = True
-        self.drop_answer()
+        self.discard_answer()
         if self.timer is not None:
             self.timer.cancel()
         self.pool.loop.remove_reader(self.fd)
         self.pool.loop.remove_writer(self.fd)
         self.socket.close()
-        self.pool.forget(self)
+        self.pool.remove(self)
 
-    def alive(self) -> bool:
-        """Whether an idle connection still stands, so far as this machine has heard."""
+    def is_alive(self) -> bool:
+        """Whether an idle connection is open and has no unread data, as far as this machine knows."""
         try:
             self.socket.recv(1, socket.MSG_PEEK)
         except (BlockingIOError, InterruptedError):
             return True
         except OSError:
             return False
-        return False  # it has ended, or says something that nobody asked for
+        return False  # the peer closed it, or sent data without a request
 
 
-def read_error(line: bytes) -> tuple[Outcome, bool]:
-    """What an error line says, and whether it is one that leaves its connection usable."""
+def parse_error(line: bytes) -> tuple[Outcome, bool]:
+    """The outcome that an error line stands for, and whether its connection remains usable."""
     if USABLE_ERROR.fullmatch(line):
         return (Outcome.FULL if line.startswith(b"BUSY") else Outcome.FAILED), True
     return Outcome.FAILED, False
--- a/roadpulley/core/driver.py
+++ b/roadpulley/core/driver.py
@@ -261,7 +261,7 @@
     def on_expired(self, owner: Request) -> None:
         """The client's patience ends: so do the attempts, and the module owes the final answer."""
         request = owner.command.id
-        self.cancel_attempts(owner, EndReason.TIME)
+        self.cancel_attempts(owner, EndReason.ATTEMPT_TIMEOUT)
         if self.requests.get(request) is owner:
             # Only a fault brings a request here unanswered; its client must not wait in vain even so.
             log.error("request %s had no answer at its end", request)
@@ -274,7 +274,7 @@
             return
         self.handle_event(api.RequestAbandoned(request))
         # Nobody is waiting any more; a backend may then drop what it has not begun.
-        self.cancel_attempts(owner, EndReason.CALLED_OFF)
+        self.cancel_attempts(owner, EndReason.CANCELLED)
         self.run_end_callbacks(owner)
 
     def on_long_value(self, attempt: Attempt, length: int, source: Source) -> Sink | None:
@@ -333,7 +333,7 @@
 
     def cancel(self, action: api.Cancel) -> None:
         if attempt := self.attempts.get((action.request, action.attempt)):
-            self.backends.give_up(attempt, EndReason.CALLED_OFF)
+            self.backends.cancel(attempt, EndReason.CANCELLED)
 
     def refuse(self, action: api.Refuse) -> None:
         self.finish(action.request, encode_busy(action.retry_after))
@@ -389,7 +389,7 @@
         )
         self.attempts[key] = owner.open_attempts[number] = attempt
         if 0 < timeout < owner.expires_at - now:
-            give_up = partial(self.backends.give_up, attempt, EndReason.TIME)
+            give_up = partial(self.backends.cancel, attempt, EndReason.ATTEMPT_TIMEOUT)
             attempt.timer = self.timers.call_at(now + timeout, give_up)
         self.backends.send(attempt)
 
@@ -400,7 +400,7 @@
 
     def cancel_attempts(self, owner: Request, ending: EndReason) -> None:
         for attempt in list(owner.open_attempts.values()):
-            self.backends.give_up(attempt, ending)
+            self.backends.cancel(attempt, ending)
 
     def finish(self, request: str, reply: bytes) -> None:
         """Give the one final answer; a second one is not sent."""
--- a/roadpulley/core/idle_limit.py
+++ b/roadpulley/core/idle_limit.py
@@ -1,50 +1,55 @@
-"""How long connections to backends may stand idle, as learned from what became of requests. Pure."""
+"""Learns how long a connection to a backend may be idle before a request on it is likely to be lost."""
 
 from __future__ import annotations
 
 import bisect
 
 IDLE_BUCKETS_MS = (100.0, 200.0, 400.0, 800.0, 1_600.0, 3_200.0, float("inf"))
-PRIOR_REQUESTS, MAX_EXCESS_LOSS_RATIO, DECAY_RATIO = (
-    5.0,
-    0.15,
-    0.9,
-)  # requests that say nothing yet; losses over the usual; kept each sweep
+PRIOR_REQUESTS = 5.0  # added to each bucket as requests without a loss: a few losses are no evidence
+MAX_EXCESS_LOSS_RATIO = 0.15  # above the loss ratio of new connections
+DECAY_RATIO = 0.9  # of the counts that remains after each sweep
 
 
 class IdleLimit:
-    """How long a connection may stand idle before a request on it is likely to be lost, as learned.
+    """The idle time after which a connection is no longer used, learned from the loss of requests.
 
-    Backends close idle connections at the latest after the time in the settings, and some of them, or what
-    lies between, drop them unheard after a fraction of it. What becomes of the requests tells: more losses
-    than on connections that were new, from some age on, and connections are used no longer than that.
+    Backends close idle connections at the latest after the keep-alive time of the settings. Some of them, or
+    middleboxes, drop them silently much earlier. If requests on connections above some idle time are lost
+    more often than on new connections, connections are only reused below that idle time.
     """
 
     def __init__(self) -> None:
-        self.tried = [0.0] * (
-            len(IDLE_BUCKETS_MS) + 1
-        )  # of late, by age; the last are connections that were new
-        self.lost = [0.0] * (len(IDLE_BUCKETS_MS) + 1)
+        # Decayed counts by idle time. The last entry is for new connections.
+        self.requests = [0.0] * (len(IDLE_BUCKETS_MS) + 1)
+        self.losses = [0.0] * (len(IDLE_BUCKETS_MS) + 1)
         self.limit = IDLE_BUCKETS_MS[-1]
 
-    def note(self, age: float | None, lost: bool) -> None:
-        """Take in what became of a request; the age is that of its connection when it was sent."""
-        place = -1 if age is None else bisect.bisect_left(IDLE_BUCKETS_MS, age, hi=len(IDLE_BUCKETS_MS) - 1)
-        self.tried[place] += 1
-        self.lost[place] += lost
+    def record(self, idle_ms: float | None, lost: bool) -> None:
+        """Records whether a request was lost on a connection that had been idle for `idle_ms`; None: new."""
+        bucket = (
+            -1
+            if idle_ms is None
+            else bisect.bisect_left(IDLE_BUCKETS_MS, idle_ms, hi=len(IDLE_BUCKETS_MS) - 1)
+        )
+        self.requests[bucket] += 1
+        self.losses[bucket] += lost
         if lost:
-            self.judge()
+            self.update_limit()
 
-    def fade(self) -> None:
-        """Forget slowly, so that a longer age is tried again."""
-        self.tried = [DECAY_RATIO * count for count in self.tried]
-        self.lost = [DECAY_RATIO * count for count in self.lost]
-        self.judge()
+    def decay(self) -> None:
+        """Ages the counts, so that longer idle times are tried again."""
+        self.requests = [DECAY_RATIO * count for count in self.requests]
+        self.losses = [DECAY_RATIO * count for count in self.losses]
+        self.update_limit()
 
-    def judge(self) -> None:
-        usual = self.lost[-1] / (self.tried[-1] + PRIOR_REQUESTS)
+    def update_limit(self) -> None:
+        """Sets the limit to the bucket below the first one with too many losses."""
+        baseline = self.losses[-1] / (self.requests[-1] + PRIOR_REQUESTS)
         self.limit = IDLE_BUCKETS_MS[-1]
-        for place in range(1, len(IDLE_BUCKETS_MS)):
-            if self.lost[place] / (self.tried[place] + PRIOR_REQUESTS) > usual + MAX_EXCESS_LOSS_RATIO:
-                self.limit = IDLE_BUCKETS_MS[place - 1]
+        for bucket in range(1, len(IDLE_BUCKETS_MS)):
+            if (
+                self.losses[bucket] / (self.requests[bucket] + PRIOR_REQUESTS)
+                > baseline + MAX_EXCESS_LOSS_RATIO
+            ):
+                self.limit = IDLE_BUCKETS_MS[bucket - 1]
                 break
--- a/roadpulley/core/outcomes.py
+++ b/roadpulley/core/outcomes.py
@@ -1,26 +1,29 @@
-"""How an attempt on a connection ends: the one place that says what surely never ran. Pure.
+"""The outcome of an attempt on a connection. This module alone decides which attempts certainly never ran.
 
-| stage      | what holds                                    |
+| stage      | meaning                                       |
 | ---------- | --------------------------------------------- |
-| CONNECTING | the connection is not up                      |
-| SENDING    | it is up, and not all of the request has left |
+| CONNECTING | the connection is not established             |
+| SENDING    | it is, and part of the request is unsent      |
 | SENT       | the last byte has left this process           |
 
-| what ends it                        | CONNECTING | SENDING   | SENT      |
-| ----------------------------------- | ---------- | --------- | --------- |
-| BROKEN: refused, reset, end, spoilt | CONNECT    | CONNECT   | RESET     |
-| TIME: the attempt's own             | CONNECT    | CONNECT   | TIMED_OUT |
-| CONNECT_TIME: not up in time        | CONNECT    | -         | -         |
-| CALLED_OFF: nobody waits for it     | CANCELLED  | CANCELLED | CANCELLED |
-| EXPIRED: too late to be sent        | IGNORED    | -         | -         |
-| SHUT: told to drain, or moved       | CONNECT    | -         | -         |
-| FULL: `-BUSY`                       | -          | FULL      | FULL      |
-| SAID: any other answer              | -          | CONNECT   | as it says |
-
-CONNECT, IGNORED and FULL say that it surely never ran, and only these let an unsafe request go again. A
-backend begins a command when its last byte has come, so nothing of what has not left can run. An answer that
-comes before that is another's, or noise, but for a `-BUSY`: a backend may turn away what it has not read.
-CANCELLED leaves open whether it ran, though in two stages it can't have: it blames no backend.
+| reason for the end                      | CONNECTING | SENDING   | SENT             |
+| --------------------------------------- | ---------- | --------- | ---------------- |
+| CONNECTION_ERROR: refused, reset, end   | CONNECT    | CONNECT   | RESET            |
+| ATTEMPT_TIMEOUT: the attempt's timeout  | CONNECT    | CONNECT   | TIMED_OUT        |
+| CONNECT_TIMEOUT                         | CONNECT    | -         | -                |
+| CANCELLED: nobody waits for the answer  | CANCELLED  | CANCELLED | CANCELLED        |
+| EXPIRED: too late to be sent            | IGNORED    | -         | -                |
+| UNAVAILABLE: backend draining or moved  | CONNECT    | -         | -                |
+| FULL: `-BUSY`                           | -          | FULL      | FULL             |
+| ANSWERED: any other answer              | -          | CONNECT   | by the answer    |
+
+A malformed answer counts as CONNECTION_ERROR.
+
+CONNECT, IGNORED and FULL mean that the attempt certainly never ran, and only these permit a repeat of an
+unsafe request. A backend starts a command when it has received the last byte, so a request that was not sent
+completely cannot run. An answer that arrives before that belongs to another request or is garbage, except for
+`-BUSY`: a backend may refuse a request that it has not read. CANCELLED doesn't say whether the attempt ran,
+although in the first two stages it can't have: it is not held against the backend.
 """
 
 from __future__ import annotations
@@ -31,46 +34,50 @@
 
 
 class Stage(Enum):
+    """How far an attempt has got."""
+
     CONNECTING = "connecting"
     SENDING = "sending"
     SENT = "sent"
 
 
 class EndReason(Enum):
-    BROKEN = "broken"
-    TIME = "time"
-    CONNECT_TIME = "connect time"
-    CALLED_OFF = "called off"
+    """Why an attempt ended."""
+
+    CONNECTION_ERROR = "broken"
+    ATTEMPT_TIMEOUT = "time"
+    CONNECT_TIMEOUT = "connect time"
+    CANCELLED = "called off"
     EXPIRED = "expired"
-    SHUT = "shut"
+    UNAVAILABLE = "shut"
     FULL = "full"
-    SAID = "said"
+    ANSWERED = "said"
 
 
 NEVER_RAN = {Outcome.CONNECT, Outcome.IGNORED, Outcome.FULL}
 
-_EARLY = {
-    EndReason.BROKEN: Outcome.CONNECT,
-    EndReason.TIME: Outcome.CONNECT,
-    EndReason.CALLED_OFF: Outcome.CANCELLED,
+_BEFORE_SENT = {
+    EndReason.CONNECTION_ERROR: Outcome.CONNECT,
+    EndReason.ATTEMPT_TIMEOUT: Outcome.CONNECT,
+    EndReason.CANCELLED: Outcome.CANCELLED,
 }
 OUTCOMES: dict[Stage, dict[EndReason, Outcome]] = {
     Stage.CONNECTING: {
-        **_EARLY,
-        EndReason.CONNECT_TIME: Outcome.CONNECT,
+        **_BEFORE_SENT,
+        EndReason.CONNECT_TIMEOUT: Outcome.CONNECT,
         EndReason.EXPIRED: Outcome.IGNORED,
-        EndReason.SHUT: Outcome.CONNECT,
+        EndReason.UNAVAILABLE: Outcome.CONNECT,
     },
-    Stage.SENDING: {**_EARLY, EndReason.FULL: Outcome.FULL, EndReason.SAID: Outcome.CONNECT},
+    Stage.SENDING: {**_BEFORE_SENT, EndReason.FULL: Outcome.FULL, EndReason.ANSWERED: Outcome.CONNECT},
     Stage.SENT: {
-        EndReason.BROKEN: Outcome.RESET,
-        EndReason.TIME: Outcome.TIMED_OUT,
-        EndReason.CALLED_OFF: Outcome.CANCELLED,
+        EndReason.CONNECTION_ERROR: Outcome.RESET,
+        EndReason.ATTEMPT_TIMEOUT: Outcome.TIMED_OUT,
+        EndReason.CANCELLED: Outcome.CANCELLED,
         EndReason.FULL: Outcome.FULL,
     },
 }
 
 
-def resolve_outcome(stage: Stage, ending: EndReason) -> Outcome:
-    """What an attempt is told; a pair that can't be, by the table, is told as what leaves most open."""
-    return OUTCOMES[stage].get(ending, Outcome.RESET)
+def resolve_outcome(stage: Stage, reason: EndReason) -> Outcome:
+    """The outcome by the table above. A pair that the table excludes gives RESET, which assumes the least."""
+    return OUTCOMES[stage].get(reason, Outcome.RESET)
--- a/roadpulley/core/request_stats.py
+++ b/roadpulley/core/request_stats.py
@@ -1,4 +1,4 @@
-"""Counts of what has happened since the start of this process, each made where the thing happens."""
+"""Counters of answers and attempts since the start of this process."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class RequestStats:
-    """Final answers by class and outcome, and attempts written whole.
+    """Final answers by class and outcome, and the attempts that were sent completely.
 
-    A class stays once it was known: what was counted of it stays true when the settings drop it.
+    A class is never removed: its counts remain valid when the settings drop it.
     """
 
     def __init__(self) -> None:
@@ -16,9 +16,10 @@
         self.attempts_sent = 0
 
     def add_class(self, request_class: str) -> None:
+        """Starts the counters of a class, if it has none yet."""
         self.answers.setdefault(request_class, [0, 0, 0])
 
     def record_answer(self, request_class: str, reply: bytes) -> None:
-        """One final answer, by what it says to the client."""
+        """Counts a final answer; its outcome is taken from the RESP reply."""
         outcome = SERVED if reply[:1] != b"-" else REFUSED if reply[:5] == b"-BUSY" else FAILED
         self.answers[request_class][outcome] += 1
--- a/roadpulley/core/resp.py
+++ b/roadpulley/core/resp.py
@@ -1,9 +1,9 @@
-"""RESP2 as the protocol uses it: the commands of clients and the answers of backends.
+"""The part of RESP2 that the protocol uses: the commands of clients and the answers of backends.
 
-Peers are not trusted. Only the protocol's own forms are read, a length out of range is refused at its
-header, and what is kept of an unfinished message is bounded. A general RESP reader accepts far more (maps,
-sets, nested and endless arrays, values of gigabytes) and rejects a whole answer for a spoilt part of it that
-is not needed.
+Peers are not trusted. Only the forms of the protocol are accepted, an invalid length is rejected at its
+header, and the buffered part of an incomplete message is bounded. A general RESP reader accepts far more
+(maps, sets, nested and endless arrays, values of gigabytes), and rejects a whole answer if an optional part
+of it is malformed.
 """
 
 from __future__ import annotations
@@ -12,19 +12,23 @@
 from typing import NamedTuple
 
 MAX_VALUE_BYTES = 64 * 1024
-MAX_BODY_BYTES = 4 * 1024 * 1024  # the value of a request; over MAX_VALUE_BYTES only once room is granted
-BODY_ARGUMENT_INDEX = 4  # its place
-MAX_COMMAND_BYTES = MAX_VALUE_BYTES + 4 * 1024  # all of its arguments together
+MAX_BODY_BYTES = (
+    4 * 1024 * 1024
+)  # of a request's value; above MAX_VALUE_BYTES it is read only after a memory grant
+BODY_ARGUMENT_INDEX = 4  # the position of the value among the arguments
+MAX_COMMAND_BYTES = MAX_VALUE_BYTES + 4 * 1024  # all arguments together
 MAX_ARGUMENTS = 16
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
-LONG_VALUE_THRESHOLD_BYTES = 64 * 1024  # over this the first bytes are timed, and it is passed on as it comes
+LONG_VALUE_THRESHOLD_BYTES = (
+    64 * 1024
+)  # a longer value is streamed, and its timeout covers only its first bytes
 STREAMING_START_BYTES = (
     16 * 1024
-)  # of such a value, until it is passed on: a wrong length seldom has so much behind
+)  # received before streaming starts: a wrong length is rarely followed by so much data
 MAX_ERROR_BYTES = 1024
-MAX_EXTRA_BYTES = 4 * 1024  # figures on use and load report, as they are on the wire
+MAX_EXTRA_BYTES = 4 * 1024  # the usage figures or the load report, as encoded
 
-FAST_PATH_BYTES = 1024  # bytes in which a whole command is looked for, to be cut at once
+FAST_PATH_BYTES = 1024  # of the buffer that the fast path looks at
 LENGTH_HEADERS = [b"$%d" % length for length in range(512)]
 COUNT = re.compile(rb"\*(\d{1,6})\r\n")
 LENGTH = re.compile(rb"\$(\d{1,7})\r\n")
@@ -33,48 +37,53 @@
     LENGTH: re.compile(rb"\$(?:\d{0,7}|\d{1,7}\r)"),
 }
 VALUE_HEADER = re.compile(rb"\*3\r\n\$(\d{1,7})\r\n")
-EMPTY_VALUE_HEADER = b"*3\r\n$0\r\n"  # how an answer with an empty value begins
+EMPTY_VALUE_HEADER = b"*3\r\n$0\r\n"  # the beginning of an answer with an empty value
 PARTIAL_VALUE_HEADER = re.compile(rb"\*(?:3(?:\r(?:\n(?:\$(?:\d{0,7}|\d{1,7}\r))?)?)?)?")
 EXTRA = re.compile(rb"\$-1\r\n|:-?\d{1,18}\r\n|\$(\d{1,5})\r\n")
 PARTIAL_EXTRA = re.compile(rb"\$(?:-1?|-1\r|\d{0,5}|\d{1,5}\r)|:-?(?:\d{0,18}|\d{1,18}\r)")
 
 
 class MalformedError(Exception):
-    """What came is none of the protocol's forms; nothing after it can be understood either."""
+    """The data is not valid in the protocol. What follows it on the connection can't be parsed either."""
 
 
 def encode_bulk(value: bytes) -> bytes:
+    """Encodes a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
 class CommandReader:
-    """Cuts a client's bytes into commands: arrays of bulk strings."""
+    """Splits the bytes of a client into commands, which are arrays of bulk strings."""
 
     __slots__ = ("_args", "_at", "_body", "_buffer", "_left", "_size", "_total", "wanted_body_bytes")
 
     def __init__(self) -> None:
-        self._buffer, self._at = bytearray(), 0  # what is before `_at` has been taken
-        self._args: list[bytes] = []  # of the command that has begun
-        self._left, self._size = 0, -1  # arguments to come; length of the next one, -1 before its header
+        self._buffer, self._at = bytearray(), 0  # the bytes before `_at` are consumed
+        self._args: list[bytes] = []  # of the incomplete command
+        self._left, self._size = 0, -1  # missing arguments; length of the next one, or -1 before its header
         self._total = 0
-        self._body: bytearray | None = None  # a long one that is granted, and its end with it
-        self.wanted_body_bytes = 0  # bytes of a long body: nothing is read until `grant`
+        self._body: bytearray | None = None  # a long body that was granted, with its terminator
+        self.wanted_body_bytes = 0  # length of a long body that waits for `grant_body`
 
     def grant_body(self) -> None:
-        """The long body that it wants may come."""
+        """Permits the long body of `wanted_body_bytes` to be read."""
         self._body, self.wanted_body_bytes = bytearray(), 0
 
     @property
     def is_reading_body(self) -> bool:
-        """Whether a long body is under way."""
+        """Whether a long body is being received."""
         return self._body is not None
 
     def take_body(self) -> bytearray | None:
-        """The long body of the command that `next` has given, with its end; None where it had none."""
+        """Removes and returns the long body, with its terminator, of the command returned by `next_command`.
+
+        None if that command has no long body.
+        """
         body, self._body = self._body, None
         return body
 
     def feed(self, data: bytes | memoryview) -> None:
+        """Appends received bytes to the buffer."""
         if self._at:
             del self._buffer[: self._at]
             self._at = 0
@@ -82,21 +91,21 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes that are kept of a command that is not whole; 0 between commands."""
+        """Bytes of an incomplete command, plus one if an argument is missing; 0 between commands."""
         body = len(self._body) if self._body is not None else 0
         return len(self._buffer) - self._at + self._total + body + (1 if self._left else 0)
 
     def next_command(self) -> list[bytes] | None:
-        """The next whole command, if there is one."""
+        """The arguments of the next complete command, or None. Raises MalformedError."""
         if self.wanted_body_bytes:
             return None
         if self._body is not None:
-            return self._long()
-        if not self._left and self._size < 0 and (args := self._cut()):
+            return self._read_body()
+        if not self._left and self._size < 0 and (args := self._parse_fast()):
             return args
         while True:
             if self._size < 0:
-                number = self._header(LENGTH if self._left else COUNT)
+                number = self._parse_header(LENGTH if self._left else COUNT)
                 if number is None:
                     return None
                 if not self._left:
@@ -125,8 +134,8 @@
                 args, self._args, self._total = self._args, [], 0
                 return args
 
-    def _long(self) -> list[bytes] | None:
-        """The arguments before a long body, once that has come with its end."""
+    def _read_body(self) -> list[bytes] | None:
+        """The arguments before a long body, once the body and its terminator are complete."""
         assert self._body is not None
         rest = self._size + 2 - len(self._body)
         self._body += memoryview(self._buffer)[self._at : self._at + rest]
@@ -138,8 +147,8 @@
         args, self._args, self._total, self._left, self._size = self._args, [], 0, 0, -1
         return args
 
-    def _cut(self) -> list[bytes] | None:
-        """A command of four arguments in its plainest form; None where only the long way can tell."""
+    def _parse_fast(self) -> list[bytes] | None:
+        """The fast path for a complete command of four short arguments. None: the general path decides."""
         data = bytes(self._buffer[self._at : self._at + FAST_PATH_BYTES])
         parts = data.split(b"\r\n", 9)
         if len(parts) < 10 or parts[0] != b"*4":
@@ -157,11 +166,11 @@
             return [verb, customer, request, listed]
         return None
 
-    def _header(self, form: re.Pattern[bytes]) -> int | None:
-        if got := form.match(self._buffer, self._at):
-            self._at = got.end()
-            return int(got[1])
-        # A line that never ends, or that begins as no header does, is told by its first bytes.
+    def _parse_header(self, form: re.Pattern[bytes]) -> int | None:
+        if match := form.match(self._buffer, self._at):
+            self._at = match.end()
+            return int(match[1])
+        # The first bytes show whether a line is endless or can't be a header.
         rest = self._buffer[self._at : self._at + 10]
         if rest and not PARTIAL_HEADER[form].fullmatch(rest):
             raise MalformedError("not an array of bulk strings")
@@ -169,17 +178,17 @@
 
 
 class Answer(NamedTuple):
-    value: bytes | None  # None: an error line
+    """A parsed answer of a backend."""
+
+    value: bytes | None  # None: the answer is an error line
     error: bytes
-    is_connection_reusable: (
-        bool  # the answer was whole and nothing followed it: the connection may be used again
-    )
-    usage: bytes = b""  # figures on use, and load report, as they came; b"": none, or none that can be read
+    is_connection_reusable: bool  # the answer is complete and nothing follows it
+    usage: bytes = b""  # usage figures, and below the load report, as received; b"": missing or malformed
     report: bytes = b""
 
 
 def parse_long_value_header(data: bytearray) -> tuple[int, int] | None:
-    """Length of a long value and where it begins, once so much of it is here that it may be passed on."""
+    """Length and start of a long value, once enough of it is received for streaming to begin."""
     if len(data) < STREAMING_START_BYTES:
         return None
     head = VALUE_HEADER.match(data)
@@ -191,23 +200,23 @@
 
 
 class LongValue:
-    """What is left of a long answer: the rest of its value, then what an answer ends with."""
+    """The unread rest of a long answer: the remaining value and then the trailer."""
 
     __slots__ = ("remaining_bytes", "trailer")
 
     def __init__(self, length: int) -> None:
-        self.remaining_bytes = length  # bytes of the value to come
-        self.trailer = bytearray(EMPTY_VALUE_HEADER)  # and what the answer ends with
+        self.remaining_bytes = length  # of the value
+        self.trailer = bytearray(EMPTY_VALUE_HEADER)  # parsed as the answer to an empty value
 
     def consume(self, data: memoryview) -> memoryview:
-        """Take in what has come; gives what of it belongs to the value."""
+        """Consumes received bytes. Returns the part that belongs to the value."""
         value, rest = data[: self.remaining_bytes], data[self.remaining_bytes :]
         self.remaining_bytes -= len(value)
         self.trailer += rest
         return value
 
     def is_complete(self) -> bool:
-        """Whether the value's own end is here. Raises MalformedError for another end."""
+        """Whether the value and its terminator are received. Raises MalformedError for a wrong terminator."""
         if self.remaining_bytes:
             return False
         end = bytes(self.trailer[len(EMPTY_VALUE_HEADER) : len(EMPTY_VALUE_HEADER) + 2])
@@ -216,12 +225,12 @@
         return len(end) == 2
 
     def parse_trailer(self) -> Answer | None:
-        """The answer but for its value, once it is whole."""
+        """The answer without its value, once it is complete."""
         return parse_answer(self.trailer) if self.is_complete() else None
 
 
 def parse_answer(data: bytearray) -> Answer | None:
-    """The answer of a backend that `data` holds, None while it is not whole."""
+    """The answer in `data`, or None while it is incomplete. Raises MalformedError."""
     if data.startswith(b"-"):
         end = data.find(b"\r\n", 0, MAX_ERROR_BYTES)
         if end >= 0:
@@ -248,21 +257,21 @@
         if after is None and len(data) - end <= MAX_EXTRA_BYTES:
             return None
         if after is None or after < 0:
-            # The value is whole and followed by what belongs behind it; only that can't be read.
+            # The value is complete and usable. Only its figures or load report are malformed.
             return Answer(bytes(memoryview(data)[head.end() : end]), b"", False, *extras)
-        begin = data.find(b"\n", at, after - 2) + 1  # behind the length of a string
+        begin = data.find(b"\n", at, after - 2) + 1  # after the length line of a bulk string
         extras.append(bytes(data[begin : after - 2]) if begin else b"")
         at = after
     return Answer(bytes(memoryview(data)[head.end() : end]), b"", at == len(data), *extras)
 
 
 def parse_extra(data: bytearray, at: int) -> int | None:
-    """Where the figures or the report at a place end: None while not whole, -1 if they can't be read."""
-    if got := EXTRA.match(data, at):
-        if got[1] is None:
-            return got.end()
-        end = got.end() + int(got[1])
-        if int(got[1]) > MAX_EXTRA_BYTES or not b"\r\n".startswith(data[end : end + 2]):
+    """The end of the figures or the load report at `at`: None while incomplete, -1 if malformed."""
+    if match := EXTRA.match(data, at):
+        if match[1] is None:
+            return match.end()
+        end = match.end() + int(match[1])
+        if int(match[1]) > MAX_EXTRA_BYTES or not b"\r\n".startswith(data[end : end + 2]):
             return -1
         return end + 2 if len(data) >= end + 2 else None
     rest = data[at : at + 22]
--- a/roadpulley/fences.py
+++ b/roadpulley/fences.py
@@ -1,10 +1,13 @@
-"""Fences: numbers that rise with each holding of a duty. What a duty touches refuses one that is too low."""
+"""Fencing tokens: numbers that increase with each lease of a duty.
+
+A resource that a duty writes to rejects tokens that are lower than the highest one it has accepted.
+"""
 
 from __future__ import annotations
 
 
 class StaleFenceError(Exception):
-    """`highest` was taken up before, and is not below the one that was given: somebody else acts, or did."""
+    """The fencing token is too low: `highest` was accepted before, so another holder has acted since."""
 
     def __init__(self, highest: int) -> None:
         super().__init__(f"fence {highest} was taken up")
--- a/roadpulley/soak/planted.py
+++ b/roadpulley/soak/planted.py
@@ -55,7 +55,7 @@
         self.ready = True
 
     BackendRecord.update = ready_anyway  # type: ignore[method-assign]
-    Host.takes_new = lambda self, now: True  # type: ignore[method-assign]
+    Host.accepts_new_requests = lambda self, now: True  # type: ignore[method-assign]
 
 
 def spend_ceilings_unseen() -> None:
--- a/tests/core/test_backends.py
+++ b/tests/core/test_backends.py
@@ -170,7 +170,7 @@
             (connection,), (writer,) = made.hosts[0].idle, server.open
             made.loop.remove_reader(connection.fd)  # as if the event loop had not yet come to it
             writer.write(b"*3\r\n$5\r\nother\r\n$-1\r\n$-1\r\n")
-            await until(lambda: not connection.alive())
+            await until(lambda: not connection.is_alive())
             assert await Try(made).result() == (Outcome.OK, b"value")
             # Not even the copy that is still under way: a connection rests before it is used again.
             made.hosts[0].idle[-1].idle_since = now_ms() + 60_000
@@ -199,10 +199,10 @@
                     connection.idle_since -= 300
                 outcomes.append((await Try(made).result())[0])
             assert outcomes.count(Outcome.RESET) <= 3 and outcomes[-5:] == [Outcome.OK] * 5
-            assert made.freshness.limit == 200
+            assert made.idle_limit.limit == 200
             for _ in range(60):
-                made.freshness.fade()
-            assert made.freshness.limit == float("inf")  # it may hold longer by now
+                made.idle_limit.decay()
+            assert made.idle_limit.limit == float("inf")  # it may hold longer by now
 
     in_loop(scenario)
 
@@ -211,7 +211,7 @@
     freshness = module.IdleLimit()
     for turn in range(100):
         for age in (None, 50.0, 300.0):
-            freshness.note(age, lost=turn % 5 == 0)
+            freshness.record(age, lost=turn % 5 == 0)
     assert freshness.limit == float("inf")
 
 
@@ -232,12 +232,12 @@
         server = Backend(script)
         async with pool(server, memory=700_000) as made:
             first = Try(made)
-            await until(lambda: made.held > 390_000)
+            await until(lambda: made.buffered_bytes > 390_000)
             second = Try(made)
             assert (await second.result())[0] is Outcome.RESET
             go_on.set()
             assert await first.result() == (Outcome.OK, value)
-            assert made.held == 0
+            assert made.buffered_bytes == 0
 
     in_loop(scenario)
 
@@ -310,7 +310,7 @@
             (connection,) = made.hosts[0].idle
             made.loop.remove_reader(connection.fd)  # as if the event loop had not yet come to it
             server.hang_up()
-            await until(lambda: not connection.alive())
+            await until(lambda: not connection.is_alive())
             assert (await Try(made).result())[0] is Outcome.OK
             assert server.accepted == 2 and len(server.got) == 2
 
@@ -325,9 +325,9 @@
         async with pool(server) as made:
             assert (await Try(made).result())[0] is Outcome.OK
             (connection,) = made.hosts[0].idle
-            connection.idle_since -= made.idle_ms - 20
+            connection.idle_since -= made.max_idle_ms - 20
             await until(lambda: server.ended)
-            assert not made.connections and made.idle_ms < 15_000 * 0.8
+            assert not made.connections and made.max_idle_ms < 15_000 * 0.8
 
     in_loop(scenario)
 
@@ -347,7 +347,7 @@
             assert connection is not None
             closed: list[bool] = []
             tried.attempt.on_end = lambda *_: closed.append(connection.socket.fileno() == -1)
-            made.give_up(tried.attempt, EndReason.CALLED_OFF)
+            made.cancel(tried.attempt, EndReason.CANCELLED)
             assert closed == [True]
             await until(lambda: server.ended)
 
@@ -408,7 +408,7 @@
         server = Backend()
         async with pool(server) as made:
             tried = Try(made)
-            made.give_up(tried.attempt, EndReason.TIME)
+            made.cancel(tried.attempt, EndReason.ATTEMPT_TIMEOUT)
             assert (await tried.result())[0] is Outcome.CONNECT
 
     in_loop(scenario)
--- a/tests/core/test_discovery.py
+++ b/tests/core/test_discovery.py
@@ -206,7 +206,7 @@
             heard = now_ms()
             await until(lambda: now_ms() > heard + GRACE_MS)
             with monkeypatch.context() as held:  # the connection comes up late
-                held.setattr(Connection, "_came_up", lambda late: stuck.append(late))
+                held.setattr(Connection, "_on_connected", lambda late: stuck.append(late))
                 peer = await world.client()
                 peer.send(*request())
                 await until(lambda: stuck)
@@ -220,7 +220,7 @@
                 await until(lambda: len(world.discovery.watches) == 2)
                 world.discovery.tell(said)
             await until(lambda: hash_host_name("h9") in hosts)
-            stuck[0]._came_up()
+            stuck[0]._on_connected()
             assert await peer.receive() == b"value"
             assert not old.got and len(new.got) == 1
         await new.stop()
--- a/tests/core/test_outcomes.py
+++ b/tests/core/test_outcomes.py
@@ -41,9 +41,9 @@
     told = resolve_outcome(stage, ending)
     if stage is Stage.SENT and ending is not EndReason.FULL:
         assert told not in NEVER_RAN
-    if ending is EndReason.CALLED_OFF:
+    if ending is EndReason.CANCELLED:
         assert told is Outcome.CANCELLED  # no backend is blamed for it
-    if stage is not Stage.SENT and ending in (EndReason.BROKEN, EndReason.TIME):
+    if stage is not Stage.SENT and ending in (EndReason.CONNECTION_ERROR, EndReason.ATTEMPT_TIMEOUT):
         assert told is Outcome.CONNECT
 
 
@@ -172,12 +172,12 @@
 
     def end(self, ending: EndReason) -> None:
         for attempt, _ in self.out()[:1]:
-            self.pool.give_up(attempt, ending)
+            self.pool.cancel(attempt, ending)
 
     def connect_time(self) -> None:
         for attempt, _ in self.out():
             if attempt.connection is not None and not attempt.connection.up:
-                return attempt.connection.end(EndReason.CONNECT_TIME)
+                return attempt.connection.end(EndReason.CONNECT_TIMEOUT)
 
     def move(self) -> None:
         self.at = 1 - self.at
@@ -237,9 +237,9 @@
 
     async def judge(self) -> None:
         for attempt, _ in self.out():
-            self.pool.give_up(attempt, EndReason.CALLED_OFF)
+            self.pool.cancel(attempt, EndReason.CANCELLED)
         self.pool.close()
-        assert not self.pool.connections and not self.pool.held
+        assert not self.pool.connections and not self.pool.buffered_bytes
         self.read()
         assert not self.wrong, self.wrong
         got = [number for link in self.links() for number in link.got]
@@ -263,8 +263,8 @@
     "send": lambda p: p.send(),
     "send big": lambda p: p.send(big=True),
     "send late": lambda p: p.send(late=True),
-    "time": lambda p: p.end(EndReason.TIME),
-    "call off": lambda p: p.end(EndReason.CALLED_OFF),
+    "time": lambda p: p.end(EndReason.ATTEMPT_TIMEOUT),
+    "call off": lambda p: p.end(EndReason.CANCELLED),
     "connect time": lambda p: p.connect_time(),
     "move": lambda p: p.move(),
     "restart": lambda p: p.restart(),
@@ -354,13 +354,13 @@
 
 
 PLANTED: dict[str, tuple[Any, str, Any]] = {
-    "a reset never ran": (outcomes, "OUTCOMES", forgiving(EndReason.BROKEN)),
-    "a time-out never ran": (outcomes, "OUTCOMES", forgiving(EndReason.TIME)),
-    "idle connections are not looked at": (Connection, "alive", lambda self: True),
+    "a reset never ran": (outcomes, "OUTCOMES", forgiving(EndReason.CONNECTION_ERROR)),
+    "a time-out never ran": (outcomes, "OUTCOMES", forgiving(EndReason.ATTEMPT_TIMEOUT)),
+    "idle connections are not looked at": (Connection, "is_alive", lambda self: True),
     "nothing is judged again at the first byte": (Connection, "write", blind_write),
-    "a connection leads wherever the host is": (BackendPools, "current", lambda self, connection: True),
+    "a connection leads wherever the host is": (BackendPools, "is_current", lambda self, connection: True),
     "an ended attempt stays on its connection": (Connection, "end", lambda self, ending: self.attempt and
-        self.attempt.end(resolve_outcome(self.stage(), ending))),
+        self.attempt.end(resolve_outcome(self.get_stage(), ending))),
 }  # fmt: skip
 
 
