--- a/roadpulley/core/discovery.py
+++ b/roadpulley/core/discovery.py
@@ -1,4 +1,4 @@
-"""The list of backends: reading it and watching it for changes."""
+"""The client of discovery: parses the list of backends and watches it for changes."""
 
 from __future__ import annotations
 
@@ -24,40 +24,45 @@
 
 PATH = "/catalog/members"
 MAX_OBJECT_BYTES = 16 * 1024 * 1024
-# Before a call is given up for its time: what has come meanwhile is read first, also by a loop that was late.
+# When a call has timed out, pending data is read first, because the event loop may have been late.
 READ_GRACE_S = 0.002
-FIRST_LINE_TIMEOUT_S = 0.02  # from the head until the first line, which comes or begins to come with it
+FIRST_LINE_TIMEOUT_S = 0.02  # after the response head; the first line arrives with it, at least in part
 JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 BACKEND_STATES = {"up": BackendState.READY, "draining": BackendState.DRAINING, "removed": BackendState.GONE}
 
 
 class DiscoveryError(Exception):
-    """Discovery said what it should not."""
+    """A response of discovery is invalid."""
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
+    """A listed backend and its address."""
+
     entry: BackendEntry
     address: Address
 
 
 @dataclass(frozen=True, slots=True)
 class MemberList:
+    """One document of discovery. `is_full`: the full list, and not only changes."""
+
     version: int
     is_full: bool
     members: tuple[Member, ...]
 
 
-# With the time, in milliseconds, from when on what is listed may have counted as told.
+# The last argument is the time in milliseconds when the listed changes may have taken effect.
 Listener = Callable[[ListScope, tuple[Member, ...], float], None]
 
 
 def hash_host_name(host: str) -> int:
-    """A number for a host's name: the same at every gateway and after every start."""
+    """The numeric id of a host's name. It is the same at all gateways and after a restart."""
     return int.from_bytes(hashlib.blake2b(host.encode(), digest_size=8).digest(), "big")
 
 
 def parse_member(raw: dict[str, Any]) -> Member:
+    """Parses one host. Raises KeyError, TypeError or ValueError."""
     entry = BackendEntry(
         backend=hash_host_name(raw["host"]),
         zone=str(raw.get("site") or ""),
@@ -69,6 +74,7 @@
 
 
 def parse_member_list(raw: Any) -> MemberList:
+    """Parses a document of discovery. Raises DiscoveryError."""
     try:
         members = tuple(parse_member(host) for host in raw.get("hosts") or ())
         return MemberList(int(raw["seq"]), bool(raw.get("whole")), members)
@@ -77,30 +83,30 @@
 
 
 class JsonObjectSplitter:
-    """Cuts a stream into JSON objects, however their lines are laid out, and the empty lines between them.
+    """Splits a stream into JSON objects, which may span lines, and the empty lines between them.
 
-    A string holds no line break as it is written, so brackets are counted a line at a time.
+    An encoded string contains no line break, so brackets can be counted line by line.
     """
 
     def __init__(self) -> None:
-        self.lines: list[bytes] = []  # of an object that is not whole
-        self.rest = b""  # of a line that is not
+        self.lines: list[bytes] = []  # of an incomplete object
+        self.partial_line = b""
         self.depth = self.size = 0
 
     @property
-    def begun(self) -> bool:
-        """Whether an object, or an empty line, has come in part."""
-        return bool(self.lines or self.rest)
+    def has_partial(self) -> bool:
+        """Whether an object or a line is incomplete."""
+        return bool(self.lines or self.partial_line)
 
     def feed(self, data: bytes, last: bool = False) -> list[bytes]:
-        """Objects that are whole now, and b"" for each empty line between. Raises DiscoveryError.
+        """The objects that are complete now, and b"" for each empty line between. Raises DiscoveryError.
 
-        `last`: the answer ends here as it should, so the last line needs no break.
+        `last`: the response is complete, so its last line needs no line break.
         """
-        *lines, self.rest = (self.rest + data).split(b"\n")
-        if last and self.rest.strip():
-            lines, self.rest = [*lines, self.rest], b""
-        whole: list[bytes] = []
+        *lines, self.partial_line = (self.partial_line + data).split(b"\n")
+        if last and self.partial_line.strip():
+            lines, self.partial_line = [*lines, self.partial_line], b""
+        complete: list[bytes] = []
         for line in lines:
             text = line.strip()
             if text:
@@ -109,28 +115,28 @@
                 self.lines.append(text)
                 self.size += len(text)
             if self.depth <= 0 and (text or not self.lines):
-                whole.append(b" ".join(self.lines))
+                complete.append(b" ".join(self.lines))
                 self.lines, self.depth, self.size = [], 0, 0
-        if self.size + len(self.rest) > MAX_OBJECT_BYTES:
-            raise DiscoveryError("an endless line")
-        return whole
+        if self.size + len(self.partial_line) > MAX_OBJECT_BYTES:
+            raise DiscoveryError("line too long")
+        return complete
 
 
 class DiscoveryCall(asyncio.Protocol):
-    """One call to discovery, from its connection to its end, of which it tells once unless it is left."""
+    """One HTTP call to discovery. It reports its end exactly once, unless it was abandoned before."""
 
-    def __init__(self, discovery: DiscoveryClient, what: OpenCall) -> None:
-        self.discovery, self.what = discovery, what
+    def __init__(self, discovery: DiscoveryClient, open_action: OpenCall) -> None:
+        self.discovery, self.open_action = discovery, open_action
         self.http, self.objects = h11.Connection(h11.CLIENT), JsonObjectSplitter()
         self.transport: asyncio.Transport | None = None
-        self.left = False
+        self.is_abandoned = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        if self.left:
-            return self.leave()
-        (host, port), version = self.what.address, self.what.version
-        # With no version known, the whole list comes first.
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's class is no subclass
+        if self.is_abandoned:
+            return self.abandon()
+        (host, port), version = self.open_action.address, self.open_action.version
+        # Without a known version the full list is requested first.
         target = PATH if version is None else f"{PATH}?stream=1&index={version}"
         headers = [("Host", f"{host}:{port}"), ("Accept", "application/json")]
         request = self.http.send(h11.Request(method="GET", target=target, headers=headers)) or b""
@@ -140,59 +146,58 @@
         self.read(data)
 
     def connection_lost(self, error: Exception | None) -> None:
-        # Danger: where no length tells the end of an answer its connection's end does, but a reset is no end.
+        # A response without a length ends with its connection. A reset must not be taken for that end: then
+        # the response is incomplete.
         if error is not None:
             return self.end(" ".join(str(error).split()) or type(error).__name__)
         self.read(b"")
         self.end("ended")
 
     def read(self, data: bytes) -> None:
-        if self.left:
+        if self.is_abandoned:
             return
         try:
             self.http.receive_data(data)
-            while not self.left and (event := self.http.next_event()) is not h11.NEED_DATA:
+            while not self.is_abandoned and (event := self.http.next_event()) is not h11.NEED_DATA:
                 if isinstance(event, h11.Response):
                     if event.status_code != 200:
                         raise DiscoveryError(f"status {event.status_code}")
-                    self.discovery.on_head(self.what.call)
+                    self.discovery.on_head(self.open_action.call)
                 elif isinstance(event, h11.Data):
-                    self.take(bytes(event.data))
+                    self.feed(bytes(event.data))
                 elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
-                    self.take(b"", last=True)
+                    self.feed(b"", last=True)
                     return self.end("ended", clean=True)
         except (h11.ProtocolError, DiscoveryError) as error:
             self.end(str(error))
 
-    def take(self, data: bytes, last: bool = False) -> None:
+    def feed(self, data: bytes, last: bool = False) -> None:
         for text in self.objects.feed(data, last):
-            if self.left:
+            if self.is_abandoned:
                 return
-            self.discovery.on_line(self.what.call, text)
+            self.discovery.on_line(self.open_action.call, text)
 
     def end(self, reason: str, clean: bool = False) -> None:
-        if not self.left:
-            self.leave()
-            self.discovery.on_end(self.what.call, reason, clean)
+        if not self.is_abandoned:
+            self.abandon()
+            self.discovery.on_end(self.open_action.call, reason, clean)
 
-    def leave(self) -> None:
-        """Say and take nothing more."""
-        self.left = True
+    def abandon(self) -> None:
+        """Closes the call without a report, and ignores further data."""
+        self.is_abandoned = True
         if self.transport is not None:
             self.transport.abort()
 
 
 class DiscoveryClient:
-    """Follows the list from a version on and reports each change. What to call and when is the watch's."""
+    """Watches the list from a version on and reports each change. `DiscoveryWatch` decides on the calls."""
 
     def __init__(
-        self, address: Address, version: int | None, listener: Listener, chance: random.Random | None = None
+        self, address: Address, version: int | None, listener: Listener, rng: random.Random | None = None
     ) -> None:
-        self.watch, self.listener = DiscoveryWatch(address, version, chance or random.Random()), listener
-        self.initial_list_received = (
-            asyncio.Event()
-        )  # what the agent had at the start, or so far as can be seen
-        self.open: DiscoveryCall | None = None
+        self.watch, self.listener = DiscoveryWatch(address, version, rng or random.Random()), listener
+        self.initial_list_received = asyncio.Event()  # or nothing is available yet
+        self.current_call: DiscoveryCall | None = None
         self.connecting: asyncio.Task[None] | None = None
         self.timer: asyncio.TimerHandle | None = None
 
@@ -201,98 +206,103 @@
         return self.watch.address
 
     def move(self, address: Address) -> None:
-        """Leave the watch and follow another address from now on."""
+        """Switches to another address."""
         log.info("watch moves to %s:%d", *address)
-        self.act(self.watch.on_move(now_ms(), address))
+        self.perform(self.watch.on_move(now_ms(), address))
 
     async def run(self) -> None:
-        """Follow the list until cancelled."""
-        self.act(self.watch.on_time(now_ms()))
+        """Watches the list until cancelled."""
+        self.perform(self.watch.on_time(now_ms()))
         try:
             await asyncio.get_running_loop().create_future()
         finally:
             if self.timer is not None:
                 self.timer.cancel()
-            self.leave()
+            self.close_call()
 
     # ---- events ----
 
     def on_time(self, read_first: bool = True) -> None:
+        """The timer fired. `read_first`: let the event loop read pending data before a call times out."""
         loop = asyncio.get_running_loop()
-        if now_ms() < self.watch.due:
-            self.arm()
+        if now_ms() < self.watch.deadline:
+            self.schedule_timer()
         elif read_first:
-            # Danger: timers come before sockets in a turn of the loop; a late one would take all for silent.
+            # The event loop runs timers before it reads sockets. If the loop was late, a timer would
+            # otherwise find the agent silent although its data is waiting.
             self.timer = loop.call_later(READ_GRACE_S, self.on_time, False)
         else:
-            self.act(self.watch.on_time(now_ms()))
+            self.perform(self.watch.on_time(now_ms()))
 
     def on_head(self, number: int) -> None:
+        """The head of a successful response was received."""
         self.watch.on_head(now_ms(), number)
-        self.arm()
-        asyncio.get_running_loop().call_later(FIRST_LINE_TIMEOUT_S, self.on_no_line)
+        self.schedule_timer()
+        asyncio.get_running_loop().call_later(FIRST_LINE_TIMEOUT_S, self.on_first_line_timeout)
 
-    def on_no_line(self) -> None:
-        # Danger: where the first line comes in pieces, what it tells counts already. It is waited for.
-        if self.open is None or not self.open.objects.begun:
+    def on_first_line_timeout(self) -> None:
+        # If part of the first line has arrived, its changes are already in effect, so it is awaited.
+        if self.current_call is None or not self.current_call.objects.has_partial:
             self.initial_list_received.set()
 
     def on_line(self, number: int, text: bytes) -> None:
+        """A complete line or object was received."""
         if not self.watch.on_line(now_ms(), number):
             return
         if text:
-            self.take(number, text)
+            self.apply_change(number, text)
         self.initial_list_received.set()
-        self.arm()
+        self.schedule_timer()
 
     def on_end(self, number: int, reason: str, clean: bool = False) -> None:
-        self.act(self.watch.on_end(now_ms(), number, reason, clean))
+        """A call ended. `clean`: its response was complete."""
+        self.perform(self.watch.on_end(now_ms(), number, reason, clean))
 
-    def take(self, number: int, text: bytes) -> None:
-        """Report a change, and go on whatever came: without a watch the list is stale, drains are missed."""
+    def apply_change(self, number: int, text: bytes) -> None:
+        """Reports a change. No error ends the watch: without it the list is stale and drains are missed."""
         try:
-            got = parse_member_list(json.loads(text))
-            if got.is_full or got.members:
-                scope = ListScope.FULL if got.is_full else ListScope.CHANGES
-                self.listener(scope, got.members, self.watch.since)
-            self.watch.version = got.version
+            change = parse_member_list(json.loads(text))
+            if change.is_full or change.members:
+                scope = ListScope.FULL if change.is_full else ListScope.CHANGES
+                self.listener(scope, change.members, self.watch.effective_since)
+            self.watch.version = change.version
         except (DiscoveryError, ValueError, RecursionError) as error:
-            self.watch.version = None  # what this change held is not known: read everything again
+            self.watch.version = None  # the content of this change is unknown: request the full list
             self.on_end(number, " ".join(str(error).split()))
         except Exception:
-            log.exception("a change could not be taken")
+            log.exception("a change could not be applied")
             self.watch.version = None
             self.on_end(number, "failed")
 
     # ---- actions ----
 
-    def act(self, action: WatchAction) -> None:
+    def perform(self, action: WatchAction) -> None:
         if action is not None:
-            self.leave()
+            self.close_call()
         if isinstance(action, CloseCall):
             log.info("watch %s", action.reason)
         elif isinstance(action, OpenCall):
-            self.open = DiscoveryCall(self, action)
-            self.connecting = asyncio.get_running_loop().create_task(self.connect(self.open))
-        self.arm()
+            self.current_call = DiscoveryCall(self, action)
+            self.connecting = asyncio.get_running_loop().create_task(self.connect(self.current_call))
+        self.schedule_timer()
 
-    def leave(self) -> None:
-        if self.open is not None:
-            self.open.leave()
+    def close_call(self) -> None:
+        if self.current_call is not None:
+            self.current_call.abandon()
         if self.connecting is not None:
             self.connecting.cancel()
-        self.open = self.connecting = None
+        self.current_call = self.connecting = None
 
     async def connect(self, call: DiscoveryCall) -> None:
-        host, port = call.what.address
+        host, port = call.open_action.address
         try:
             await asyncio.get_running_loop().create_connection(lambda: call, host, port)
         except OSError as error:
             call.end(" ".join(str(error).split()) or type(error).__name__)
 
-    def arm(self) -> None:
-        """Wake at the time that the watch has now."""
+    def schedule_timer(self) -> None:
+        """Schedules `on_time` for the current deadline of the watch."""
         if self.timer is not None:
             self.timer.cancel()
-        wait = max(0.0, self.watch.due - now_ms()) / 1000
+        wait = max(0.0, self.watch.deadline - now_ms()) / 1000
         self.timer = asyncio.get_running_loop().call_later(wait, self.on_time)
--- a/roadpulley/core/driver.py
+++ b/roadpulley/core/driver.py
@@ -1,4 +1,4 @@
-"""Drives the decision module: events in, actions out. Decides nothing itself."""
+"""Passes events to the decision module and performs its actions. It makes no decisions itself."""
 
 from __future__ import annotations
 
@@ -26,58 +26,56 @@
 
 FAILED = b"-ERR failed\r\n"
 LAG_CHECK_INTERVAL_MS = 20.0  # between two looks at the lag of the loop
-MIN_REMAINING_MS = 60.0  # of a request's time: in less the module could not even refuse it
-CLIENT_PROBE_LAG_MS = (
-    20.0  # lag in which a client may have left unseen: small beside the 100 ms in which that must show
-)
-MIN_REPORTED_LAG_MS = (
-    5.0  # lag that is worth a word: timers come up to a tick and the loop's rounding late anyway
-)
+MIN_REMAINING_MS = 60.0  # of a request's time; with less the decision module could not even refuse it
+CLIENT_PROBE_LAG_MS = 20.0  # with more lag, clients are probed: a disconnect must be noticed within 100 ms
+MIN_REPORTED_LAG_MS = 5.0  # timers are late by up to a tick and the rounding of the loop anyway
 
 
 def encode_busy(retry_after: float) -> bytes:
+    """A refusal, with the time in milliseconds after which a retry makes sense, if there is one."""
     wait = math.ceil(retry_after)
     return b"-BUSY %d\r\n" % wait if wait > 0 else b"-BUSY\r\n"
 
 
 class UsageMeter(Protocol):
-    """Counts use. A request is one try of its client, however often it is attempted."""
+    """Meters usage. A request is one try of its client, however many attempts it takes."""
 
     def record_sent(self, command: Command) -> Any:
-        """It is sent on for the first time; gives what its settlement is told with, or None."""
+        """Records the first attempt of a request. Returns a record for `record_settled`, or None."""
 
-    def record_settled(self, counted: Any, command: Command, true: float) -> None:
-        """Its answer told its true units."""
+    def record_settled(self, record: Any, command: Command, actual_units: float) -> None:
+        """Records the actual units of a request, as its answer stated them."""
 
 
 EndCallback = Callable[[], None]
 
 
 class Rights(Protocol):
-    """Spends units of limits that hold over all gateways."""
+    """Spends units of the limits that apply to all gateways together."""
 
     def spend(
         self,
         asked: api.SpendRights,
-        lasting: float,
+        duration_s: float,
         within: float,
         done: Callable[[bool, EndCallback | None], None],
     ) -> None:
-        """`done` is called once, at once or within so many seconds: whether rights were held and are spent.
+        """Calls `callback` once, within `timeout_s`, with whether rights were available and are now spent.
 
-        `lasting`: seconds until its request has surely ended. `done` may be given what to call when it has.
+        `duration_s`: until the request has certainly ended. The second argument of `callback` is a function
+        to call when it has ended, or None.
         """
 
 
 class AttemptObserver(Protocol):
-    """Hears how attempts ended, for others."""
+    """Is notified of the outcomes of attempts."""
 
     def record(self, backend: int, outcome: api.Outcome) -> None:
-        """The module decides by `AttemptEnded`; this is told beside it."""
+        """Records an outcome. The decision module gets the same outcome as `AttemptEnded`."""
 
 
 class Request:
-    """One request that is owed a final answer."""
+    """An open request, which still needs its final answer."""
 
     __slots__ = (
         "end_callbacks",
@@ -96,19 +94,19 @@
     def __init__(self, command: Command, slot: ReplySlot, expires_at: float) -> None:
         self.command, self.slot, self.expires_at = command, slot, expires_at
         self.received_at = expires_at - command.timeout_ms
-        self.attempt_count, self.attempt_limit = 0, 1  # attempts so far; allowed when it came
-        self.is_streaming = False  # a long value of it is under way to the client
-        self.open_attempts: dict[int, Attempt] = {}  # attempts out, by number
-        self.timer: Timer | None = None  # of its end
-        self.meter_record: Any = None  # by the meter
-        self.end_callbacks: list[EndCallback] = []  # what hears of its end, as rights come back then
+        self.attempt_count, self.attempt_limit = 0, 1  # the limit is the one in effect at its arrival
+        self.is_streaming = False  # a long value is being sent to the client
+        self.open_attempts: dict[int, Attempt] = {}  # by number
+        self.timer: Timer | None = None  # for its deadline
+        self.meter_record: Any = None  # from `UsageMeter.record_sent`
+        self.end_callbacks: list[EndCallback] = []  # called at its end, for example to return rights
 
 
 class Driver:
-    """Owns the module, and is the only one to call it.
+    """Owns the decision module and is its only caller.
 
-    Events are taken one after another: an action that ends at once brings its event after the actions that
-    were given with it.
+    Events are handled one after another. If an action completes immediately, its event is handled after the
+    other actions of the same event.
     """
 
     def __init__(
@@ -128,22 +126,17 @@
             max_open_requests,
         )
         self.requests: dict[str, Request] = {}
-        self.attempts: dict[tuple[str, int], Attempt] = {}  # out, also those of requests that have ended
+        self.attempts: dict[tuple[str, int], Attempt] = {}  # open, also those of ended requests
         self.events: deque[api.Event] = deque()
         self.is_handling = False
-        self.meter: UsageMeter | None = None  # counts what is sent on
-        self.rights: Rights | None = None  # where gateways of a fleet have them
-        self.attempt_observer: AttemptObserver | None = None  # where they tell each other what they find
-        self.next_lag_check_at, self.last_lag_ms = (
-            math.inf,
-            0.0,
-        )  # the next look at the lag; that of the last one
-        self.is_shedding = self.was_lagging = (
-            False  # the module turns some away at the door; it was told of a lag
-        )
-        self.hand_over: Callable[[api.HandoverState], object] = lambda _: (
-            None
-        )  # to this gateway's other process
+        self.meter: UsageMeter | None = None  # if usage is metered
+        self.rights: Rights | None = None  # in a fleet only
+        self.attempt_observer: AttemptObserver | None = None  # in a fleet only
+        self.next_lag_check_at, self.last_lag_ms = math.inf, 0.0
+        # Whether the decision module refuses some requests early, and whether a lag was reported to it.
+        self.is_shedding = self.was_lagging = False
+        # Passes state to the gateway's other process.
+        self.hand_over: Callable[[api.HandoverState], object] = lambda _: None
         self.action_handlers: dict[type, Callable[[Any], object]] = {
             api.Send: self.send,
             api.Cancel: self.cancel,
@@ -152,13 +145,14 @@
             api.SetTimer: self.set_timer,
             api.AddToCounter: self.count,
             api.SpendRights: self.spend,
-            api.SubscribeBackends: lambda _: None,  # the list is always followed
+            api.SubscribeBackends: lambda _: None,  # the list is watched permanently
             api.SendHandover: lambda action: self.hand_over(action.handover_state),
         }
 
     # ---- events ----
 
     def handle_event(self, event: api.Event) -> None:
+        """Passes an event to the decision module, after the events that are already queued."""
         if self.is_handling:
             return self.events.append(event)
         self.is_handling = True
@@ -170,21 +164,21 @@
                     for action in self.gateway.handle(now_ms(), event):
                         self.action_handlers[type(action)](action)
                 except Exception:
-                    # One event's fault must not take the others with it.
+                    # An exception in one event must not lose the other events.
                     log.exception("%s could not be handled", type(event).__name__)
                     self.fail_request_of(event)
         finally:
             self.is_handling = False
 
     def fail_request_of(self, event: api.Event) -> None:
-        """The honest end of a request whose event the module failed at: whether it ran is not known."""
+        """Fails the request of an event that raised an exception. Whether the request ran is unknown."""
         if isinstance(event, api.RequestArrived | api.AttemptEnded):
             self.finish(event.request, FAILED)
 
-    # ---- its own strain ----
+    # ---- lag of the event loop ----
 
     def start_lag_monitor(self) -> None:
-        """Look at the lag of the loop from now on."""
+        """Measures the lag of the event loop at regular intervals from now on."""
         due = self.next_lag_check_at = now_ms() + LAG_CHECK_INTERVAL_MS
         self.timers.call_at(due, partial(self.on_lag_check, due))
 
@@ -201,28 +195,28 @@
         self.start_lag_monitor()
 
     def estimate_lag_ms(self, now: float) -> float:
-        """For how long what has come may have lain unread."""
+        """For how long received data may have been waiting to be read."""
         return max(self.last_lag_ms, now - self.next_lag_check_at, 0.0)
 
     def get_oldest_request_age_ms(self) -> float:
-        """For how long the oldest request has been open; 0 where none is."""
+        """The age of the oldest open request; 0 if there is none."""
         oldest = next(iter(self.requests.values()), None)
         return now_ms() - oldest.received_at if oldest is not None else 0.0
 
     def encode_early_refusal(self, request_class: str) -> bytes | None:
-        """The refusal of a request that the module turns away at the door; None: let it in."""
+        """The refusal of a request that is shed before it is parsed, or None if it is admitted."""
         wait = self.gateway.get_early_refusal(request_class)
         return None if wait is None else encode_busy(wait)
 
     def apply_settings(self, settings: api.Settings, max_open: int) -> None:
-        """Other settings hold from the next event on; open requests keep what they came with."""
+        """Applies changed settings from the next event on. Open requests keep their previous limits."""
         self.settings, self.max_open_requests = settings, max_open
         self.handle_event(api.SettingsChanged(settings))
 
     def update_members(self, scope: api.ListScope, members: tuple[Member, ...], since: float) -> None:
-        """`since`: from when on what is listed may have counted as told, in milliseconds."""
+        """Applies a list of backends. `since`: when the changes may have taken effect, in milliseconds."""
         now = now_ms()
-        since = min(since, now - self.estimate_lag_ms(now))  # while this loop stood still it lay unread
+        since = min(since, now - self.estimate_lag_ms(now))  # it may have waited unread while the loop lagged
         if scope is not api.ListScope.CHANGES:
             listed = {m.entry.backend for m in members}
             for backend in set(self.backends.hosts) - listed:
@@ -233,13 +227,14 @@
         self.handle_event(api.BackendsChanged(scope, tuple(m.entry for m in members)))
 
     def on_command(self, command: Command, slot: ReplySlot) -> None:
+        """Accepts a request, or refuses it if its id is in use or too many requests are open."""
         if command.id in self.requests:
-            slot.request = None  # the other one's
+            slot.request = None  # the id belongs to the other request
             return slot.answer(b"-ERR id in use\r\n")
         if len(self.requests) >= self.max_open_requests:
             return slot.answer(b"-BUSY\r\n")
-        # Danger: its time counts from when the client sent it. While this loop stood still it may have lain
-        # unread as long, and a last answer that is late by more than its client's patience counts as none.
+        # The client's timeout starts when it sends the request, which may have waited unread while the loop
+        # lagged. Without this, an answer could come after the client has stopped waiting and count as none.
         now = now_ms()
         expires = now + max(command.timeout_ms - self.estimate_lag_ms(now), MIN_REMAINING_MS)
         event = api.RequestArrived(
@@ -259,26 +254,27 @@
         self.handle_event(event)
 
     def on_expired(self, owner: Request) -> None:
-        """The client's patience ends: so do the attempts, and the module owes the final answer."""
+        """The request's time is over. Its attempts end, and the decision module gives the final answer."""
         request = owner.command.id
         self.cancel_attempts(owner, EndReason.ATTEMPT_TIMEOUT)
         if self.requests.get(request) is owner:
-            # Only a fault brings a request here unanswered; its client must not wait in vain even so.
-            log.error("request %s had no answer at its end", request)
+            # Only a bug leaves a request unanswered here, but its client must still get an answer.
+            log.error("request %s expired without an answer", request)
             self.finish(request, FAILED)
             self.handle_event(api.RequestAbandoned(request))
 
     def on_client_gone(self, request: str) -> None:
+        """The client of an open request has disconnected."""
         owner = self.requests.pop(request, None)
         if owner is None:
             return
         self.handle_event(api.RequestAbandoned(request))
-        # Nobody is waiting any more; a backend may then drop what it has not begun.
+        # Nobody waits for the answer, and a backend may drop a request that it hasn't started.
         self.cancel_attempts(owner, EndReason.CANCELLED)
         self.run_end_callbacks(owner)
 
     def on_long_value(self, attempt: Attempt, length: int, source: Source) -> Sink | None:
-        """A long value begins: it is the answer, whole or broken, however long it takes."""
+        """A long value begins. It is the final answer, complete or cut off, however long it takes."""
         request, number = attempt.key
         owner = self.requests.get(request)
         if owner is None or owner.open_attempts.get(number) is not attempt or owner.is_streaming:
@@ -302,9 +298,9 @@
         request = owner.command.id
         del self.attempts[request, number], owner.open_attempts[number]
         if owner.is_streaming and not attempt.streams_value:
-            pass  # another attempt's value is under way
+            pass  # another attempt's value is being streamed
         elif outcome is api.Outcome.OK or owner.is_streaming:
-            self.finish(request, encode_bulk(value))  # of a value that was passed on, the slot has its answer
+            self.finish(request, encode_bulk(value))  # has no effect if the value was streamed
         finished = self.requests.get(request) is not owner
         if finished:
             self.run_end_callbacks(owner)
@@ -320,9 +316,9 @@
             and owner.meter_record is not None
             and self.meter is not None
         ):
-            # As the module charges it: what one request can count, and once.
-            true = min(cost, max(self.settings.max_request_units, owner.command.units))
-            self.meter.record_settled(owner.meter_record, owner.command, true)
+            # Charged as in the decision module: once, and up to the maximum of one request.
+            actual_units = min(cost, max(self.settings.max_request_units, owner.command.units))
+            self.meter.record_settled(owner.meter_record, owner.command, actual_units)
             owner.meter_record = None
         self.handle_event(api.AttemptEnded(request, number, attempt.backend, outcome, lag, finished, cost))
 
@@ -348,27 +344,33 @@
             self.counter.add(action.name, action.amount, action.expire_in, self.on_counter_reply)
 
     def spend(self, action: api.SpendRights) -> None:
+        """Spends rights for a request and reports the result as an event."""
         owner = self.requests.get(action.request)
 
-        def granted(paid: bool, ended: EndCallback | None) -> None:
-            if ended is not None and owner is not None and self.requests.get(action.request) is owner:
-                owner.end_callbacks.append(ended)
-            elif ended is not None:
-                ended()  # it has ended before
+        def on_decided(paid: bool, on_request_end: EndCallback | None) -> None:
+            if (
+                on_request_end is not None
+                and owner is not None
+                and self.requests.get(action.request) is owner
+            ):
+                owner.end_callbacks.append(on_request_end)
+            elif on_request_end is not None:
+                on_request_end()  # the request has already ended
             self.handle_event(api.RightsDecided(action.request, paid))
 
         if self.rights is None or owner is None:
-            return granted(False, None)
-        within, lasting = self.settings.counter_timeout / 1000, (owner.expires_at - now_ms()) / 1000
-        self.rights.spend(action, lasting, within, granted)
+            return on_decided(False, None)
+        timeout_s, duration_s = self.settings.counter_timeout / 1000, (owner.expires_at - now_ms()) / 1000
+        self.rights.spend(action, duration_s, timeout_s, on_decided)
 
     def send(self, action: api.Send) -> None:
+        """Sends an attempt, unless the client is gone or the request has no attempts left."""
         request, backend, timeout = action.request, action.backend, action.timeout
         now, owner = now_ms(), self.requests.get(request)
         if owner is not None and owner.slot.is_client_gone(self.estimate_lag_ms(now) > CLIENT_PROBE_LAG_MS):
             owner = None
         if owner is None or owner.attempt_count >= min(owner.attempt_limit, self.settings.max_attempts):
-            # Danger: under another number the module would count this attempt as out for ever.
+            # With another number the decision module would count this attempt as open for ever.
             number, ignored = owner.attempt_count if owner else action.attempt, api.Outcome.IGNORED
             return self.handle_event(api.AttemptEnded(request, number, backend, ignored, 0.0, owner is None))
         number, owner.attempt_count = owner.attempt_count, owner.attempt_count + 1
@@ -389,27 +391,28 @@
         )
         self.attempts[key] = owner.open_attempts[number] = attempt
         if 0 < timeout < owner.expires_at - now:
-            give_up = partial(self.backends.cancel, attempt, EndReason.ATTEMPT_TIMEOUT)
-            attempt.timer = self.timers.call_at(now + timeout, give_up)
+            cancel = partial(self.backends.cancel, attempt, EndReason.ATTEMPT_TIMEOUT)
+            attempt.timer = self.timers.call_at(now + timeout, cancel)
         self.backends.send(attempt)
 
     def is_client_waiting(self, attempt: Attempt) -> bool:
-        """Whether its client still waits, asked once it has waited for its connection."""
+        """Whether the client still waits. Checked when a new connection is established."""
         owner = self.requests.get(attempt.key[0])
         return owner is not None and not owner.slot.is_client_gone(True)
 
-    def cancel_attempts(self, owner: Request, ending: EndReason) -> None:
+    def cancel_attempts(self, owner: Request, reason: EndReason) -> None:
+        """Ends all open attempts of a request."""
         for attempt in list(owner.open_attempts.values()):
-            self.backends.cancel(attempt, ending)
+            self.backends.cancel(attempt, reason)
 
     def finish(self, request: str, reply: bytes) -> None:
-        """Give the one final answer; a second one is not sent."""
+        """Sends the final answer of a request, unless it was already sent."""
         if owner := self.requests.pop(request, None):
             owner.slot.answer(reply)
             self.run_end_callbacks(owner)
 
     def run_end_callbacks(self, owner: Request) -> None:
-        """Once a request is answered and nothing of it is out, it is over."""
+        """Calls the end callbacks of an answered request once all its attempts have ended."""
         if owner.open_attempts:
             return
         if owner.timer is not None:
@@ -418,7 +421,7 @@
             owner.end_callbacks.pop()()
 
     def fail_all(self) -> None:
-        """Answer what is still open when the process has to end."""
+        """Fails all open requests when the process has to exit."""
         for request in list(self.requests):
             self.finish(request, FAILED)
             self.handle_event(api.RequestAbandoned(request))
--- a/tests/core/test_backends.py
+++ b/tests/core/test_backends.py
@@ -52,8 +52,10 @@
 @asynccontextmanager
 async def pool(*servers: Server, **given: Any) -> AsyncIterator[BackendPools]:
     loop = asyncio.get_running_loop()
-    values: dict[str, Any] = dict(connect_timeout=250, keepalive=15_000, drain_grace=1_000, most=50)
-    values["memory"] = 10_000_000
+    values: dict[str, Any] = dict(
+        connect_timeout_ms=250, keepalive_ms=15_000, drain_grace_ms=1_000, max_connections=50
+    )
+    values["max_buffered_bytes"] = 10_000_000
     made = BackendPools(loop, Timers(loop), **{**values, **given})
     for number, server in enumerate(servers):
         await server.start()
@@ -230,7 +232,7 @@
             return b"x\r\n$-1\r\n$-1\r\n"
 
         server = Backend(script)
-        async with pool(server, memory=700_000) as made:
+        async with pool(server, max_buffered_bytes=700_000) as made:
             first = Try(made)
             await until(lambda: made.buffered_bytes > 390_000)
             second = Try(made)
@@ -359,7 +361,7 @@
 
     async def scenario() -> None:
         server = Backend()
-        async with pool(server, drain_grace=0) as made:
+        async with pool(server, drain_grace_ms=0) as made:
             tried = Try(made)  # the connection is not up yet
             made.update(0, (LOCAL, server.port), BackendState.DRAINING)
             assert (await tried.result())[0] is Outcome.CONNECT
@@ -384,7 +386,7 @@
 
     async def scenario() -> None:
         server = Backend()
-        async with pool(server, drain_grace=grace_ms) as made:
+        async with pool(server, drain_grace_ms=grace_ms) as made:
             made.update(0, (LOCAL, server.port), BackendState.DRAINING)
             await asyncio.sleep((grace_ms - 60) / 1000)
             assert (await HeldUp(made).result())[0] is Outcome.CONNECT
@@ -419,7 +421,7 @@
 
     async def scenario() -> None:
         server = Backend()
-        async with pool(server, connect_timeout=50) as made:
+        async with pool(server, connect_timeout_ms=50) as made:
             tried = Try(made)
             await asyncio.sleep(0)
             time.sleep(0.2)  # the kernel has accepted meanwhile, and the loop has not looked
@@ -435,7 +437,7 @@
             for each in waiting:
                 each.setblocking(False)
                 each.connect_ex(full.getsockname())
-            async with pool(connect_timeout=50) as made:
+            async with pool(connect_timeout_ms=50) as made:
                 made.update(0, full.getsockname(), BackendState.READY)
                 for lag in (0.0, 0.2):
                     tried = Try(made)
@@ -453,7 +455,7 @@
 
     async def scenario() -> None:
         first, second = Backend(), Backend(silent)
-        async with pool(first, second, most=1) as made:
+        async with pool(first, second, max_connections=1) as made:
             assert (await Try(made).result())[0] is Outcome.OK
             held = Try(made, backend=1)
             await until(lambda: second.got)
--- a/tests/core/test_discovery.py
+++ b/tests/core/test_discovery.py
@@ -266,7 +266,7 @@
     """In step they would overwhelm discovery, which turns callers away then."""
     watches = [pure.DiscoveryWatch((LOCAL, 1), 1, random.Random(seed)) for seed in range(48)]
     for wait in pure.BACKOFF_MS:
-        pauses = sorted(watch.backoff(wait) for watch in watches)
+        pauses = sorted(watch.draw_pause(wait) for watch in watches)
         assert wait * (1 - pure.JITTER_RATIO) <= pauses[0] and pauses[-1] <= wait
         in_step = max(sum(at <= other < at + wait / 10 for other in pauses) for at in pauses)
         assert in_step <= 16, "a third of them within a tenth of the wait"
--- a/tests/core/test_discovery_watch.py
+++ b/tests/core/test_discovery_watch.py
@@ -42,7 +42,7 @@
     if state is not WatchState.WAITING:
         watch.on_time(0)
     if state is WatchState.FOLLOWING:
-        watch.on_head(0, watch.call)
+        watch.on_head(0, watch.call_number)
     return watch
 
 
@@ -57,9 +57,9 @@
 
     early = state is WatchState.WAITING
     headed = WatchState.FOLLOWING if state is WatchState.CALLING else state
-    assert after(lambda w: w.on_head(1, w.call)) == (None, headed)
-    assert after(lambda w: w.on_line(1, w.call)) == (state is WatchState.FOLLOWING, state)
-    ended, now = after(lambda w: w.on_end(1, w.call, "reset"))
+    assert after(lambda w: w.on_head(1, w.call_number)) == (None, headed)
+    assert after(lambda w: w.on_line(1, w.call_number)) == (state is WatchState.FOLLOWING, state)
+    ended, now = after(lambda w: w.on_end(1, w.call_number, "reset"))
     assert now is WatchState.WAITING and isinstance(ended, type(None) if early else CloseCall)
     moved, now = after(lambda w: w.on_move(1, THERE))
     assert now is WatchState.CALLING and isinstance(moved, OpenCall)
@@ -74,44 +74,46 @@
 def test_events_of_a_call_that_was_left_change_nothing(state: WatchState) -> None:
     """A line of the old address that crosses a move would be acted on, and its version taken up."""
     watch = at(state)
-    old = watch.call
+    old = watch.call_number
     watch.on_move(5, THERE)
-    was = (watch.state, watch.due, watch.version, watch.call)
+    was = (watch.state, watch.deadline, watch.version, watch.call_number)
     watch.on_head(6, old)
     assert not watch.on_line(7, old)
     assert watch.on_end(8, old, "reset") is None
-    assert (watch.state, watch.due, watch.version, watch.call) == was
-    watch.on_head(9, watch.call)  # the new one is followed by now
-    assert not watch.on_line(10, old) and watch.due == 9 + SILENCE_TIMEOUT_MS
+    assert (watch.state, watch.deadline, watch.version, watch.call_number) == was
+    watch.on_head(9, watch.call_number)  # the new one is followed by now
+    assert not watch.on_line(10, old) and watch.deadline == 9 + SILENCE_TIMEOUT_MS
 
 
 def test_what_the_first_line_of_a_call_tells_may_be_as_old_as_the_last_line_before_it() -> None:
     """What the agent has counts as told whether or not a watch is open; it may end one instead of telling."""
     watch = at(WatchState.FOLLOWING)
-    assert watch.on_line(100, watch.call) and watch.since == -math.inf  # a process that has just started
-    assert watch.on_line(1_500, watch.call) and watch.since == 1_500
-    watch.on_end(1_900, watch.call, "reset")
+    assert (
+        watch.on_line(100, watch.call_number) and watch.effective_since == -math.inf
+    )  # a process that has just started
+    assert watch.on_line(1_500, watch.call_number) and watch.effective_since == 1_500
+    watch.on_end(1_900, watch.call_number, "reset")
     for failed in (2_200, 2_900):  # calls that bring nothing don't make it younger
         watch.on_time(failed)
-        watch.on_head(failed, watch.call)
-        watch.on_end(failed, watch.call, "ended")
+        watch.on_head(failed, watch.call_number)
+        watch.on_end(failed, watch.call_number, "ended")
     watch.on_time(3_600)
-    watch.on_head(3_600, watch.call)
-    assert watch.on_line(3_601, watch.call) and watch.since == 1_500
-    assert watch.on_line(5_000, watch.call) and watch.since == 5_000
+    watch.on_head(3_600, watch.call_number)
+    assert watch.on_line(3_601, watch.call_number) and watch.effective_since == 1_500
+    assert watch.on_line(5_000, watch.call_number) and watch.effective_since == 5_000
     watch.on_move(6_000, THERE)
-    watch.on_head(6_001, watch.call)
-    assert watch.on_line(6_002, watch.call) and watch.since == 5_000
+    watch.on_head(6_001, watch.call_number)
+    assert watch.on_line(6_002, watch.call_number) and watch.effective_since == 5_000
 
 
 def test_a_whole_list_is_followed_at_once_and_a_broken_one_after_a_pause() -> None:
     for clean, kind in ((True, OpenCall), (False, CloseCall)):
         watch = DiscoveryWatch(HERE, None, random.Random(1))
         watch.on_time(0)
-        watch.on_head(1, watch.call)
-        assert watch.on_line(1, watch.call)
+        watch.on_head(1, watch.call_number)
+        assert watch.on_line(1, watch.call_number)
         watch.version = 7
-        assert isinstance(watch.on_end(2, watch.call, "ended", clean=clean), kind)
+        assert isinstance(watch.on_end(2, watch.call_number, "ended", clean=clean), kind)
 
 
 # ---- the sums ----
@@ -153,7 +155,7 @@
 
     def run(self, now: float) -> float:
         while self.told is None:
-            now = max(now, self.watch.due)
+            now = max(now, self.watch.deadline)
             self.act(now, self.watch.on_time(now))
         return self.told
 
@@ -182,7 +184,7 @@
     """Only the watch is dead, in the moment after a line: the agent can be reached all the time."""
     agent = Agent(DiscoveryWatch(HERE, 41, random.Random(seed)), 0, [])
     assert agent.run(0) == 0
-    assert agent.watch.on_line(heard, agent.watch.call)
+    assert agent.watch.on_line(heard, agent.watch.call_number)
     agent.told, agent.broken = None, list(broken)
     bound = CHANGE_DEADLINE_MS + (
         SILENCE_TIMEOUT_MS if broken == ["head"] else 0
@@ -192,10 +194,10 @@
 
 def test_the_clock_of_silence_starts_with_whole_lines_only() -> None:
     watch = at(WatchState.FOLLOWING)
-    assert watch.on_line(1_000, watch.call)
-    assert watch.due == 1_000 + SILENCE_TIMEOUT_MS
-    watch.on_head(2_000, watch.call)  # a second one
-    assert watch.due == 1_000 + SILENCE_TIMEOUT_MS
+    assert watch.on_line(1_000, watch.call_number)
+    assert watch.deadline == 1_000 + SILENCE_TIMEOUT_MS
+    watch.on_head(2_000, watch.call_number)  # a second one
+    assert watch.deadline == 1_000 + SILENCE_TIMEOUT_MS
 
 
 # ---- objects ----
@@ -349,7 +351,7 @@
         call = await agent.called(1)
         call.say(CHUNKED + chunk(b"\n"))
         await until(lambda: client.initial_list_received.is_set())
-        due = client.watch.due
+        due = client.watch.deadline
         while module.now_ms() < due + 50:
             pass  # the loop stands still here
         call.put(chunk(b"\n"))
--- a/tests/core/test_outcomes.py
+++ b/tests/core/test_outcomes.py
@@ -176,7 +176,7 @@
 
     def connect_time(self) -> None:
         for attempt, _ in self.out():
-            if attempt.connection is not None and not attempt.connection.up:
+            if attempt.connection is not None and not attempt.connection.is_connected:
                 return attempt.connection.end(EndReason.CONNECT_TIMEOUT)
 
     def move(self) -> None:
