--- a/roadpulley/core/backends.py
+++ b/roadpulley/core/backends.py
@@ -66,7 +66,7 @@
         keepalive_ms: float,
         drain_grace_ms: float,
         max_connections: int,
-        max_buffered_bytes: int,
+        memory_bytes: int,
         stats: RequestStats | None = None,
     ) -> None:
         self.stats = stats or RequestStats()
@@ -76,7 +76,7 @@
             drain_grace_ms,
             max_connections,
         )
-        self.max_buffered_bytes, self.buffered_bytes = max_buffered_bytes, 0  # of incomplete answers
+        self.max_buffered_bytes, self.buffered_bytes = memory_bytes, 0  # of incomplete answers
         self.idle_limit = IdleLimit()
         self.hosts: dict[int, Host] = {}
         self.connections: set[Connection] = set()
@@ -155,7 +155,7 @@
             self.connect_errors[error.strerror or "unknown"] += 1
             attempt.end(resolve_outcome(Stage.CONNECTING, EndReason.CONNECTION_ERROR))
 
-    def cancel(self, attempt: Attempt, reason: EndReason) -> None:
+    def cancel_attempt(self, attempt: Attempt, reason: EndReason) -> None:
         """Ends an attempt, and closes its connection if it has one."""
         if attempt.connection is not None:
             attempt.connection.end(reason)
@@ -177,7 +177,7 @@
         connection.idle_since = now_ms()
         host.idle.append(connection)
 
-    def remove(self, connection: Connection) -> None:
+    def remove_connection(self, connection: Connection) -> None:
         """Removes a closed connection."""
         self.connections.discard(connection)
         if connection in connection.host.idle:
--- a/roadpulley/core/connection.py
+++ b/roadpulley/core/connection.py
@@ -107,7 +107,7 @@
         if attempt.is_client_waiting is None or attempt.is_client_waiting(attempt):
             self.write()
         elif self.attempt is attempt:
-            self.end(EndReason.CANCELLED)
+            self.end(EndReason.ABANDONED)
 
     def start(self, attempt: Attempt) -> None:
         """Sends an attempt on this idle connection."""
@@ -299,7 +299,7 @@
         self.pool.loop.remove_reader(self.fd)
         self.pool.loop.remove_writer(self.fd)
         self.socket.close()
-        self.pool.remove(self)
+        self.pool.remove_connection(self)
 
     def is_alive(self) -> bool:
         """Whether an idle connection is open and has no unread data, as far as this machine knows."""
--- a/roadpulley/core/discovery.py
+++ b/roadpulley/core/discovery.py
@@ -164,14 +164,14 @@
                         raise DiscoveryError(f"status {event.status_code}")
                     self.discovery.on_head(self.open_action.call)
                 elif isinstance(event, h11.Data):
-                    self.feed(bytes(event.data))
+                    self.feed_body(bytes(event.data))
                 elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
-                    self.feed(b"", last=True)
+                    self.feed_body(b"", last=True)
                     return self.end("ended", clean=True)
         except (h11.ProtocolError, DiscoveryError) as error:
             self.end(str(error))
 
-    def feed(self, data: bytes, last: bool = False) -> None:
+    def feed_body(self, data: bytes, last: bool = False) -> None:
         for text in self.objects.feed(data, last):
             if self.is_abandoned:
                 return
--- a/roadpulley/core/driver.py
+++ b/roadpulley/core/driver.py
@@ -270,7 +270,7 @@
             return
         self.handle_event(api.RequestAbandoned(request))
         # Nobody waits for the answer, and a backend may drop a request that it hasn't started.
-        self.cancel_attempts(owner, EndReason.CANCELLED)
+        self.cancel_attempts(owner, EndReason.ABANDONED)
         self.run_end_callbacks(owner)
 
     def on_long_value(self, attempt: Attempt, length: int, source: Source) -> Sink | None:
@@ -329,7 +329,7 @@
 
     def cancel(self, action: api.Cancel) -> None:
         if attempt := self.attempts.get((action.request, action.attempt)):
-            self.backends.cancel(attempt, EndReason.CANCELLED)
+            self.backends.cancel_attempt(attempt, EndReason.ABANDONED)
 
     def refuse(self, action: api.Refuse) -> None:
         self.finish(action.request, encode_busy(action.retry_after))
@@ -391,8 +391,8 @@
         )
         self.attempts[key] = owner.open_attempts[number] = attempt
         if 0 < timeout < owner.expires_at - now:
-            cancel = partial(self.backends.cancel, attempt, EndReason.ATTEMPT_TIMEOUT)
-            attempt.timer = self.timers.call_at(now + timeout, cancel)
+            on_timeout = partial(self.backends.cancel_attempt, attempt, EndReason.ATTEMPT_TIMEOUT)
+            attempt.timer = self.timers.call_at(now + timeout, on_timeout)
         self.backends.send(attempt)
 
     def is_client_waiting(self, attempt: Attempt) -> bool:
@@ -403,7 +403,7 @@
     def cancel_attempts(self, owner: Request, reason: EndReason) -> None:
         """Ends all open attempts of a request."""
         for attempt in list(owner.open_attempts.values()):
-            self.backends.cancel(attempt, reason)
+            self.backends.cancel_attempt(attempt, reason)
 
     def finish(self, request: str, reply: bytes) -> None:
         """Sends the final answer of a request, unless it was already sent."""
--- a/roadpulley/core/outcomes.py
+++ b/roadpulley/core/outcomes.py
@@ -11,7 +11,7 @@
 | CONNECTION_ERROR: refused, reset, end   | CONNECT    | CONNECT   | RESET            |
 | ATTEMPT_TIMEOUT: the attempt's timeout  | CONNECT    | CONNECT   | TIMED_OUT        |
 | CONNECT_TIMEOUT                         | CONNECT    | -         | -                |
-| CANCELLED: nobody waits for the answer  | CANCELLED  | CANCELLED | CANCELLED        |
+| ABANDONED: nobody waits for the answer  | CANCELLED  | CANCELLED | CANCELLED        |
 | EXPIRED: too late to be sent            | IGNORED    | -         | -                |
 | UNAVAILABLE: backend draining or moved  | CONNECT    | -         | -                |
 | FULL: `-BUSY`                           | -          | FULL      | FULL             |
@@ -47,7 +47,7 @@
     CONNECTION_ERROR = "broken"
     ATTEMPT_TIMEOUT = "time"
     CONNECT_TIMEOUT = "connect time"
-    CANCELLED = "called off"
+    ABANDONED = "called off"
     EXPIRED = "expired"
     UNAVAILABLE = "shut"
     FULL = "full"
@@ -59,7 +59,7 @@
 _BEFORE_SENT = {
     EndReason.CONNECTION_ERROR: Outcome.CONNECT,
     EndReason.ATTEMPT_TIMEOUT: Outcome.CONNECT,
-    EndReason.CANCELLED: Outcome.CANCELLED,
+    EndReason.ABANDONED: Outcome.CANCELLED,
 }
 OUTCOMES: dict[Stage, dict[EndReason, Outcome]] = {
     Stage.CONNECTING: {
@@ -72,7 +72,7 @@
     Stage.SENT: {
         EndReason.CONNECTION_ERROR: Outcome.RESET,
         EndReason.ATTEMPT_TIMEOUT: Outcome.TIMED_OUT,
-        EndReason.CANCELLED: Outcome.CANCELLED,
+        EndReason.ABANDONED: Outcome.CANCELLED,
         EndReason.FULL: Outcome.FULL,
     },
 }
--- a/roadpulley/core/resp.py
+++ b/roadpulley/core/resp.py
@@ -167,9 +167,9 @@
         return None
 
     def _parse_header(self, form: re.Pattern[bytes]) -> int | None:
-        if match := form.match(self._buffer, self._at):
-            self._at = match.end()
-            return int(match[1])
+        if matched := form.match(self._buffer, self._at):
+            self._at = matched.end()
+            return int(matched[1])
         # The first bytes show whether a line is endless or can't be a header.
         rest = self._buffer[self._at : self._at + 10]
         if rest and not PARTIAL_HEADER[form].fullmatch(rest):
@@ -267,11 +267,11 @@
 
 def parse_extra(data: bytearray, at: int) -> int | None:
     """The end of the figures or the load report at `at`: None while incomplete, -1 if malformed."""
-    if match := EXTRA.match(data, at):
-        if match[1] is None:
-            return match.end()
-        end = match.end() + int(match[1])
-        if int(match[1]) > MAX_EXTRA_BYTES or not b"\r\n".startswith(data[end : end + 2]):
+    if matched := EXTRA.match(data, at):
+        if matched[1] is None:
+            return matched.end()
+        end = matched.end() + int(matched[1])
+        if int(matched[1]) > MAX_EXTRA_BYTES or not b"\r\n".startswith(data[end : end + 2]):
             return -1
         return end + 2 if len(data) >= end + 2 else None
     rest = data[at : at + 22]
--- a/tests/core/test_backends.py
+++ b/tests/core/test_backends.py
@@ -55,7 +55,7 @@
     values: dict[str, Any] = dict(
         connect_timeout_ms=250, keepalive_ms=15_000, drain_grace_ms=1_000, max_connections=50
     )
-    values["max_buffered_bytes"] = 10_000_000
+    values["memory_bytes"] = 10_000_000
     made = BackendPools(loop, Timers(loop), **{**values, **given})
     for number, server in enumerate(servers):
         await server.start()
@@ -232,7 +232,7 @@
             return b"x\r\n$-1\r\n$-1\r\n"
 
         server = Backend(script)
-        async with pool(server, max_buffered_bytes=700_000) as made:
+        async with pool(server, memory_bytes=700_000) as made:
             first = Try(made)
             await until(lambda: made.buffered_bytes > 390_000)
             second = Try(made)
@@ -349,7 +349,7 @@
             assert connection is not None
             closed: list[bool] = []
             tried.attempt.on_end = lambda *_: closed.append(connection.socket.fileno() == -1)
-            made.cancel(tried.attempt, EndReason.CANCELLED)
+            made.cancel_attempt(tried.attempt, EndReason.ABANDONED)
             assert closed == [True]
             await until(lambda: server.ended)
 
@@ -410,7 +410,7 @@
         server = Backend()
         async with pool(server) as made:
             tried = Try(made)
-            made.cancel(tried.attempt, EndReason.ATTEMPT_TIMEOUT)
+            made.cancel_attempt(tried.attempt, EndReason.ATTEMPT_TIMEOUT)
             assert (await tried.result())[0] is Outcome.CONNECT
 
     in_loop(scenario)
--- a/tests/core/test_outcomes.py
+++ b/tests/core/test_outcomes.py
@@ -41,7 +41,7 @@
     told = resolve_outcome(stage, ending)
     if stage is Stage.SENT and ending is not EndReason.FULL:
         assert told not in NEVER_RAN
-    if ending is EndReason.CANCELLED:
+    if ending is EndReason.ABANDONED:
         assert told is Outcome.CANCELLED  # no backend is blamed for it
     if stage is not Stage.SENT and ending in (EndReason.CONNECTION_ERROR, EndReason.ATTEMPT_TIMEOUT):
         assert told is Outcome.CONNECT
@@ -172,7 +172,7 @@
 
     def end(self, ending: EndReason) -> None:
         for attempt, _ in self.out()[:1]:
-            self.pool.cancel(attempt, ending)
+            self.pool.cancel_attempt(attempt, ending)
 
     def connect_time(self) -> None:
         for attempt, _ in self.out():
@@ -237,7 +237,7 @@
 
     async def judge(self) -> None:
         for attempt, _ in self.out():
-            self.pool.cancel(attempt, EndReason.CANCELLED)
+            self.pool.cancel_attempt(attempt, EndReason.ABANDONED)
         self.pool.close()
         assert not self.pool.connections and not self.pool.buffered_bytes
         self.read()
@@ -264,7 +264,7 @@
     "send big": lambda p: p.send(big=True),
     "send late": lambda p: p.send(late=True),
     "time": lambda p: p.end(EndReason.ATTEMPT_TIMEOUT),
-    "call off": lambda p: p.end(EndReason.CANCELLED),
+    "call off": lambda p: p.end(EndReason.ABANDONED),
     "connect time": lambda p: p.connect_time(),
     "move": lambda p: p.move(),
     "restart": lambda p: p.restart(),
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -264,8 +264,8 @@
             raise ValueError
 
         timers.call_at(due, early)
-        for number in (2, 3, 4):
-            timers.call_at(due + number / 10, lambda number=number: fired.append(number))  # type: ignore[misc]
+        for index in (2, 3, 4):
+            timers.call_at(due + index / 10, lambda index=index: fired.append(index))  # type: ignore[misc]
         await until(lambda: len(fired) == 5)
         assert sorted(fired) == [0, 1, 2, 3, 4] and fired[0] == 0
         assert [type(fault) for fault in faults] == [ValueError] and not timers._slots
