--- a/mintford/load.py
+++ b/mintford/load.py
@@ -191,11 +191,7 @@
         timeout: float,
     ) -> None:
         """Update the health of a backend and the latencies by an attempt that took `elapsed` ms."""
-        ok, slow, overdue = (
-            outcome is api.Outcome.OK,
-            self.get_mark(now, backend, "slow"),
-            elapsed >= timeout,
-        )
+        ok, slow, overdue = outcome is api.Outcome.OK, self.get_mark(now, backend, "slow"), elapsed >= timeout
         # Without the cap, one attempt lost in the network would make a backend look too slow to be used.
         capped = min(elapsed, MAX_LATENCY_RATIO * self.typical_latency) if self.typical_latency else elapsed
         # An attempt that was cancelled later than an answer usually takes is a lower bound of its latency.
