--- a/mintford/rules.py
+++ b/mintford/rules.py
@@ -203,9 +203,7 @@
     # ---- admission and attempts ----
 
     def admit_request(self, now: float, request: Request, out: api.Actions, counted: bool = False) -> None:
-        """Send the request if the lease, the ceiling, the orders and the backends' load allow it, else
-        refuse it.
-        """
+        """Send the request if quota, ceiling, orders and load allow it, else refuse it."""
         c, kind, plan, units = request.customer, request.kind, request.customer.plan, request.units
         counted = counted or request.has_rights
         shortage = units - c.tokens if plan.rate else 0.0  # 0 or less if the lease can pay
@@ -305,9 +303,7 @@
                 self.attempts.cancel_all(request, out)
 
     def send_another(self, now: float, request: Request, out: api.Actions, price: float) -> bool:
-        """Send a further attempt if it can be in time and the retry budget can pay the price. Return
-        whether it was sent.
-        """
+        """Send a further attempt if it can be in time and the retry budget covers it. Return if it was sent."""
         max_count = min(request.attempt_limit, self.settings.max_attempts)
         in_time = now + self.fleet.typical_latency < request.target_at and request.attempts < max_count
         backend = None
