--- a/mintford/interface.py
+++ b/mintford/interface.py
@@ -83,7 +83,7 @@
     overage_cost: float = 0.0
     ceiling_rate: float = 0.0
     ceiling_burst: float = 0.0
-    price_factor: float = 1.0  # multiplied by the importance of a class, it is what a unit of it is worth
+    price_factor: float = 1.0  # multiplied by the importance of a class, it is the worth of a unit
 
 
 @dataclass(frozen=True, slots=True)
@@ -296,7 +296,7 @@
     complete_since: float  # a customer that is not listed has sent no request since this time
     customers: tuple[CustomerSnapshot, ...]
     backends: tuple[BackendSnapshot, ...]
-    typical: float
+    typical: float  # the typical and the recent latency of answers, in ms
     recent: float
 
 
@@ -326,7 +326,7 @@
     """New terms of a plan, or of one customer. None returns the customer to the terms of its plan."""
 
     plan: Plan | None
-    customer: str = ""  # "": all customers with that plan and without terms of their own
+    customer: str = ""  # "" means all customers with that plan and without terms of their own
 
 
 @dataclass(slots=True)
@@ -391,12 +391,12 @@
     backend: int
     timeout: float = 0.0
     attempt: int = 0  # its number, which `AttemptEnded` carries even if the request has already ended
-    latest_start: float = float("inf")  # if its first byte is not sent before this time, it has not run
+    latest_start: float = float("inf")  # its first byte must be sent before this time
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Cancel an open attempt. `AttemptEnded` still follows."""
+    """Cancel an open attempt. Its `AttemptEnded` still follows."""
 
     request: str
     attempt: int
@@ -442,7 +442,7 @@
     """
 
     request: str
-    plan: str  # "": no right to a ceiling is needed
+    plan: str  # "" if no right to a ceiling is needed
     customer: str
     units: float
     limits: tuple[str, ...] = ()
--- a/mintford/rules.py
+++ b/mintford/rules.py
@@ -303,7 +303,7 @@
                 self.attempts.cancel_all(request, out)
 
     def send_another(self, now: float, request: Request, out: api.Actions, price: float) -> bool:
-        """Send a further attempt if it can be in time and the retry budget covers it. Return if it was sent."""
+        """Send a further attempt if it can be in time and within the retry budget. Return if it was sent."""
         max_count = min(request.attempt_limit, self.settings.max_attempts)
         in_time = now + self.fleet.typical_latency < request.target_at and request.attempts < max_count
         backend = None
