--- a/mintford/__init__.py
+++ b/mintford/__init__.py
@@ -1,4 +1,7 @@
-"""mintford: decisions of a front door that meters many customers' use of one shared service."""
+"""Decision module of an API gateway that holds the quotas and ceilings of many customers.
+
+It is pure: events and the current time go in, actions come out.
+"""
 
 from .rules import Gateway
 
--- a/mintford/reading.py
+++ b/mintford/reading.py
@@ -1,7 +1,7 @@
-"""Reads the settings that a deployment gives a gateway: one reader for the wire and for sockets.
+"""Reads a deployment's settings of a gateway. The simulator's wire and the socket program share this reader.
 
-Keys that are unknown are passed over, and what is missing is not offered. Values that can't be read raise
-ValueError, TypeError or KeyError; `roadpulley check` names their place beforehand.
+Unknown keys are ignored, and a missing key means that the deployment lacks the feature. Values that can't be
+read raise ValueError, TypeError or KeyError. `roadpulley check` finds them beforehand and names the key.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 from . import interface as api
 
-# What a load report may hold, by its names in the simulator's pages and on this wire.
+# The fields of a load report, by their names in the simulator's pages and on this wire.
 REPORT_FIELDS = {
     "inflight": "inflight", "busy_reqs": "inflight",
     "queue": "queue", "pending": "queue",
@@ -22,6 +22,7 @@
 
 
 def read_settings(raw: dict[str, Any]) -> api.Settings:
+    """Read all settings of a gateway. Raises ValueError, TypeError or KeyError."""
     caps, info, rules = raw.get("caps") or {}, raw.get("familyInfo") or {}, raw.get("rules") or {}
     return api.Settings(
         index=int(raw.get("selfIndex") or 0),
@@ -44,11 +45,12 @@
         counter_timeout=float(info.get("countWait") or 0),
         max_request_units=float(info.get("unitsTop") or 1),
         rights_ratio=float(raw.get("rights") or 0),
-        capabilities=read_offers(raw),
+        capabilities=read_capabilities(raw),
     )
 
 
 def read_class(raw: dict[str, Any]) -> api.RequestClass:
+    """Read a class of requests. Without a latency target its deadline is the target."""
     return api.RequestClass(
         name=str(raw["name"]),
         latency_target=float(raw.get("aim") or raw["deadline"]),
@@ -61,6 +63,7 @@
 
 
 def read_plan(raw: dict[str, Any]) -> api.Plan:
+    """Read a plan. Limits that are missing are 0, which means none."""
     return api.Plan(
         name=str(raw["name"]),
         rate=float(raw.get("rate") or 0),
@@ -74,13 +77,14 @@
     )
 
 
-def read_offers(raw: dict[str, Any]) -> api.Capabilities:
+def read_capabilities(raw: dict[str, Any]) -> api.Capabilities:
+    """Read the optional features and the prices of a deployment."""
     caps, info, prices = raw.get("caps") or {}, raw.get("familyInfo") or {}, raw.get("prices") or {}
     telemetry, habits = raw.get("telemetry") or {}, raw.get("clientHabits") or {}
-    how = str(telemetry.get("how") or "none")
-    names = () if how == "none" else tuple(telemetry.get("names") or ())
+    channel = str(telemetry.get("how") or "none")
+    names = () if channel == "none" else tuple(telemetry.get("names") or ())
     return api.Capabilities(
-        load_reports=how if names else "none",
+        load_reports=channel if names else "none",
         report_fields=tuple(REPORT_FIELDS[name] for name in names if name in REPORT_FIELDS),
         allows_probes=bool(caps.get("probes")),
         settles_units=bool(info.get("costAfter")),
@@ -95,34 +99,34 @@
 
 
 def read_worst_class(goal: dict[str, Any]) -> float:
-    """The weight of the class that fares worst, of all parts of the result; 0 where no goal is told."""
+    """Return the weight of the class with the worst result among all parts of the goal, 0 without a goal."""
     parts = [float(goal.get(name) or 0) for name in ("worstClass", "whole", "worstTenant", "worstWindow")]
     return parts[0] / sum(parts) if parts[0] > 0 else 0.0
 
 
 def describe_settings(settings: api.Settings) -> list[str]:
-    """What a deployment offers and what it asks, one line each: for people who run a gateway there."""
-    offers, plans = settings.capabilities, settings.plans
-    rules = [p.name for p in plans if p.ceiling_rate], [p.name for p in plans if p.open_limit]
+    """Describe the features and rules of a deployment for its operators, one line each."""
+    features, plans = settings.capabilities, settings.plans
+    limited_plans = [p.name for p in plans if p.ceiling_rate], [p.name for p in plans if p.open_limit]
     keyed = [f"{c.name} (by {c.dedup.value}, {c.repeat_window:g} ms)" for c in settings.classes
              if c.effect is api.Effect.KEYED]  # fmt: skip
     return [
         f"gateway {settings.index} of {settings.gateways}, zone {settings.zone or 'not told'}",
-        f"load reports: {offers.load_reports}"
-        + (f" ({', '.join(offers.report_fields)})" if offers.report_fields else ""),
-        f"probes: {f'allowed, {offers.price_probe:g} each' if offers.allows_probes else 'not allowed'}",
-        f"units: {'a guess, settled by the answer' if offers.settles_units else 'as the request says'},"
+        f"load reports: {features.load_reports}"
+        + (f" ({', '.join(features.report_fields)})" if features.report_fields else ""),
+        f"probes: {f'allowed, {features.price_probe:g} each' if features.allows_probes else 'not allowed'}",
+        f"units: {'a guess, settled by the answer' if features.settles_units else 'as the request says'},"
         f" {settings.max_request_units:g} at most",
         "counter: "
-        f"{f'yes, {offers.price_count:g} for one call a request' if settings.has_counter else 'none'}",
-        f"retries of clients: {'marked' if offers.marks_retries else 'not marked'}; told to come back after"
+        f"{f'yes, {features.price_count:g} for one call a request' if settings.has_counter else 'none'}",
+        f"retries of clients: {'marked' if features.marks_retries else 'not marked'}; told to come back after"
         f" {settings.max_retry_after:g} ms at most",
         f"attempts: {settings.max_attempts} at most, {'two' if settings.may_duplicate else 'one'} at a time,"
         f" {'may' if settings.can_cancel else 'may not'} be called off",
         f"repeated only inside a group: {', '.join(keyed) or 'no class'}",
-        f"hard ceilings: {', '.join(rules[0]) or 'no plan'};"
-        f" limits on open attempts: {', '.join(rules[1]) or 'no plan'}",
-        f"prices: waste {offers.price_waste:g}, late failures {offers.price_late:g},"
-        f" crossing zones {offers.price_crossing:g}",
-        f"the class that fares worst decides {offers.worst_class_weight:.0%} of the result",
+        f"hard ceilings: {', '.join(limited_plans[0]) or 'no plan'};"
+        f" limits on open attempts: {', '.join(limited_plans[1]) or 'no plan'}",
+        f"prices: waste {features.price_waste:g}, late failures {features.price_late:g},"
+        f" crossing zones {features.price_crossing:g}",
+        f"the class that fares worst decides {features.worst_class_weight:.0%} of the result",
     ]
--- a/mintford/wirehost.py
+++ b/mintford/wirehost.py
@@ -1,4 +1,7 @@
-"""Adapter from the wire (JSON lines on standard input and output) to `mintford.rules`. Decides nothing."""
+"""Adapter between the simulator and `mintford.rules`, by JSON lines on standard input and output.
+
+It makes no decisions. A line holds a batch of events for several gateways, and its answer their actions.
+"""
 
 from __future__ import annotations
 
@@ -13,10 +16,11 @@
 
 
 class WireError(Exception):
-    """What came in is not of the wire's shape."""
+    """The input does not have the format of the simulator's wire."""
 
 
 def read_entry(raw: list[Any]) -> api.BackendEntry:
+    """Read a backend from its array in a backend list."""
     zone, cell, started, state, _weight, backend = raw[:6]
     return api.BackendEntry(
         backend=int(backend),
@@ -28,6 +32,7 @@
 
 
 def read_list(scope: str, _revision: Any, entries: Any, *_: Any) -> api.Event:
+    """Read a backend list."""
     return api.BackendsChanged(api.ListScope(scope), tuple(read_entry(e) for e in entries or ()))
 
 
@@ -43,9 +48,10 @@
     bits: Any = 0,
     *_: Any,
 ) -> api.Event:
+    """Read a new request. The value 2 in `bits` marks a repeat."""
     return api.RequestArrived(
-        text(request),
-        text(name),
+        read_text(request),
+        read_text(name),
         str(plan or ""),
         str(customer or ""),
         float(expires),
@@ -57,28 +63,39 @@
 
 
 def read_ended(
-    request: str, settled: Any, lag: Any, outcome: str, finished: Any, attempt: int, backend: int, *_: Any
+    request: str,
+    settled_units: Any,
+    elapsed: Any,
+    outcome: str,
+    finished: Any,
+    attempt: int,
+    backend: int,
+    *_: Any,
 ) -> api.Event:
+    """Read the end of an attempt."""
     return api.AttemptEnded(
-        text(request),
+        read_text(request),
         int(attempt),
         int(backend),
         api.Outcome(outcome),
-        float(lag or 0),
+        float(elapsed or 0),
         bool(finished),
-        float(settled or 0),
+        float(settled_units or 0),
     )
 
 
-def read_began(request: str, attempt: int, backend: int, *_: Any) -> api.Event:
-    return api.ResponseStarted(text(request), int(attempt), int(backend))
+def read_response_started(request: str, attempt: int, backend: int, *_: Any) -> api.Event:
+    """Read the start of a response."""
+    return api.ResponseStarted(read_text(request), int(attempt), int(backend))
 
 
-def read_counted(reading: Any, _lag: Any, outcome: str, name: str, *_: Any) -> api.Event:
-    return api.CounterReplied(text(name), api.Outcome(outcome), float(reading or 0))
+def read_counter_reply(total: Any, _elapsed: Any, outcome: str, name: str, *_: Any) -> api.Event:
+    """Read a reply of the counter."""
+    return api.CounterReplied(read_text(name), api.Outcome(outcome), float(total or 0))
 
 
-def text(value: Any) -> str:
+def read_text(value: Any) -> str:
+    """Return a string as it is. Raises WireError for any other value."""
     if not isinstance(value, str):
         raise WireError(f"expected text, got {value!r}")
     return value
@@ -88,16 +105,17 @@
     "backendsChanged": read_list,
     "jobIn": read_request,
     "ended": read_ended,
-    "underWay": read_began,
-    "lapsed": lambda request, *_: api.RequestAbandoned(text(request)),
-    "ledgerReply": read_counted,
-    "wakeup": lambda token, *_: api.TimerFired(text(token)),
+    "underWay": read_response_started,
+    "lapsed": lambda request, *_: api.RequestAbandoned(read_text(request)),
+    "ledgerReply": read_counter_reply,
+    "wakeup": lambda token, *_: api.TimerFired(read_text(token)),
     "whisper": lambda sender, payload, *_: api.PeerMessageReceived(int(sender), bytes.fromhex(payload)),
     "health": lambda *_: None,
 }
 
 
 def write_action(action: api.Action) -> list[Any]:
+    """Return an action as the simulator's array. Raises ValueError for an action the wire doesn't have."""
     match action:
         case api.Send(request, backend, timeout):
             return ["callOut", request, timeout, backend]
@@ -114,25 +132,29 @@
         case api.SubscribeBackends(enable):
             return ["follow", enable]
         case api.SendHandover() | api.SpendRights():
-            raise ValueError("on this wire a gateway is one process, and by itself")
+            raise ValueError("the simulator runs a gateway as one process without handovers or rights")
 
 
 class Host:
-    """The gateways of this process, one for each instance that was created and has not stopped."""
+    """The gateways of this process, one for each instance that is created and has not exited."""
 
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}
 
-    def batch(self, line: str) -> str:
+    def process_batch(self, line: str) -> str:
+        """Process a line of events and return the line of actions. Raises WireError."""
         try:
             message = json.loads(line)
             now = float(message["moment"])
-            groups = [{"gatewayId": g["gatewayId"], "out": self.group(now, g)} for g in message["groups"]]
+            groups = [
+                {"gatewayId": g["gatewayId"], "out": self.process_group(now, g)} for g in message["groups"]
+            ]
         except (ValueError, KeyError, TypeError, AttributeError, IndexError) as error:
             raise WireError(f"{type(error).__name__}: {error}") from error
         return json.dumps({"groups": [g for g in groups if g["out"]]}, separators=(",", ":"))
 
-    def group(self, now: float, group: dict[str, Any]) -> list[list[Any]]:
+    def process_group(self, now: float, group: dict[str, Any]) -> list[list[Any]]:
+        """Process the events of one gateway and return its actions."""
         instance = int(group["gatewayId"])
         out: list[list[Any]] = []
         for name, *values in group["arrivals"]:
@@ -155,12 +177,13 @@
 
 
 def main(lines: TextIO = sys.stdin, replies: TextIO = sys.stdout) -> int:
+    """Answer lines until the input ends. Return 2, as the exit status, on bad input."""
     host = Host()
     for line in lines:
         if not line.strip():
             continue
         try:
-            reply = host.batch(line)
+            reply = host.process_batch(line)
         except WireError as error:
             print("mintford.wirehost: bad input: " + " ".join(str(error).split()), file=sys.stderr)
             return 2
