--- a/roadpulley/fleet/agent.py
+++ b/roadpulley/fleet/agent.py
@@ -1,6 +1,7 @@
-"""One instance of the fleet: its datagrams, whom it sees, its vote, its duties, and what answers people.
+"""One instance of the fleet: connects its datagrams, members, voter, duties, services and control socket.
 
-Decides nothing: machines do. It runs on an event loop of its own process; no request waits for it.
+The state machines make the decisions. The agent has its own process and event loop, so no request waits for
+it.
 """
 
 from __future__ import annotations
@@ -49,7 +50,7 @@
 from .peers.service import DatagramEndpoint, Route
 from .rights.messages import Body as RightsMessage
 from .rights.service import RightsService
-from .rights.work import DUTY as RIGHTS
+from .rights.work import DUTY as RIGHTS_DUTY_PREFIX
 from .settings import DutySettings, FleetSettings, check_address, check_name
 from .verdicts.messages import HealthReportBatch, ObservationBatch
 from .verdicts.service import VerdictService
@@ -57,14 +58,17 @@
 
 log = structlog.get_logger("roadpulley.fleet")
 
-ASSIGNMENT_INTERVAL_S = 0.5  # between two looks at who should hold what; a change of the members comes sooner
+ASSIGNMENT_INTERVAL_S = 0.5  # changes of the members trigger an update sooner
 BIND_RETRY_INTERVAL_S = 0.5
-MAX_WORKER_THREADS = 32
+MAX_WORKER_THREADS = 32  # for the works of duties
 BOOT_BITS = 53
 
 
 class Offer(msgspec.Struct, tag="offer", array_like=True, frozen=True):
-    """A duty is free now; `rank`: how many were told before this one; `fence`: it was held under that one."""
+    """A duty is free now.
+
+    `rank`: how many processes were notified before the receiver; `fence`: that of the last holding.
+    """
 
     duty: str
     rank: int
@@ -92,8 +96,10 @@
 
 
 class Agent:
-    """`name`: which instance of the settings this process is; one that they don't name takes any free
-    port."""
+    """An instance of the fleet.
+
+    `name`: its name in the settings. An instance without an entry there binds any free port.
+    """
 
     def __init__(
         self,
@@ -112,9 +118,9 @@
         self.duty_bit_numbers = {duty: bit for bit, duty in enumerate(sorted(settings.duties))}
         self.eligible_duty_bits = sum(1 << self.duty_bit_numbers[d] for d in works)
         self.executor = ThreadPoolExecutor(min(MAX_WORKER_THREADS, len(works) + 1), "duty")
-        file = VoterConfigFile(settings.state, name, settings.voters)
+        config_file = VoterConfigFile(settings.state, name, settings.voters)
         self.reconfiguration = Reconfiguration(
-            file, settings.times, self.clock, self._send_to_voter, self._adopt_voter_config
+            config_file, settings.times, self.clock, self._send_to_voter, self._adopt_voter_config
         )
         self.duties = DutyManager(
             settings,
@@ -131,8 +137,9 @@
         )
         reconfiguration_work = ReconfigurationWork(self.reconfiguration, self._call_soon_from_thread)
         self.duties.add_duty(DutySettings(VOTERS_DUTY, "voters", None, "", 1.0, (), ()), reconfiguration_work)
-        self.members: Membership | None = None  # once our address is known
-        self.processes_by_address: dict[str, ProcessId] = {}  # who was heard at an address last
+        self.members: Membership | None = None  # None until the own address is known
+        # The sender of the last datagram from each address.
+        self.processes_by_address: dict[str, ProcessId] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.timer_update_pending = False
         self.tasks: list[asyncio.Task[None]] = []
@@ -154,14 +161,14 @@
                 self._list_routes,
             )
         if settings.rights is not None:
-            tell = self._send_to_route
+            send = self._send_to_route
             self.rights = RightsService(
                 settings.rights,
                 self.worker_socket,
                 works,
                 self.clock,
                 self.rng,
-                tell,
+                send,
                 self._list_routes,
                 self._call_soon_from_thread,
             )
@@ -194,18 +201,21 @@
                 self._apply_ordered_limits,
             )
 
-    # ---- life ----
+    # ---- lifecycle ----
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Until `stop`; then what is held goes to others. Raises OSError where no address can be had."""
+        """Runs until `stop` is set, and hands over its duties then.
+
+        Raises OSError if no address can be bound.
+        """
         await self._open()
         assert self.members is not None
         loop = self.loop = asyncio.get_running_loop()
         await self.control.open()
-        for part in self._list_services():
+        for service in self._list_services():
             if self.worker_socket.socket is None:
                 await self.worker_socket.open()
-            part.open()
+            service.open()
         log.info(
             "begins",
             boot=self.process_id.boot,
@@ -221,21 +231,21 @@
             await self._close()
 
     async def _open(self) -> None:
-        wanted = self.address_of(self.name) or None
+        configured_address = self.address_of(self.name) or None
         try:
-            await self.endpoint.open(wanted or "127.0.0.1:0")
+            await self.endpoint.open(configured_address or "127.0.0.1:0")
         except OSError as error:
-            if wanted is None:
+            if configured_address is None:
                 raise
-            # The process before this one may still have it, as in an upgrade. Until it ends, this one is an
-            # instance beside it, without a vote.
-            host = wanted.rpartition(":")[0]
+            # The previous process may still be bound to it, as in an upgrade. Until that one ends, this
+            # process runs as another instance, without a vote.
+            host = configured_address.rpartition(":")[0]
             await self.endpoint.open(f"{host}:0")
-            self.problems["address"] = f"{wanted} is taken ({error.strerror}): no vote from here"
-            log.warning("address is taken", address=wanted, why=str(error.strerror))
-            self.tasks.append(asyncio.get_running_loop().create_task(self._retry_bind(wanted)))
-        settings, at_home = self.settings, self.endpoint.address == wanted
-        address = "" if at_home else self.endpoint.address
+            self.problems["address"] = f"{configured_address} is taken ({error.strerror}): no vote from here"
+            log.warning("address is taken", address=configured_address, why=str(error.strerror))
+            self.tasks.append(asyncio.get_running_loop().create_task(self._retry_bind(configured_address)))
+        settings, has_configured_address = self.settings, self.endpoint.address == configured_address
+        address = "" if has_configured_address else self.endpoint.address
         self.members = Membership(
             self.process_id,
             address,
@@ -245,25 +255,25 @@
             settings.members,
             self.rng,
         )
-        if at_home:
+        if has_configured_address:
             self._start_voting()
 
-    async def _retry_bind(self, wanted: str) -> None:
-        """Move to the address of our name once it is free; the vote begins there, in silence."""
+    async def _retry_bind(self, configured_address: str) -> None:
+        """Moves to the configured address once it is free. The voter starts there, silent at first."""
         while True:
             await asyncio.sleep(BIND_RETRY_INTERVAL_S)
-            old = self.endpoint.transport
+            old_transport = self.endpoint.transport
             try:
-                await self.endpoint.open(wanted)
+                await self.endpoint.open(configured_address)
             except OSError:
                 continue
-            if old is not None:
-                old.close()
+            if old_transport is not None:
+                old_transport.close()
             assert self.members is not None
             self.problems.pop("address", None)
             self.members.set_address("")
             self._start_voting()
-            log.info("address is ours now", address=wanted)
+            log.info("address is ours now", address=configured_address)
             return
 
     async def _leave_fleet(self) -> None:
@@ -280,8 +290,8 @@
         if self.timer is not None:
             self.timer.cancel()
         await self.control.close()
-        for part in self._list_services():
-            part.close()
+        for service in self._list_services():
+            service.close()
         self.worker_socket.close()
         self.endpoint.close()
         self.executor.shutdown(wait=False, cancel_futures=True)
@@ -293,30 +303,30 @@
 
     def _update_assignments(self) -> None:
         assert self.members is not None
-        for who, state in self.members.state_changes:
-            log.info("member", who=who.name, its_boot=who.boot, state=state.name.lower())
+        for process, state in self.members.state_changes:
+            log.info("member", who=process.name, its_boot=process.boot, state=state.name.lower())
         self.members.state_changes.clear()
-        there = [m for m in self.members.active_claims() if m.state is MemberState.ALIVE]
-        self.duties.update_assignments(there, self.duty_bit_numbers)
+        alive_members = [m for m in self.members.active_claims() if m.state is MemberState.ALIVE]
+        self.duties.update_assignments(alive_members, self.duty_bit_numbers)
 
     # ---- time ----
 
     def _schedule_timer_update(self) -> None:
-        """Something is due at another time: looked up once, at the end of this turn of the loop."""
+        """Resets the timer once, at the end of this iteration of the event loop."""
         if self.members is not None and not self.timer_update_pending:
             self.timer_update_pending = True
             asyncio.get_running_loop().call_soon(self._update_timer)
 
     def _update_timer(self) -> None:
-        """Wake up for whatever is due next."""
+        """Sets the timer to the next deadline."""
         self.timer_update_pending = False
         if self.members is None or self.endpoint.transport is None:
             return
         due = min(self.duties.next_due_at(), self.members.next_deadline())
         if self.timer is not None:
             self.timer.cancel()
-        wait = max(0.0, (due - self.clock.now()) / self.clock.rate)
-        self.timer = asyncio.get_running_loop().call_later(min(wait, 1.0) + 0.0005, self._tick)
+        delay_s = max(0.0, (due - self.clock.now()) / self.clock.rate)
+        self.timer = asyncio.get_running_loop().call_later(min(delay_s, 1.0) + 0.0005, self._tick)
 
     def _tick(self) -> None:
         assert self.members is not None
@@ -332,70 +342,73 @@
 
     def _handle_envelope(self, envelope: Envelope, address: str) -> DropReason | None:
         if self.members is None:
-            return DropReason.STALE  # it comes before this process knows its own address
-        who = ProcessId(envelope.sender, envelope.sender_boot)
-        for_us = envelope.receiver_boot == self.process_id.boot
+            return DropReason.STALE  # it arrived before this process knew its own address
+        sender_id = ProcessId(envelope.sender, envelope.sender_boot)
+        is_for_this_process = envelope.receiver_boot == self.process_id.boot
         try:
             bodies = [BODY_DECODER.decode(raw) for raw in envelope.bodies]
         except (msgspec.DecodeError, msgspec.ValidationError):
             return DropReason.MALFORMED
-        self.processes_by_address[address] = who
+        self.processes_by_address[address] = sender_id
         for body in bodies:
             if isinstance(body, MEMBERSHIP_MESSAGES):
-                self._send_all(self.members.handle_message(self.clock.now(), who, address, body))
-            elif not for_us:
-                # Danger: what was meant for the process before this one must not be taken up by it. The
-                # sender is told who is here now.
-                self.endpoint.send(address, who.boot, Ping(0, ()))
+                self._send_all(self.members.handle_message(self.clock.now(), sender_id, address, body))
+            elif not is_for_this_process:
+                # This message was meant for the previous process at this address, and must not be handled by
+                # its successor. The ping tells the sender the current process.
+                self.endpoint.send(address, sender_id.boot, Ping(0, ()))
                 return DropReason.STALE
-            elif cause := self._dispatch(who, address, body):
-                return cause
+            elif drop_reason := self._dispatch(sender_id, address, body):
+                return drop_reason
         return None
 
-    def _dispatch(self, who: ProcessId, address: str, body: Any) -> DropReason | None:
+    def _dispatch(self, sender_id: ProcessId, address: str, body: Any) -> DropReason | None:
         if isinstance(body, RightsMessage):
             if self.rights is not None:
-                self.rights.handle_peer_message((address, who.boot), body)
+                self.rights.handle_peer_message((address, sender_id.boot), body)
         elif isinstance(body, PartBatch | Digest):
             if self.counters is not None:
-                self.counters.handle_message((address, who.boot), body)
+                self.counters.handle_message((address, sender_id.boot), body)
         elif isinstance(body, OrderMessage):
             if self.orders is not None:
-                self.orders.handle_peer_message((address, who.boot), who.name, body)
+                self.orders.handle_peer_message((address, sender_id.boot), sender_id.name, body)
         elif isinstance(body, HealthReportBatch):
             if self.verdicts is not None:
-                self.verdicts.handle_peer_message(who, body)
+                self.verdicts.handle_peer_message(sender_id, body)
         elif isinstance(body, Offer):
             self.duties.handle_offer(body.duty, body.rank, body.fence)
         elif isinstance(body, VoterConfigQuery):
-            if known := self.reconfiguration.handle_query(body):
-                self.endpoint.send(address, who.boot, known)
+            if reply := self.reconfiguration.handle_query(body):
+                self.endpoint.send(address, sender_id.boot, reply)
         elif isinstance(body, VoterConfig | VoterConfigAck):
             if isinstance(body, VoterConfig):
-                self.endpoint.send(address, who.boot, self.reconfiguration.handle_config(body))
-            if self._is_awaited_voter(who.name, address):
-                self.reconfiguration.handle_response(who.name, body)
+                self.endpoint.send(address, sender_id.boot, self.reconfiguration.handle_config(body))
+            if self._is_awaited_voter(sender_id.name, address):
+                self.reconfiguration.handle_response(sender_id.name, body)
         elif isinstance(body, Prepare | Accept | Release):
-            if body.ballot.process != who:
+            if body.ballot.process != sender_id:
                 return DropReason.UNKNOWN_SENDER
-            if answer := self.duties.handle_voter_request(body):
-                self.endpoint.send(address, who.boot, answer)
+            if response := self.duties.handle_voter_request(body):
+                self.endpoint.send(address, sender_id.boot, response)
             if not isinstance(body, Release):
-                self._sync_voter_config(who, address, body.config_id)
-        elif who.name not in self.reconfiguration.config.voters or self.address_of(who.name) != address:
-            # Danger: a second process under a voter's name would be counted as that voter.
+                self._sync_voter_config(sender_id, address, body.config_id)
+        elif (
+            sender_id.name not in self.reconfiguration.config.voters
+            or self.address_of(sender_id.name) != address
+        ):
+            # A second process under a voter's name, at another address, must not be counted as that voter.
             return DropReason.UNKNOWN_SENDER
         else:
-            self.duties.handle_voter_response(who.name, body)
+            self.duties.handle_voter_response(sender_id.name, body)
         return None
 
-    def _send_all(self, tells: list[OutboundMessage]) -> None:
-        for tell in tells:
-            self.endpoint.send(tell.address, tell.receiver.boot, tell.body)
+    def _send_all(self, messages: list[OutboundMessage]) -> None:
+        for message in messages:
+            self.endpoint.send(message.address, message.receiver.boot, message.body)
 
     def _list_services(self) -> list[RightsService | CounterReplicator | OrderService | VerdictService]:
-        parts = (self.rights, self.counters, self.orders, self.verdicts)
-        return [part for part in parts if part is not None]
+        services = (self.rights, self.counters, self.orders, self.verdicts)
+        return [service for service in services if service is not None]
 
     def _handle_worker_message(self, body: WorkerMessage) -> None:
         if isinstance(body, AddRequest):
@@ -414,7 +427,7 @@
         self.endpoint.send(*route, body)
 
     def _list_routes(self) -> list[Route]:
-        """To all other instances that are there."""
+        """Routes to all other active members."""
         if self.members is None:
             return []
         return [
@@ -424,46 +437,53 @@
         ]
 
     def _find_route(self, voter: str) -> Route | None:
-        """To whoever was heard at a voter's address last."""
+        """The route to the last known process at a voter's address; None if that is another instance."""
         address = self.address_of(voter)
-        known = self.processes_by_address.get(address, NO_PROCESS)
-        return (address, known.boot) if known != NO_PROCESS and known.name == voter else None
+        process = self.processes_by_address.get(address, NO_PROCESS)
+        return (address, process.boot) if process != NO_PROCESS and process.name == voter else None
 
     def _apply_ordered_limits(self) -> None:
-        """Other limits of operators hold here."""
+        """Passes the limits of the active orders to the rights service."""
         if self.rights is not None and self.orders is not None and self.settings.orders is not None:
-            part, lease = self.rights.settings.ceiling_ratio, self.settings.orders.open_lease_s
-            found = {o.limit_name: o.to_limit(part, lease) for o in self.orders.active_orders if o.is_limit}
-            self.rights.set_order_limits(found)
-
-    def _send_request(self, voter: str, question: VoterRequest) -> None:
+            ceiling_share, open_lease = (
+                self.rights.settings.ceiling_ratio,
+                self.settings.orders.open_lease_s,
+            )
+            limits = {
+                o.limit_name: o.to_limit(ceiling_share, open_lease)
+                for o in self.orders.active_orders
+                if o.is_limit
+            }
+            self.rights.set_order_limits(limits)
+
+    def _send_request(self, voter: str, request: VoterRequest) -> None:
         if voter == self.name and self.duties.voter is not None:
-            asyncio.get_running_loop().call_soon(self._handle_own_request, question)
+            asyncio.get_running_loop().call_soon(self._handle_own_request, request)
             return
         address = self.address_of(voter)
-        if (known := self.processes_by_address.get(address, NO_PROCESS)) != NO_PROCESS:
-            self.endpoint.send(address, known.boot, question)
+        if (process := self.processes_by_address.get(address, NO_PROCESS)) != NO_PROCESS:
+            self.endpoint.send(address, process.boot, request)
 
-    def _handle_own_request(self, question: VoterRequest) -> None:
-        if answer := self.duties.handle_voter_request(question):
-            self.duties.handle_voter_response(self.name, answer)
+    def _handle_own_request(self, request: VoterRequest) -> None:
+        if response := self.duties.handle_voter_request(request):
+            self.duties.handle_voter_response(self.name, response)
 
-    # ---- who votes ----
+    # ---- voters ----
 
     def address_of(self, voter: str) -> str:
-        """The address of a voter, empty where it is not known here."""
+        """The address of a voter, empty if it is unknown here."""
         return self.reconfiguration.config.voters.get(voter) or self.settings.known_addresses.get(voter, "")
 
-    def _sync_voter_config(self, who: ProcessId, address: str, config_id: tuple[int, int]) -> None:
-        """One of the two goes by older voters: it is told."""
-        ours = self.reconfiguration.config
-        if config_id < tuple(ours.id):
-            self.endpoint.send(address, who.boot, ours)
-        elif config_id > tuple(ours.id):
-            self.endpoint.send(address, who.boot, VoterConfigQuery(0))
+    def _sync_voter_config(self, sender_id: ProcessId, address: str, config_id: tuple[int, int]) -> None:
+        """Sends the own configuration if the sender's is older, and asks for the sender's if it is newer."""
+        own_config = self.reconfiguration.config
+        if config_id < tuple(own_config.id):
+            self.endpoint.send(address, sender_id.boot, own_config)
+        elif config_id > tuple(own_config.id):
+            self.endpoint.send(address, sender_id.boot, VoterConfigQuery(0))
 
     def _is_awaited_voter(self, name: str, address: str) -> bool:
-        """Whether it is a voter whom the change that is under way here has to hear."""
+        """Whether this is a voter whose responses count for the change in progress here."""
         change = self.reconfiguration.change
         if change is None:
             return False
@@ -471,23 +491,23 @@
         return name in voters and address == (voters[name] or self.settings.known_addresses.get(name, ""))
 
     def _send_to_voter(self, voter: str, address: str, body: Any) -> None:
-        """One message of a change, to a voter of before or of then."""
+        """Sends a message of a change to a voter of the old or the new configuration."""
         address = address or self.settings.known_addresses.get(voter, "")
         if voter == self.name:
-            answer = (
+            response = (
                 self.reconfiguration.handle_query(body)
                 if isinstance(body, VoterConfigQuery)
                 else self.reconfiguration.handle_config(body)
             )
-            if answer is not None:
-                asyncio.get_running_loop().call_soon(self.reconfiguration.handle_response, voter, answer)
-        elif (known := self.processes_by_address.get(address, NO_PROCESS)) != NO_PROCESS:
-            self.endpoint.send(address, known.boot, body)
+            if response is not None:
+                asyncio.get_running_loop().call_soon(self.reconfiguration.handle_response, voter, response)
+        elif (process := self.processes_by_address.get(address, NO_PROCESS)) != NO_PROCESS:
+            self.endpoint.send(address, process.boot, body)
         else:
-            self.endpoint.send(address, 0, Ping(0, ()))  # who is there?
+            self.endpoint.send(address, 0, Ping(0, ()))  # its response tells which process is at this address
 
     def _start_voting(self) -> None:
-        """From now on, in silence first: the process before this one may have granted something."""
+        """Starts the voter, silent at first: the previous process of this name may have granted leases."""
         if self.duties.fence_store is None:
             self.duties.fence_store = FenceStore(self.settings.state, self.name, wall_ms())
         self.duties.start_voting(self.clock.now())
@@ -497,13 +517,13 @@
         if self.duties.voter is None and self.endpoint.address == self.address_of(self.name):
             self._start_voting()
 
-    def _call_soon_from_thread(self, act: Callable[[], None]) -> None:
-        """From a thread of a work: on the loop, if it runs still."""
+    def _call_soon_from_thread(self, callback: Callable[[], None]) -> None:
+        """Schedules a callback from a worker thread, if the event loop still runs."""
         with suppress(RuntimeError):
-            self.loop.call_soon_threadsafe(act)
+            self.loop.call_soon_threadsafe(callback)
 
     def _request_voter_change(self, add: dict[str, str], remove: str) -> dict[str, Any]:
-        """Change the voters: as soon as this instance holds the duty to."""
+        """Requests a change, which begins once this instance holds the duty of changing the voters."""
         if self.reconfiguration.request is not None:
             return {"error": "a change is under way here"}
         try:
@@ -518,23 +538,23 @@
         self._schedule_timer_update()
         return self.reconfiguration.status()
 
-    async def _before_hand_over(self, duty: str, who: ProcessId) -> None:
-        """To who is asked first whether it takes a duty, before that is let go of."""
-        if self.rights is None or self.members is None or not duty.startswith(RIGHTS):
+    async def _before_hand_over(self, duty: str, receiver: ProcessId) -> None:
+        """Informs the first candidate for a duty before the duty is released."""
+        if self.rights is None or self.members is None or not duty.startswith(RIGHTS_DUTY_PREFIX):
             return
-        if member := self.members.table.get(who):
-            part = int(duty.removeprefix(RIGHTS))
-            await self.rights.hand_over(part, (self.members.address_of(member), who.boot))
+        if member := self.members.table.get(receiver):
+            partition = int(duty.removeprefix(RIGHTS_DUTY_PREFIX))
+            await self.rights.hand_over(partition, (self.members.address_of(member), receiver.boot))
 
-    def _send_offer(self, who: ProcessId, duty: str, fence: int) -> None:
+    def _send_offer(self, receiver: ProcessId, duty: str, fence: int) -> None:
         assert self.members is not None
-        order = [w for w in self.duties.rankings.get(duty, []) if w != self.process_id]
-        if member := self.members.table.get(who):
+        ranking = [w for w in self.duties.rankings.get(duty, []) if w != self.process_id]
+        if member := self.members.table.get(receiver):
             self.endpoint.send(
-                self.members.address_of(member), who.boot, Offer(duty, order.index(who), fence)
+                self.members.address_of(member), receiver.boot, Offer(duty, ranking.index(receiver), fence)
             )
 
-    # ---- people ----
+    # ---- operators' calls ----
 
     def _answer_control_call(self, call: str, args: dict[str, Any]) -> dict[str, Any]:
         from .report import (
@@ -567,8 +587,8 @@
             return self._request_voter_change(dict(args.get("add", {})), str(args.get("remove", "")))
         if call == "change-status":
             return self.reconfiguration.status()
-        known = "members, duties, voters, limits, verdicts, orders, hand-over, run, change, order"
-        return {"error": f"{call!r} is no call; there are {known}"}
+        calls = "members, duties, voters, limits, verdicts, orders, hand-over, run, change, order"
+        return {"error": f"{call!r} is no call; there are {calls}"}
 
     def _answer_order_call(self, call: str, args: dict[str, Any]) -> dict[str, Any]:
         from .report import describe_orders
