--- a/roadpulley/fleet/duties/voter_config.py
+++ b/roadpulley/fleet/duties/voter_config.py
@@ -130,8 +130,7 @@
 
 
 class VoterChange:
-    """One change, by the holder of the duty. Pure: answers and the time come in, whom to ask or tell
-    goes out."""
+    """One change, made by the holder of the duty. Pure: responses and the time go in, recipients come out."""
 
     def __init__(
         self,
--- a/roadpulley/fleet/settings.py
+++ b/roadpulley/fleet/settings.py
@@ -189,17 +189,19 @@
 
 def check_distinct_addresses(voters: Mapping[str, str], others: Mapping[str, str]) -> None:
     """Raises ValidationError if two instances share a name or an address."""
-    seen: dict[str, str] = {}
+    names_by_address: dict[str, str] = {}
     for part, table in (("voters", voters), ("others", others)):
-        for name, where in table.items():
+        for name, address in table.items():
             if part == "others" and name in voters:
                 raise ValidationError(f"others.{name}", "is a voter too", "name each instance once")
-            if where in seen:
+            if address in names_by_address:
                 # One process with two of three votes would be a majority alone.
                 raise ValidationError(
-                    f"{part}.{name}", f"is at {where}, as {seen[where]} is", "give each its own address"
+                    f"{part}.{name}",
+                    f"is at {address}, as {names_by_address[address]} is",
+                    "give each its own address",
                 )
-            seen[where] = name
+            names_by_address[address] = name
 
 
 def read_lease_times(table: Table) -> LeaseTimes:
@@ -243,8 +245,8 @@
                 "choose a name that doesn't begin with 'fleet.'",
             )
         work = entry.read_text("work", choices=WORK_KINDS)
-        settings, where = entry.read_text("settings", ""), entry.read_text("address", "")
-        if work == "probe" and not where:
+        settings, address = entry.read_text("settings", ""), entry.read_text("address", "")
+        if work == "probe" and not address:
             raise ValidationError(
                 entry.path_of("address"), "is missing", "name the register that the probe acts on"
             )
@@ -263,7 +265,7 @@
             )
         entry.reject_unknown_keys()
         found[name] = DutySettings(
-            name, work, folder / settings if settings else None, where, every_s, prefer, among
+            name, work, folder / settings if settings else None, address, every_s, prefer, among
         )
     if len(found) > MAX_DUTIES:
         raise ValidationError(table.path, f"are {len(found)}", f"name at most {MAX_DUTIES}")
--- a/roadpulley/fleet/works/__init__.py
+++ b/roadpulley/fleet/works/__init__.py
@@ -1,4 +1,4 @@
-"""The works that `fleet.toml` can name, made from their settings. Each is imported only where it is named."""
+"""Creates the works that `fleet.toml` names. Each work is imported only if it is used."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def create_works(settings: FleetSettings, name: str) -> dict[str, Work]:
-    """Of the duties that this instance may hold.
+    """Creates the works of the duties that this instance may hold.
 
     Raises ValidationError for settings of a work that can't be taken.
     """
@@ -20,16 +20,18 @@
 
 
 def create_work(duty: DutySettings, name: str) -> Work:
+    """Creates the work of a duty. Raises ValidationError for bad settings or a missing package."""
     try:
         return create_work_of_kind(duty, name)
     except ImportError as error:
-        right = "install roadpulley[fleet]"
+        hint = "install roadpulley[fleet]"
         raise ValidationError(
-            f"duties.{duty.name}.work", f"is {duty.work!r}, and {error.name} is missing", right
+            f"duties.{duty.name}.work", f"is {duty.work!r}, and {error.name} is missing", hint
         ) from error
 
 
 def create_work_of_kind(duty: DutySettings, name: str) -> Work:
+    """Creates the work of a duty. Raises ValidationError for bad settings, ImportError for a package."""
     if duty.work == "probe":
         from roadpulley.fleet.duties.probe import Probe
 
@@ -48,8 +50,8 @@
 
         from . import usage
 
-        kind = usage.BillingPusher if duty.work == "usage-push" else usage.PeriodCloser
-        return kind(duty.name, read_settings(duty.settings))
+        work_class = usage.BillingPusher if duty.work == "usage-push" else usage.PeriodCloser
+        return work_class(duty.name, read_settings(duty.settings))
     if duty.work == "plans-publish":
         from roadpulley.plans.settings import read_settings as read_plans
 
--- a/roadpulley/fleet/works/plans.py
+++ b/roadpulley/fleet/works/plans.py
@@ -1,5 +1,4 @@
-"""Publishing the feed of plans as a duty: what commands write into the book, one instance shows to
-gateways."""
+"""The `plans-publish` work: one instance publishes the plans that commands write, as a feed for gateways."""
 
 from __future__ import annotations
 
@@ -17,20 +16,21 @@
 
 
 class PlanPublisher:
-    """Its registers: a fence beside the feed, and the followers, which turn an older one down."""
+    """Publishes the feed. Registers: a file next to the feed, and followers, which reject older fences."""
 
     def __init__(self, name: str, settings: PlanSettings) -> None:
         self.name, self.settings = name, settings
         self.register = FileRegister(settings.feed.with_name(settings.feed.name + ".fence"))
 
     def claim(self, fence: int, owner: str) -> int | None:
+        """Claims the fence at the file register. Raises WorkError."""
         try:
             return self.register.claim(fence, owner)
         except OSError as error:
             raise WorkError(str(error)) from error
 
     def act(self, duty: HeldDuty) -> float | None:
-        """Where the feed is behind the book, is of another holding, or holds what is past."""
+        """Publishes if the feed is out of date, was published under another fence, or has expired entries."""
         try:
             with Store.open(self.settings.store) as store:
                 shelf = Shelf(store, self.settings.feed, wall_ms, self.settings.pool)
@@ -39,7 +39,7 @@
                 with self.register.guard(duty.fence):
                     doc = shelf.publish(duty.fence)
         except Locked:
-            return 0.05  # a command writes just now; what it changed is shown once it is done
+            return 0.05  # a command is writing: its changes are published once it is done
         except (StoreError, ValidationError, OSError) as error:
             raise WorkError(f"the book of plans: {error}") from error
         log.info("%s: the feed is at %d under %d", self.name, doc.seq, doc.fence)
--- a/roadpulley/fleet/works/usage.py
+++ b/roadpulley/fleet/works/usage.py
@@ -1,4 +1,4 @@
-"""Billing as duties: pushing files to the sink, and closing periods once they are over."""
+"""The billing works: `usage-push` pushes files to the sink, `usage-close` closes ended periods."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 log = logging.getLogger(__name__)
 
-ROUND_S = 20.0  # that one round may go on waiting for a sink that does not answer
+MAX_ROUND_S = 20.0  # a round waits no longer for a sink that doesn't respond
 
 
 @contextmanager
-def opened(settings: UsageSettings) -> Iterator[Store]:
-    """The books' store, for one round: between rounds commands may have it. Raises WorkError."""
+def open_books(settings: UsageSettings) -> Iterator[Store]:
+    """Opens the store of the books for one round; commands may use it between rounds. Raises WorkError."""
     try:
         settings.store.parent.mkdir(parents=True, exist_ok=True)
         with Store.open(settings.store) as store:
@@ -36,8 +36,7 @@
 
 
 class BillingPusher:
-    """Its registers: the books, by a record of the duty, and the sink, which keeps the highest fence
-    it saw."""
+    """Pushes billing files. Registers: a record in the books, and the sink, with the highest fence."""
 
     def __init__(self, name: str, settings: UsageSettings) -> None:
         if not settings.sink:
@@ -47,10 +46,12 @@
         self.name, self.settings = name, settings
 
     def claim(self, fence: int, owner: str) -> int | None:
-        with opened(self.settings) as store:
+        """Claims the fence in the books. Raises WorkError."""
+        with open_books(self.settings) as store:
             return fences.claim(store, self.name, fence, owner)
 
     def act(self, duty: HeldDuty) -> float | None:
+        """Pushes the files that are due, for one round. Raises StaleFenceError, WorkError."""
         import httpx
 
         from roadpulley.usage.pushing import Pushing
@@ -58,14 +59,17 @@
         headers = {}
         if self.settings.token is not None:
             headers["Authorization"] = f"Bearer {self.settings.token.read_text().strip()}"
-        end = time.monotonic() + ROUND_S
+        deadline = time.monotonic() + MAX_ROUND_S
 
         def pause(ms: int) -> bool:
-            """Danger: a push after the time of the holding is out would rest on the fence alone."""
-            duty.ended.wait(min(ms / 1000, max(0.0, end - time.monotonic())))
-            return duty.is_still_held() and time.monotonic() < end
+            """Waits, and returns whether pushing may go on.
 
-        with opened(self.settings) as store:
+            After the holding's expiry only the fence would protect against a second pusher.
+            """
+            duty.ended.wait(min(ms / 1000, max(0.0, deadline - time.monotonic())))
+            return duty.is_still_held() and time.monotonic() < deadline
+
+        with open_books(self.settings) as store:
             fenced = fences.Fenced(store, self.name, duty.fence)
             fenced.check()
             books = Books(fenced)
@@ -82,27 +86,31 @@
 
 
 class PeriodCloser:
-    """Takes batches in, and closes each period once it is over. Its register: the books."""
+    """Collects usage batches and closes each ended period. Register: a record in the books."""
 
     def __init__(self, name: str, settings: UsageSettings) -> None:
         if settings.calendar is None:
-            right = "give every = 'day' or 'month' and the first hour, as from = '2027-01-01T00'"
-            raise ValidationError("close", "is missing in the settings of usage", right)
+            hint = "give every = 'day' or 'month' and the first hour, as from = '2027-01-01T00'"
+            raise ValidationError("close", "is missing in the settings of usage", hint)
         self.name, self.settings, self.calendar = name, settings, settings.calendar
 
     def claim(self, fence: int, owner: str) -> int | None:
-        with opened(self.settings) as store:
+        """Claims the fence in the books. Raises WorkError."""
+        with open_books(self.settings) as store:
             return fences.claim(store, self.name, fence, owner)
 
     def act(self, duty: HeldDuty) -> float | None:
-        with opened(self.settings) as store:
+        """Collects batches and closes ended periods. Raises StaleFenceError, WorkError."""
+        with open_books(self.settings) as store:
             books = Books(fences.Fenced(store, self.name, duty.fence))
             collect(self.settings.spool, books)
             periods = Periods(books)
-            closed = max((p.end for p in periods.all()), default=0)
-            for each in due(self.calendar, closed, wall_ms() // 1000 // HOUR_S):
+            closed_until = max((p.end for p in periods.all()), default=0)
+            for period in due(self.calendar, closed_until, wall_ms() // 1000 // HOUR_S):
                 if not duty.is_still_held():
                     break
-                made = periods.close(each.name, each.start, each.end, wall_ms() // 1000 // HOUR_S, wall_ms())
-                log.info("%s: closed %s with %d lines", self.name, made.name, made.lines)
+                closed_period = periods.close(
+                    period.name, period.start, period.end, wall_ms() // 1000 // HOUR_S, wall_ms()
+                )
+                log.info("%s: closed %s with %d lines", self.name, closed_period.name, closed_period.lines)
         return None
--- a/tests/fleet/test_works.py
+++ b/tests/fleet/test_works.py
@@ -214,18 +214,18 @@
     work = StoreMaintenance("care", settings)
     assert work.claim(5, "a") is None
     for n in range(3):
-        work.copy(holding(5))
-        work.copies()[-1].rename(settings.copies / f"2027010{n + 1}T000000.000000Z-5")
-    work.copy(holding(5))
-    assert len(work.copies()) == 2
-    with Store.open(work.copies()[0]) as copy:
+        work.make_copy(holding(5))
+        work.list_copies()[-1].rename(settings.copies / f"2027010{n + 1}T000000.000000Z-5")
+    work.make_copy(holding(5))
+    assert len(work.list_copies()) == 2
+    with Store.open(work.list_copies()[0]) as copy:
         assert copy.get(b"k") == b"v"
     assert StoreMaintenance("care", settings).claim(6, "b") is None
-    before = work.copies()
+    before = work.list_copies()
     with pytest.raises(StaleFenceError):
-        work.copy(holding(5))
-    assert work.copies() == before
-    StoreMaintenance("care", settings).copy(holding(6))
+        work.make_copy(holding(5))
+    assert work.list_copies() == before
+    StoreMaintenance("care", settings).make_copy(holding(6))
     assert not list(settings.copies.glob("part-*"))  # also what the first left
 
 
