--- a/tests/fleet/test_lease_model.py
+++ b/tests/fleet/test_lease_model.py
@@ -1,6 +1,6 @@
-"""Leases in a small world where everything may happen: explored whole within limits, and by drawn histories.
+"""Model checking of leases: exhaustively within limits, and by random histories.
 
-Each mistake that is planted has to be found; what finds it is the invariant, not the mistake's own lines.
+Each fault that is planted in the state machines or in the model has to violate the invariant.
 """
 
 from __future__ import annotations
@@ -24,15 +24,18 @@
 from roadpulley.fleet.duties.voter import DutyState, Voter
 from roadpulley.testbed.lease_model import Broken, Limits, Model, Rules
 
-# No drift and no margin: the bound itself is tried, not the room that settings leave below it.
+# Without drift and margin, the test checks the bound itself.
 TIMES = LeaseTimes(lease=3.0, drift=0.0, margin=0.0, answer=1.0, claim=100.0)
-WALKS, STEPS = 400, 350
-LONG = Limits(ticks=80, restarts=8, wipes=2, reboots=3, repeats=30, tries=99, asks=99, late=30, lost=60)
+WALKS = 400
+STEPS = 350
+RANDOM_LIMITS = Limits(
+    ticks=80, restarts=8, wipes=2, reboots=3, repeats=30, tries=99, asks=99, late=30, lost=60
+)
 
-CALM = replace(LONG, ticks=30, restarts=0, wipes=0, reboots=0, repeats=0)
+FEW_FAULTS_LIMITS = replace(RANDOM_LIMITS, ticks=30, restarts=0, wipes=0, reboots=0, repeats=0)
 
-# By the kind of fault: how much of each, so that all histories within are walked in seconds.
-WHOLE = {
+# Limits by kind of fault, small enough to explore all histories within them in seconds.
+EXHAUSTIVE_LIMITS = {
     "nothing fails": Limits(ticks=5, restarts=0, tries=1, asks=2, late=0, lost=0),
     "a message is lost": Limits(ticks=3, restarts=0, tries=1, asks=2, late=0, lost=1),
     "a message is late": Limits(ticks=3, restarts=0, tries=1, asks=1, late=1, lost=0),
@@ -42,58 +45,60 @@
 }
 
 
-@pytest.mark.parametrize("fault", WHOLE)
-def test_no_history_breaks_it(fault: str) -> None:
-    states, depth, whole = Model(TIMES, WHOLE[fault]).explore(400_000)
-    assert whole, f"{states} states and more, {depth} steps deep"
+@pytest.mark.parametrize("fault", EXHAUSTIVE_LIMITS)
+def test_no_history_within_limits_violates_the_invariant(fault: str) -> None:
+    states, depth, is_complete = Model(TIMES, EXHAUSTIVE_LIMITS[fault]).explore(400_000)
+    assert is_complete, f"{states} states and more, {depth} steps deep"
     assert states > 1_000
 
 
-def drifting(seed: int) -> tuple[LeaseTimes, tuple[float, ...]]:
-    """Clocks as far apart as settings of this drift allow, each by chance or at an end."""
+def draw_clock_rates(seed: int) -> tuple[LeaseTimes, tuple[float, ...]]:
+    """Times, and rates of the five clocks: each at a bound of the allowed drift or random within it."""
     rng = random.Random(seed)
     drift = rng.choice((0.0, 0.05, 0.2))
     rates = tuple(1 + rng.choice((-drift, drift, rng.uniform(-drift, drift))) for _ in range(5))
     return LeaseTimes(lease=6.0, drift=drift, margin=0.0, answer=1.0, claim=100.0), rates
 
 
-def test_drawn_histories_with_clocks_that_run_apart_hold() -> None:
-    held = 0
+def test_random_histories_with_drifting_clocks_keep_the_invariant() -> None:
+    started = 0
     for seed in range(WALKS):
-        times, rates = drifting(seed)
+        times, rates = draw_clock_rates(seed)
         try:
-            Model(times, LONG, Rules(candidate=Counting), rates).walk(random.Random(seed), STEPS)
+            Model(times, RANDOM_LIMITS, Rules(candidate=CountingCandidate), rates).walk(
+                random.Random(seed), STEPS
+            )
         except Broken as broken:
             pytest.fail(f"seed {seed}: {broken}")
-    held = Counting.begun
-    assert held > WALKS / 2  # else these histories showed nothing
+    started = CountingCandidate.started_count
+    assert started > WALKS / 2  # otherwise these histories have tested nothing
 
 
-class Counting(Candidate):
-    begun = 0
+class CountingCandidate(Candidate):
+    started_count = 0
 
     def handle_claimed(self, now: MonotonicTime, fence: int) -> list[Action]:
-        out = super().handle_claimed(now, fence)
-        Counting.begun += len(out)
-        return out
+        actions = super().handle_claimed(now, fence)
+        CountingCandidate.started_count += len(actions)
+        return actions
 
 
-# ---- mistakes ----
+# ---- planted faults ----
 
 
-class VotesAtOnce(Voter):
+class VoterWithoutSilence(Voter):
     def voting_starts_at(self) -> MonotonicTime:
         return self.started_at
 
 
-class GrantsTwice(Voter):
+class VoterWithTwoGrants(Voter):
     def handle_request(self, now: MonotonicTime, request: VoterRequest) -> VoterResponse | None:
         if (state := self.duty_states.get(request.duty)) is not None and not isinstance(request, Release):
             state.granted_until = min(state.granted_until, now)
         return super().handle_request(now, request)
 
 
-class KeepsTooShort(Voter):
+class VoterWithHalfLease(Voter):
     def handle_request(self, now: MonotonicTime, request: VoterRequest) -> VoterResponse | None:
         if isinstance(request, Accept):
             request = Accept(
@@ -107,105 +112,107 @@
         return super().handle_request(now, request)
 
 
-class ReleasesForAnybody(Voter):
+class VoterReleasingAnyBallot(Voter):
     def _release(self, now: MonotonicTime, state: DutyState, request: Release) -> None:
         super()._release(now, state, Release(request.duty, state.granted_ballot, request.failed))
 
 
-class CountsFromTheAnswer(Candidate):
-    def _handle_grant(self, now: MonotonicTime, voter: str, number: int, out: list[Action]) -> None:
+class CandidateCountingFromResponse(Candidate):
+    def _handle_grant(self, now: MonotonicTime, voter: str, number: int, actions: list[Action]) -> None:
         self.pending_accepts = tuple(PendingAccept(a.number, now, a.granted_by) for a in self.pending_accepts)
-        super()._handle_grant(now, voter, number, out)
+        super()._handle_grant(now, voter, number, actions)
 
 
-class AddsToWhatIsLeft(Candidate):
-    def _handle_grant(self, now: MonotonicTime, voter: str, number: int, out: list[Action]) -> None:
-        before = self.held_until
-        super()._handle_grant(now, voter, number, out)
-        if before and self.held_until > before:
-            self.held_until = before + self.times.hold_duration
+class CandidateAddingRenewals(Candidate):
+    def _handle_grant(self, now: MonotonicTime, voter: str, number: int, actions: list[Action]) -> None:
+        previous_expiry = self.held_until
+        super()._handle_grant(now, voter, number, actions)
+        if previous_expiry and self.held_until > previous_expiry:
+            self.held_until = previous_expiry + self.times.hold_duration
 
 
-class MixesItsAsks(Candidate):
-    def _handle_grant(self, now: MonotonicTime, voter: str, number: int, out: list[Action]) -> None:
-        everyone = frozenset(v for a in self.pending_accepts for v in a.granted_by)
+class CandidateMixingRequests(Candidate):
+    def _handle_grant(self, now: MonotonicTime, voter: str, number: int, actions: list[Action]) -> None:
+        all_grants = frozenset(v for a in self.pending_accepts for v in a.granted_by)
         self.pending_accepts = tuple(
-            PendingAccept(a.number, a.sent_at, everyone) for a in self.pending_accepts
+            PendingAccept(a.number, a.sent_at, all_grants) for a in self.pending_accepts
         )
-        super()._handle_grant(now, voter, number, out)
+        super()._handle_grant(now, voter, number, actions)
 
 
-class TakesOldAnswers(Candidate):
-    def handle_response(self, now: MonotonicTime, voter: str, answer: VoterResponse) -> list[Action]:
-        if not isinstance(answer, LeaseRejection):
-            answer = replace_ballot(answer, self)
-        return super().handle_response(now, voter, answer)
+class CandidateCountingOldResponses(Candidate):
+    def handle_response(self, now: MonotonicTime, voter: str, response: VoterResponse) -> list[Action]:
+        if not isinstance(response, LeaseRejection):
+            response = replace_ballot(response, self)
+        return super().handle_response(now, voter, response)
 
 
-class NeedsTooFew(Candidate):
+class CandidateWithoutMajority(Candidate):
     @property
     def majority(self) -> int:
         return len(self.voters) // 2
 
 
-class ForgetsTheDrift(Candidate):
-    def _handle_grant(self, now: MonotonicTime, voter: str, number: int, out: list[Action]) -> None:
-        super()._handle_grant(now, voter, number, out)
+class CandidateIgnoringDrift(Candidate):
+    def _handle_grant(self, now: MonotonicTime, voter: str, number: int, actions: list[Action]) -> None:
+        super()._handle_grant(now, voter, number, actions)
         if self.held_until:
             self.held_until = max(
                 [self.held_until, *(a.sent_at + self.times.lease for a in self.pending_accepts)]
             )
-            if out:
+            if actions:
                 self.held_until += self.times.lease - self.times.hold_duration
 
 
-class HoldsWithoutEnd(Candidate):
+class CandidateWithoutExpiry(Candidate):
     def is_held(self, now: MonotonicTime) -> bool:
         return self.state is candidates.State.HOLDING
 
 
-def replace_ballot(answer: VoterResponse, mine: Candidate) -> VoterResponse:
+def replace_ballot(response: VoterResponse, candidate: Candidate) -> VoterResponse:
     import msgspec
 
-    changes: dict[str, object] = {"ballot": mine.ballot}
-    if hasattr(answer, "request_number"):
-        changes["request_number"] = mine.last_request_number
-    return msgspec.structs.replace(answer, **changes)
+    changes: dict[str, object] = {"ballot": candidate.ballot}
+    if hasattr(response, "request_number"):
+        changes["request_number"] = candidate.last_request_number
+    return msgspec.structs.replace(response, **changes)
 
 
 @dataclass(frozen=True)
-class Mistake:
+class Fault:
     rules: Rules
-    drift: bool = False  # only clocks that run apart show it
-    first: int = 0  # where to begin: the histories before do not show it, as the benchmark plays them
-    limits: Limits = LONG
-
-
-MISTAKES = {
-    "a voter votes at once after its restart": Mistake(Rules(voter=VotesAtOnce)),
-    "a voter grants while another's grant runs": Mistake(Rules(voter=GrantsTwice)),
-    "a voter keeps a grant for half of the time": Mistake(Rules(voter=KeepsTooShort)),
-    "any release ends the grant that runs": Mistake(Rules(voter=ReleasesForAnybody), first=1600, limits=CALM),
-    "time is counted from the answer": Mistake(Rules(candidate=CountsFromTheAnswer)),
-    "a renewal is added to what is left": Mistake(Rules(candidate=AddsToWhatIsLeft)),
-    "grants of several asks are added up": Mistake(Rules(candidate=MixesItsAsks), first=1900),
-    "an answer to an old ballot is counted": Mistake(
-        Rules(candidate=TakesOldAnswers), first=1600, limits=CALM
+    drift: bool = False  # whether only clocks of different rates reveal it
+    first: int = 0  # the first seed; the benchmark plays all earlier ones, and none reveals the fault
+    limits: Limits = RANDOM_LIMITS
+
+
+FAULTS = {
+    "a voter votes at once after its restart": Fault(Rules(voter=VoterWithoutSilence)),
+    "a voter grants while another process's grant is active": Fault(Rules(voter=VoterWithTwoGrants)),
+    "a voter keeps a grant for half of the time": Fault(Rules(voter=VoterWithHalfLease)),
+    "any release ends the active grant": Fault(
+        Rules(voter=VoterReleasingAnyBallot), first=1600, limits=FEW_FAULTS_LIMITS
+    ),
+    "the holding is counted from the response": Fault(Rules(candidate=CandidateCountingFromResponse)),
+    "a renewal is added to the remaining time": Fault(Rules(candidate=CandidateAddingRenewals)),
+    "grants of several requests are added up": Fault(Rules(candidate=CandidateMixingRequests), first=1900),
+    "a response to an old ballot is counted": Fault(
+        Rules(candidate=CandidateCountingOldResponses), first=1600, limits=FEW_FAULTS_LIMITS
     ),
-    "fewer than a majority are enough": Mistake(Rules(candidate=NeedsTooFew)),
-    "a holder goes on after its time": Mistake(Rules(candidate=HoldsWithoutEnd)),
-    "the drift is left out": Mistake(Rules(candidate=ForgetsTheDrift), drift=True),
-    "the register takes any fence": Mistake(Rules(fences=False)),
-    "a holder acts before its fence was taken up": Mistake(Rules(claims=False)),
-    "two claims of one number are taken for one": Mistake(Rules(owners=False)),
+    "fewer than a majority suffice": Fault(Rules(candidate=CandidateWithoutMajority)),
+    "a holder acts after its expiry": Fault(Rules(candidate=CandidateWithoutExpiry)),
+    "the drift is ignored": Fault(Rules(candidate=CandidateIgnoringDrift), drift=True),
+    "the register accepts any fence": Fault(Rules(fences=False)),
+    "a holder acts before it has claimed its fence": Fault(Rules(claims=False)),
+    "two claims of one fence are not distinguished": Fault(Rules(owners=False)),
 }
 
 
-@pytest.mark.parametrize("mistake", MISTAKES)
-def test_a_planted_mistake_is_found(mistake: str) -> None:
-    planted = MISTAKES[mistake]
+@pytest.mark.parametrize("fault", FAULTS)
+def test_planted_fault_violates_the_invariant(fault: str) -> None:
+    planted = FAULTS[fault]
     for seed in range(planted.first, planted.first + WALKS):
-        times, rates = drifting(seed) if planted.drift else (TIMES, (1.0,) * 5)
+        times, rates = draw_clock_rates(seed) if planted.drift else (TIMES, (1.0,) * 5)
         try:
             Model(times, planted.limits, planted.rules, rates).walk(random.Random(seed), STEPS)
         except Broken:
