--- a/tests/decisions/test_ceiling_rights.py
+++ b/tests/decisions/test_ceiling_rights.py
@@ -39,7 +39,7 @@
     return [action for _ in range(number) for action in world.ask(plan="firm", spread=4)]
 
 
-def test_a_right_is_asked_for_once_the_even_part_is_spent_and_not_before() -> None:
+def test_rights_are_requested_only_after_the_even_part_is_spent() -> None:
     world = gateway()
     world.pass_time(60_000)
     actions = flood(world)
@@ -51,7 +51,7 @@
     assert len(sends(actions[:first])) == int(even)
 
 
-def test_a_right_that_is_paid_lets_a_request_in_and_costs_the_even_part_nothing() -> None:
+def test_granted_right_admits_the_request_without_spending_the_even_part() -> None:
     world = gateway()
     asked = spends(flood(world))[0]
     own = world.gateway.quotas.customers["c"].ceiling.own_tokens
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("answer", ["there is none", "none comes"])
-def test_without_a_right_the_request_is_refused_once(answer: str) -> None:
+def test_request_without_a_right_is_refused_once(answer: str) -> None:
     world = gateway()
     asked = spends(flood(world))[0]
     if answer == "there is none":
@@ -73,13 +73,13 @@
     assert world.give(api.RightsDecided(asked.request, True)) == []  # it came late
 
 
-def test_without_rights_in_the_settings_none_is_asked_for() -> None:
+def test_no_rights_are_requested_if_the_settings_have_none() -> None:
     world = gateway(rights=0.0)
     world.pass_time(60_000)
     assert spends(flood(world, 100)) == []
 
 
-def test_terms_other_than_those_of_the_settings_are_kept_by_the_even_part_alone() -> None:
+def test_ceiling_other_than_in_the_settings_is_enforced_by_the_even_part_alone() -> None:
     """An allocator knows the ceilings of the settings: a lower one of a customer's own would be overdrawn."""
     world = gateway()
     own = api.Plan("firm", rate=4, burst=20_000, overage_cost=1, ceiling_rate=1.0, ceiling_burst=8.0)
@@ -90,7 +90,7 @@
     assert spends(flood(world))
 
 
-def test_a_total_of_the_counter_does_not_pay_where_rights_do() -> None:
+def test_counter_total_does_not_pay_for_a_ceiling_with_rights() -> None:
     """Where rights are spent, nothing of a ceiling goes through the counter."""
     world = World(
         MANY,
@@ -182,7 +182,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(1, 4), STEPS)
-def test_even_parts_and_rights_together_never_overdraw_a_ceiling(
+def test_even_parts_and_rights_together_never_overdraw_the_ceiling(
     size: int, steps: list[tuple[str, int, int]]
 ) -> None:
     fleet = Fleet(size)
@@ -198,7 +198,7 @@
         assert fleet.lowest >= -1e-6, (what, n)
 
 
-def test_one_gateway_alone_gets_nearly_all_that_nobody_else_wants() -> None:
+def test_single_active_gateway_gets_nearly_the_whole_ceiling() -> None:
     fleet = Fleet(4)
     fleet.pass_time(20_000)
     for _ in range(300):
--- a/tests/decisions/test_ceilings.py
+++ b/tests/decisions/test_ceilings.py
@@ -93,7 +93,7 @@
 
 @settings(max_examples=120, deadline=None)
 @given(st.integers(2, 4), st.integers(0, 99), STEPS)
-def test_a_ceiling_is_never_overdrawn(size: int, seed: int, steps: list[tuple[str, int, int]]) -> None:
+def test_ceiling_is_never_overdrawn(size: int, seed: int, steps: list[tuple[str, int, int]]) -> None:
     """Floods anywhere, gateways that don't hear the counter, that restart, epochs that end between."""
     site = Installation(size, seed)
     for n in range(size):
@@ -118,7 +118,7 @@
         assert site.lowest >= -1e-6, (what, n)
 
 
-def test_one_gateway_alone_gets_most_of_a_ceiling_that_nobody_else_uses() -> None:
+def test_single_active_gateway_gets_its_own_and_the_shared_part() -> None:
     site = Installation(4, 1)
     site.pass_time(60_000)
     for _ in range(200):
@@ -133,7 +133,7 @@
     assert site.sent - before > 0.95 * 20 * RATE * (MAX_SHARED_RATIO + (1 - MAX_SHARED_RATIO) / 4)
 
 
-def test_what_the_others_took_at_an_epoch_s_end_is_missed_by_nobody() -> None:
+def test_spending_at_the_end_of_an_epoch_is_never_missed() -> None:
     site = Installation(2, 1)
     for n in range(2):
         site.ask(n, 1.0)
@@ -149,7 +149,7 @@
     assert site.lowest >= -1e-6
 
 
-def test_a_total_that_has_fallen_or_a_counter_just_back_shows_nothing_of_the_shared_part() -> None:
+def test_fallen_total_or_restarted_counter_leaves_the_shared_part_empty() -> None:
     site = Installation(2, 1)
     site.pass_time(10_000)
     for n in (0, 1, 0):
@@ -171,7 +171,7 @@
     assert other.worlds[0].gateway.quotas.customers["c"].ceiling.shared_tokens <= 0
 
 
-def test_a_crowded_counter_is_not_taken_for_one_that_lost_its_numbers() -> None:
+def test_crowded_counter_is_not_mistaken_for_one_that_lost_its_numbers() -> None:
     site = Installation(2, 2)
     site.pass_time(10_000)
     for fails in (api.Outcome.FULL, api.Outcome.FULL, None, api.Outcome.FULL, api.Outcome.TIMED_OUT, None):
@@ -220,7 +220,7 @@
     assert not ceiling.can_pay(1, True)
 
 
-def test_what_is_split_carries_the_quota_by_itself() -> None:
+def test_split_part_alone_carries_the_quota() -> None:
     def plan(times: float) -> api.Plan:
         return api.Plan("p", rate=10, burst=10, ceiling_rate=10 * times, ceiling_burst=10 * times)
 
--- a/tests/decisions/test_cold_fleet.py
+++ b/tests/decisions/test_cold_fleet.py
@@ -120,20 +120,20 @@
 
 @pytest.mark.parametrize("gateways", [20, 30])
 @pytest.mark.parametrize("seed", range(4))
-def test_cold_backends_bear_the_sum_of_what_all_gateways_send(gateways: int, seed: int) -> None:
+def test_cold_backends_survive_the_load_of_all_gateways(gateways: int, seed: int) -> None:
     fleet = Fleet(gateways, seed).run()
     assert not fleet.over, f"seed {seed}: {fleet.over[:3]}"
     assert fleet.most > 0, "no cold backend was sent anything"
 
 
 @pytest.mark.patches_inside
-def test_a_ramp_that_counts_cold_backends_as_warm_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_ramp_that_treats_cold_backends_as_warm_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(load, "compute_cold_share", lambda rules, warm: 1.0)
     assert any(Fleet(20, seed).run().over for seed in range(4))
 
 
 @pytest.mark.patches_inside
-def test_a_ramp_for_each_gateway_alone_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_ramp_computed_for_each_gateway_alone_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each would keep to what a cold backend bears from it, and all of them together would fell it."""
     monkeypatch.setattr(load, "compute_cold_share", lambda rules, warm: min(1.0, warm * 20))
     assert any(Fleet(20, seed).run().over for seed in range(4))
--- a/tests/decisions/test_counted_ahead.py
+++ b/tests/decisions/test_counted_ahead.py
@@ -22,7 +22,7 @@
     world.pass_time(EPOCH_MS - 5_000 - world.now % EPOCH_MS)
 
 
-def test_a_customer_that_asks_once_costs_one_call() -> None:
+def test_single_request_of_a_customer_makes_one_call() -> None:
     world, counter = World(MANY, **TERMS), Counter()
     late_in_epoch(world)
     actions = counter.play(world, world.ask())
@@ -31,7 +31,7 @@
     assert counter.spent("c") == 1.0
 
 
-def test_two_gateways_that_ask_at_the_same_moment_do_not_both_take_the_last_units() -> None:
+def test_two_simultaneous_gateways_do_not_both_spend_the_last_units() -> None:
     """Both calls are on their way before either is answered; the later answer holds the other's units."""
     one, two, counter = World(MANY, index=0, **TERMS), World(MANY, seed=2, index=1, **TERMS), Counter()
     for world in (one, two):
@@ -45,7 +45,7 @@
     assert through <= 1
 
 
-def test_a_refused_request_gives_back_at_once_what_was_added_for_it() -> None:
+def test_refused_request_returns_its_reserved_units_at_once() -> None:
     world, counter = World(MANY, max_request_units=4, **TERMS), Counter()
     late_in_epoch(world)
     world.give(api.BackendsChanged(api.ListScope.FULL, ()))  # nowhere to send it
@@ -54,7 +54,7 @@
     assert counter.spent("c") == 0.0
 
 
-def test_a_call_that_never_ran_leaves_nothing_owed_and_nothing_lost() -> None:
+def test_call_that_did_not_run_is_charged_once() -> None:
     for outcome in (api.Outcome.FULL, api.Outcome.CONNECT):
         world = World(MANY, **TERMS)
         late_in_epoch(world)
@@ -67,7 +67,7 @@
         )
 
 
-def test_an_added_call_without_an_answer_is_not_taken_for_the_others_spending() -> None:
+def test_added_call_without_an_answer_is_not_mistaken_for_peer_spending() -> None:
     world, counter = World(MANY, **TERMS), Counter()
     late_in_epoch(world)
     counter.play(world, world.ask())
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("elsewhere", [0, 3])
-def test_a_call_without_an_answer_that_was_not_added_gives_nothing_back(elsewhere: int) -> None:
+def test_unanswered_call_that_was_not_added_returns_no_units(elsewhere: int) -> None:
     world, other = World(MANY, **TERMS), World(MANY, seed=2, index=1, **TERMS)
     counter = Counter()
     for each in (world, other):
@@ -102,7 +102,7 @@
     assert c.store <= 8 - 3 - elsewhere + unseen + 2 * 0.4 + 0.01
 
 
-def test_a_broken_connection_to_the_counter_does_not_thin_calls_out_and_a_crowded_one_does() -> None:
+def test_only_a_crowded_counter_reduces_the_call_budget() -> None:
     broken, crowded = World(MANY, **TERMS), World(MANY, **TERMS)
     for world, wait in ((broken, 1.0), (crowded, 50.0)):
         for n in range(60):
@@ -114,7 +114,7 @@
     assert crowded.gateway.quotas.call_budget < 3 * MIN_CALL_BUDGET_RATIO
 
 
-def test_a_gateway_that_meets_a_customer_knows_the_least_that_is_left() -> None:
+def test_first_reading_gives_a_lower_bound_of_the_store() -> None:
     """One of eight units is spent elsewhere: seven are surely there, not only the even share of four."""
     one, two, counter = World(MANY, index=0, **TERMS), World(MANY, seed=2, index=1, **TERMS), Counter()
     for world in (one, two):
@@ -124,7 +124,7 @@
     assert through == 7
 
 
-def test_early_in_an_epoch_the_last_one_s_end_is_a_part_of_what_is_known() -> None:
+def test_first_reading_early_in_an_epoch_includes_the_last_epoch() -> None:
     one, two, counter = World(MANY, index=0, **TERMS), World(MANY, seed=2, index=1, **TERMS), Counter()
     for world in (one, two):
         world.pass_time(EPOCH_MS - 200 - world.now % EPOCH_MS)
@@ -135,7 +135,7 @@
     assert through <= 4, "the even share, as it may have been long ago"
 
 
-def test_a_counter_that_is_gone_is_not_called_for_every_request() -> None:
+def test_counter_that_is_down_is_not_called_for_every_request() -> None:
     world, calls = World(MANY, **TERMS), 0
     for _ in range(100):
         todo = world.ask(customer="c")
@@ -153,7 +153,7 @@
     )
 
 
-def test_a_plan_that_never_runs_short_is_told_now_and_then_and_not_with_every_request() -> None:
+def test_ample_plan_is_reported_rarely_and_not_for_every_request() -> None:
     plan = api.Plan("basic", rate=1000, burst=2000, overage_cost=1)
     world, counter = World(MANY, plans=(plan,), **TERMS), Counter()
     for _ in range(100):
--- a/tests/decisions/test_decisions.py
+++ b/tests/decisions/test_decisions.py
@@ -38,26 +38,26 @@
         w.pass_time(gap)
 
 
-def test_an_empty_list_refuses_at_once() -> None:
+def test_empty_backend_list_refuses_at_once() -> None:
     w = world()
     w.give(backends())
     assert refusals(w.ask()) and not sends(w.ask())
 
 
-def test_draining_and_gone_backends_get_nothing_new() -> None:
+def test_draining_and_removed_backends_get_no_new_requests() -> None:
     w = world()
     w.give(backends(entry(1, api.BackendState.DRAINING), scope=api.ListScope.CHANGES))
     w.give(backends(entry(2, api.BackendState.GONE), scope=api.ListScope.CHANGES))
     assert served_by(w, 5) == {3}
 
 
-def test_a_full_list_removes_what_it_omits() -> None:
+def test_full_list_removes_backends_that_it_omits() -> None:
     w = world()
     w.give(backends(entry(2)))
     assert served_by(w, 5) == {2}
 
 
-def test_a_failed_list_keeps_the_old_one_and_asks_again_later() -> None:
+def test_failed_list_keeps_the_old_one_and_is_requested_again() -> None:
     w = world(must_subscribe_backends=True)
     w.give(api.BackendsChanged(api.ListScope.FAILED, ()))
     assert one(w.ask())
@@ -92,7 +92,7 @@
     return sum(1 for _, a in w.log if isinstance(a, api.Send) and a.request == send.request) - 1
 
 
-def test_silent_backend_is_left_while_its_peers_answer() -> None:
+def test_silent_backend_is_avoided_while_others_answer() -> None:
     w = world()
     warm_up(w)
     hung = 0
@@ -106,7 +106,7 @@
     assert hung <= 8
 
 
-def test_overload_is_refused_early_and_the_lesser_class_first() -> None:
+def test_overload_is_refused_early_and_the_less_important_class_first() -> None:
     """Danger: told by latency, overload is seen a whole queue too late, and so is its end."""
     w = world()
     warm_up(w)
@@ -124,7 +124,7 @@
     assert sends(w.ask("view")), "refusals end as soon as the load has gone"
 
 
-def test_a_class_worth_less_with_a_longer_aim_does_not_make_dearer_ones_late() -> None:
+def test_less_important_class_with_a_longer_target_does_not_delay_others() -> None:
     """Danger: judged by its own longer aim, the lesser class held out longest and filled every queue."""
     quote = api.RequestClass(
         "quote", latency_target=1500, deadline=4000, importance=1, effect=api.Effect.SAFE
@@ -145,13 +145,13 @@
     assert waits["slow"] == waits["payout"], "as much worth, but a longer aim: it may not delay the other"
 
 
-def test_a_gateway_without_answers_lets_requests_through() -> None:
+def test_gateway_without_answers_admits_requests() -> None:
     """Danger: in a large fleet the floor fell under one request: no request, no answer, for ever."""
     w = world(gateways=1000)
     assert len(sends(w.ask()) + sends(w.ask())) == 2
 
 
-def test_not_run_is_sent_again_elsewhere() -> None:
+def test_request_that_did_not_run_is_sent_to_another_backend() -> None:
     w = world()
     for name in ("view", "order", "wipe"):
         first = one(w.ask(name))
@@ -159,14 +159,14 @@
         assert again.backend != first.backend
 
 
-def test_unsafe_that_may_have_run_is_never_sent_again_nor_refused() -> None:
+def test_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused() -> None:
     for outcome in (api.Outcome.FAILED, api.Outcome.RESET, api.Outcome.TIMED_OUT):
         w = world()
         send = one(w.ask("wipe"))
         assert w.end(send, outcome) == [api.Fail(send.request)]
 
 
-def test_keyed_goes_again_only_inside_its_group_and_window() -> None:
+def test_keyed_request_is_repeated_only_in_its_dedup_scope_and_window() -> None:
     w = world(entry(1, cell=0), entry(2, cell=1), entry(3, cell=0))
     first = one(w.ask("order"))
     same_cell = {1: {3}, 3: {1}, 2: set()}[first.backend]
@@ -183,7 +183,7 @@
     assert late.end(first, api.Outcome.FAILED) == [api.Fail(first.request)]
 
 
-def test_extra_attempts_stop_when_the_budget_is_spent() -> None:
+def test_further_attempts_stop_when_the_retry_budget_is_spent() -> None:
     w = world()
     sent = asked = 0
     for _ in range(300):
@@ -198,7 +198,7 @@
     assert sent <= asked * 1.6 + 10
 
 
-def test_every_request_held_is_ended_before_it_expires() -> None:
+def test_open_request_is_ended_before_it_expires() -> None:
     w = world()
     send = one(w.ask("wipe", life=3000))
     w.pass_time(2960)
@@ -207,7 +207,7 @@
     assert w.end(send, api.Outcome.TIMED_OUT) == []
 
 
-def test_an_attempt_out_far_longer_than_usual_is_moved_once() -> None:
+def test_overdue_attempt_is_moved_once() -> None:
     """Danger: work done twice for every long request, or a silent backend that is waited for to the end."""
     w = world()
     warm_up(w, lag=50)
@@ -218,7 +218,7 @@
     assert again.backend != first.backend
 
 
-def test_one_class_unanswered_at_a_backend_is_told_from_the_others() -> None:
+def test_failures_of_one_class_at_a_backend_are_distinguished() -> None:
     """Danger: a backend that fails one class alone looks half well, and keeps getting that class."""
     w = world(max_attempts=1)
     hits = {"view": 0, "order": 0}
@@ -232,7 +232,7 @@
     assert hits["order"] <= 8 and hits["view"] >= 25
 
 
-def test_each_gateway_of_a_large_fleet_uses_few_backends_and_all_are_covered_evenly() -> None:
+def test_gateways_of_a_large_fleet_use_small_subsets_that_cover_evenly() -> None:
     """Danger: met once a minute each, no backend can be judged."""
     fleet, met = [entry(i) for i in range(70)], dict.fromkeys(range(70), 0)
     for index in range(300):
@@ -243,7 +243,7 @@
     assert min(met.values()) >= 0.6 * 300 * 8 / 70 and max(met.values()) <= 1.4 * 300 * 8 / 70
 
 
-def test_a_gateway_with_few_requests_sheds_by_recent_latency() -> None:
+def test_gateway_with_few_requests_sheds_by_recent_latency() -> None:
     """Danger: three requests out at each of hundreds of gateways fill the servers for longer than the aim."""
     w = world(gateways=300)
     for lag in (100, 1500, 100):
@@ -257,7 +257,7 @@
         assert sent < 36 if lag == 1500 else sent > 54
 
 
-def test_a_fleet_that_is_all_cold_serves_a_little_and_then_all() -> None:
+def test_all_cold_fleet_serves_few_requests_and_then_all() -> None:
     w = world(entry(1, started=9_900), entry(2, started=9_900), entry(3, started=9_900))
     served = [0, 0]
     for half in (0, 1):
@@ -269,7 +269,7 @@
     assert 10 < served[0] < 70 and served[1] == 100
 
 
-def test_any_number_of_cold_backends_gets_less_than_it_surely_can_do() -> None:
+def test_cold_backend_gets_less_than_its_least_capacity_from_many_gateways() -> None:
     """Danger: many gateways, each with a little for a cold backend, push it over together."""
     hits = 0
     for index in range(200):
@@ -285,7 +285,7 @@
     assert hits <= 0.2 * 2000 / 20
 
 
-def test_odd_settings_are_survived() -> None:
+def test_extreme_settings_leave_no_open_request() -> None:
     for spread in (0, 1, 5000):
         for rate in (0.01, 10_000.0):
             for gateways in (1, 1000):
@@ -302,7 +302,7 @@
     assert not none.gateway.attempts.requests
 
 
-def test_odd_events_are_survived() -> None:
+def test_unknown_events_are_ignored() -> None:
     w = world()
     w.give(api.AttemptEnded("nobody", 0, 9, api.Outcome.OK, 1, True))
     w.give(api.RequestAbandoned("nobody"))
@@ -316,7 +316,7 @@
     w.end(send, api.Outcome.TIMED_OUT)
 
 
-def test_a_cold_backend_gets_little_until_it_is_warm() -> None:
+def test_cold_backend_gets_few_requests_until_it_is_warm() -> None:
     """Danger: a cold backend sent a warm one's load by every gateway falls over and stays down."""
     w = world(entry(1), entry(2), entry(3))
     warm_up(w, 400)
@@ -331,7 +331,7 @@
     assert 9 in served_by(w, 40)
 
 
-def test_the_plan_is_met_by_its_settings_not_its_name() -> None:
+def test_plan_depends_on_its_terms_and_not_on_its_name() -> None:
     renamed = api.Plan("zzz", BASIC.rate, BASIC.burst)
     a = World(plans=(BASIC,))
     b = World(plans=(renamed,))
@@ -341,7 +341,7 @@
         b.pass_time(100)
 
 
-def test_a_backend_of_the_own_hall_is_preferred_by_the_price_of_crossing_and_only_so_far() -> None:
+def test_own_zone_is_preferred_in_proportion_to_the_crossing_price() -> None:
     def away(price: float, load: int = 0) -> float:
         entries = [entry(n) for n in (1, 2)]
         entries += [api.BackendEntry(n, "b", 1, 0, api.BackendState.READY) for n in (3, 4)]
@@ -360,7 +360,7 @@
     assert away(0.02, load=2) > 0.9, "a busy zone is left all the same"
 
 
-def test_beyond_quota_is_shed_by_what_it_earns_net() -> None:
+def test_overage_requests_are_shed_by_their_net_earnings() -> None:
     """Danger: tries that earn little fill the queue of those that earn all of their worth."""
     rich = api.Plan("rich", rate=0.001, burst=1, overage_earnings=0.6, overage_cost=0.2)
     poor = api.Plan("poor", rate=0.001, burst=1, overage_earnings=0.2, overage_cost=0.3)
--- a/tests/decisions/test_flat.py
+++ b/tests/decisions/test_flat.py
@@ -31,7 +31,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from(["ask", "end", "wait"]), st.integers(0, 400)), max_size=60))
-def test_what_is_out_is_counted_as_if_all_were_walked(steps: list[tuple[str, int]]) -> None:
+def test_count_of_waiting_attempts_equals_a_full_scan(steps: list[tuple[str, int]]) -> None:
     world = World([entry(n) for n in range(1, 4)], gateways=1)
     out: list[api.Send] = []
     for _ in range(3):  # some answers, so that latencies are known
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.patches_inside
-def test_a_choice_looks_at_a_few_of_a_large_fleet_and_in_time_at_all(monkeypatch: Any) -> None:
+def test_choice_examines_few_backends_of_a_large_fleet_and_over_time_all(monkeypatch: Any) -> None:
     looked: list[list[Backend]] = []
     real = Fleet.choose_cheapest
 
@@ -68,7 +68,7 @@
     assert len(chosen) == 200 and max(chosen.values()) < 60
 
 
-def test_in_a_small_fleet_a_choice_still_looks_at_all() -> None:
+def test_choice_in_a_small_fleet_examines_all_backends() -> None:
     world = World([entry(n) for n in range(12)], gateways=1)
     (send,) = sends(world.ask(plan="none"))
     slow = world.gateway.fleet.backends[send.backend]
@@ -78,12 +78,12 @@
     assert chosen == {slow.id}
 
 
-def test_the_chance_in_a_choice_is_that_of_its_quantiles() -> None:
+def test_noise_quantiles_are_sorted_and_have_the_expected_mean() -> None:
     mean = sum(NOISE_QUANTILES) / len(NOISE_QUANTILES)
     assert sorted(NOISE_QUANTILES) == NOISE_QUANTILES and abs(mean - math.gamma(1.25)) < 0.01
 
 
-def test_requests_due_together_share_a_timer_and_each_is_looked_at() -> None:
+def test_requests_due_together_share_a_timer_and_all_are_checked() -> None:
     world = World([entry(n) for n in range(1, 40)], gateways=1)
     before = len([a for _, a in world.log if isinstance(a, api.SetTimer)])
     for number in range(30):
@@ -94,7 +94,7 @@
     assert len(ended) == 30 and not world.gateway.attempts.requests and not world.gateway.attempts.timer_wheel
 
 
-def test_a_backend_that_warms_up_is_taken_in_at_its_time() -> None:
+def test_backend_becomes_warm_at_its_time() -> None:
     world = World(gateways=1)
     world.give(backends(entry(1, started=world.now)))
     assert not world.gateway.fleet.warm
@@ -105,7 +105,7 @@
     assert sends(world.ask(plan="none")) and [b.id for b in world.gateway.fleet.warm] == [1]
 
 
-def test_a_finished_request_leaves_nothing_for_the_collector() -> None:
+def test_finished_request_leaves_no_reference_cycle() -> None:
     world = World([entry(n) for n in range(1, 9)], gateways=1)
     gc.collect()
     gc.disable()
@@ -120,7 +120,7 @@
         gc.enable()
 
 
-def test_every_backend_of_a_large_fleet_is_drawn_about_as_often_and_in_changing_company() -> None:
+def test_candidates_are_drawn_evenly_and_in_changing_combinations() -> None:
     world = World([entry(n) for n in range(200)], gateways=1)
     gateway = world.gateway
     drawn, company = Counter[int](), Counter[tuple[int, int]]()
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -21,7 +21,7 @@
     ("trouble", "served", "worst"),
     [("none", 0.8, 0.76), ("release", 0.76, 0.68), ("zone", 0.74, 0.68), ("replace", 0.7, 0.62)],
 )
-def test_a_fleet_serves_through_each_trouble(trouble: str, served: float, worst: float) -> None:
+def test_fleet_keeps_serving_through_each_fault(trouble: str, served: float, worst: float) -> None:
     print("seed", SEED)
     _, figures = once(((GATEWAYS, trouble), SEED, SECONDS))
     assert figures["served"] > served and figures["worst"] > worst, figures
--- a/tests/decisions/test_hearsay.py
+++ b/tests/decisions/test_hearsay.py
@@ -25,7 +25,7 @@
     return count
 
 
-def test_a_backend_that_others_found_failing_is_met_far_less_often_until_they_say_so_no_more() -> None:
+def test_backend_that_peers_find_failing_is_avoided_until_they_withdraw_it() -> None:
     made = world()
     assert met(made, 0.0, math.inf) > 20
     assert met(made, 0.9, math.inf) <= 5
@@ -33,11 +33,11 @@
     assert met(made, 0.0, math.inf) > 20
 
 
-def test_hearsay_of_an_earlier_start_says_nothing() -> None:
+def test_verdict_about_an_earlier_start_is_ignored() -> None:
     assert met(world(), 0.9, math.inf, started=4.0) > 20
 
 
-def test_an_own_answer_goes_before_what_others_saw_earlier() -> None:
+def test_own_answer_overrides_earlier_peer_verdicts() -> None:
     made = world()
     seen_at = made.now
     while not met(made, 0.9, seen_at, times=1):
@@ -46,7 +46,7 @@
     assert met(made, 0.9, math.inf) <= 5  # and not before what they see later
 
 
-def test_old_marks_of_a_class_do_not_hide_it() -> None:
+def test_old_class_marks_do_not_hide_a_peer_verdict() -> None:
     """They say nothing of a backend that began to fail since."""
     made = world()
     for _ in range(40):
--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -27,23 +27,23 @@
     world.give(api.CounterReplied(call.name, outcome, reading))
 
 
-def test_a_new_customer_holds_its_even_part_of_the_burst() -> None:
+def test_new_customer_holds_its_even_part_of_the_burst() -> None:
     assert drain(World(), 20) == 4  # burst 8 over two gateways
 
 
-def test_the_bucket_fills_at_the_even_share() -> None:
+def test_bucket_refills_at_the_even_share() -> None:
     world = World(has_counter=False)
     drain(world, 10)
     assert drain(world, 100, gap=100) in (9, 10, 11)  # one a second for ten seconds
 
 
-def test_a_request_that_waits_for_a_silent_counter_is_let_in() -> None:
+def test_request_waiting_for_a_silent_counter_is_admitted() -> None:
     world = World()
     world.ask(spread=100)
     assert len(sends(world.pass_time(200))) == 1
 
 
-def test_a_reply_for_a_forgotten_customer_is_ignored() -> None:
+def test_counter_reply_for_a_removed_customer_is_ignored() -> None:
     world = World()
     call = counts(world.ask() + world.ask() + world.ask() + world.ask() + world.ask())[0]
     world.gateway.quotas.customers.clear()
@@ -51,12 +51,12 @@
     answer(world, call, 5.0)
 
 
-def test_no_plan_and_no_rate_means_no_quota() -> None:
+def test_plan_without_a_rate_has_no_quota() -> None:
     world = World(plans=(), has_counter=False)
     assert drain(world, 50, gap=10) == 50
 
 
-def test_a_ceiling_is_split_evenly_and_starts_empty() -> None:
+def test_ceiling_is_split_evenly_and_starts_empty() -> None:
     """Danger: a restarted gateway that starts with a full store spends the ceiling twice."""
     world = World(has_counter=False)
     assert not sends(world.ask(plan="firm"))
@@ -64,20 +64,20 @@
     assert drain(world, 100, plan="firm") == 10
 
 
-def test_what_is_shared_of_a_ceiling_is_not_spent_while_the_counter_is_silent() -> None:
+def test_shared_part_of_a_ceiling_is_not_spent_while_the_counter_is_silent() -> None:
     world = World()
     assert not sends(world.ask(plan="firm"))
     world.pass_time(1000)
     assert drain(world, 100, plan="firm") == 10 * (1 - MAX_SHARED_RATIO)
 
 
-def test_open_attempts_are_held_to_this_gateways_part_of_the_cap() -> None:
+def test_open_attempts_are_limited_to_the_gateway_s_part() -> None:
     world = World()
     world.pass_time(10_000)
     assert len([s for _ in range(20) for s in sends(world.ask(plan="firm"))]) == 4  # eight over two
 
 
-def test_beyond_quota_only_where_it_earns_and_capacity_is_spare() -> None:
+def test_overage_is_admitted_only_if_it_earns_and_capacity_is_spare() -> None:
     world = World(has_counter=False)
     assert drain(world, 30, gap=1, plan="bonus") == 30
     slow = World(has_counter=False)
@@ -99,21 +99,21 @@
     return done
 
 
-def test_what_the_bucket_cannot_pay_is_refused_at_once_with_a_retry_after() -> None:
+def test_request_beyond_the_bucket_is_refused_at_once_with_a_retry_after() -> None:
     world = World(has_counter=False)
     drain(world, 4)
     (refusal,) = refusals(world.ask())
     assert 0 < refusal.retry_after <= 500
 
 
-def test_the_first_request_of_a_customer_waits_for_a_reading_and_no_longer_than_a_silent_counter() -> None:
+def test_first_request_of_a_customer_waits_for_a_reading_for_a_limited_time() -> None:
     world = World()
     actions = world.ask()
     assert not sends(actions) and not refusals(actions) and counts(actions)
     assert len(sends(world.pass_time(150))) == 1
 
 
-def test_all_that_was_sent_on_is_added_once_and_what_was_refused_is_not() -> None:
+def test_sent_units_are_reported_once_and_refused_ones_never() -> None:
     world, counter = World(), Counter()
     through = 0
     for _ in range(200):
@@ -123,7 +123,7 @@
     assert counter.spent("c") + customer(world).unreported_units == through
 
 
-def test_two_gateways_share_one_store_whichever_of_them_is_asked() -> None:
+def test_two_gateways_share_one_store() -> None:
     """Danger: a burst through one gateway, paid back by time, then through the other: twice the burst."""
     worlds, counter = [World(seed=n, index=n) for n in range(2)], Counter()
     for turn in range(6):
@@ -136,7 +136,7 @@
         assert through <= most, "two units came back in the second, and one is rounding"
 
 
-def test_a_lease_unheard_reverts_to_the_even_share() -> None:
+def test_expired_lease_falls_back_to_the_even_share() -> None:
     world, counter = World(), Counter()
     sent(counter, world)
     customer(world).rate_share = 0.9
@@ -150,7 +150,7 @@
     assert customer(world).rate_share == 0.5
 
 
-def test_a_counter_that_lost_its_numbers_gives_nobody_a_second_burst() -> None:
+def test_counter_that_lost_its_numbers_gives_no_second_burst() -> None:
     """Danger: an empty counter looks as if all that was spent had been given back."""
     world, counter = World(), Counter()
     assert sum(len(sent(counter, world, name="order")) for _ in range(20)) == 8
@@ -159,7 +159,7 @@
     assert sum(len(sent(counter, world, name="order")) for _ in range(20)) <= 2 + 2
 
 
-def test_an_epoch_s_end_is_carried_into_the_next() -> None:
+def test_spending_at_the_end_of_an_epoch_counts_in_the_next() -> None:
     worlds, counter = [World(seed=n, index=n) for n in range(2)], Counter()
     before = EPOCH_MS - worlds[0].now % EPOCH_MS - 300
     for world in worlds:
@@ -174,7 +174,7 @@
     assert through <= 3, "what the other spent in the old epoch is spent"
 
 
-def test_a_gateway_that_comes_back_from_nothing_does_not_take_the_store_for_full() -> None:
+def test_restarted_gateway_does_not_assume_a_full_store() -> None:
     worlds, counter = [World(seed=n, index=n) for n in range(2)], Counter()
     for _ in range(40):
         for world in worlds:
@@ -185,7 +185,7 @@
     assert sum(len(sent(counter, again)) for _ in range(20)) <= 4  # half the burst
 
 
-def test_a_low_store_is_shared_by_wants_that_are_told_once_a_period() -> None:
+def test_low_store_is_shared_by_wants_reported_once_a_period() -> None:
     worlds, counter = [World(seed=n, index=n, gateways=2) for n in range(2)], Counter()
     through = [0, 0]
     for step in range(800):
@@ -202,7 +202,7 @@
     assert len(told) <= 800 * 25 / WANTS_PERIOD_MS + 1
 
 
-def test_what_a_time_out_may_have_added_is_not_added_again_and_what_was_turned_away_is() -> None:
+def test_timed_out_report_is_not_repeated_and_a_rejected_one_is() -> None:
     for outcome, again in ((api.Outcome.TIMED_OUT, 0.0), (api.Outcome.FULL, 1.0)):
         world, counter = World(), Counter()
         sent(counter, world)
@@ -212,7 +212,7 @@
         assert customer(world).unreported_units == again
 
 
-def test_refreshes_thin_out_while_the_counter_fails_calls_and_come_back() -> None:
+def test_call_budget_shrinks_while_calls_fail_and_recovers() -> None:
     """Danger: a crowded counter fails everybody's calls, and their number keeps it crowded."""
 
     def calls(world: World, counter: Counter) -> int:
@@ -232,7 +232,7 @@
     assert calls(world, counter) >= well * 0.8
 
 
-def test_many_gateways_that_start_at_once_call_a_counter_in_rising_numbers() -> None:
+def test_simultaneous_starts_increase_counter_calls_gradually() -> None:
     """Danger: all of them would call for each of their new customers, and fail each other's calls."""
     worlds, called = [World(seed=i, gateways=40, index=i) for i in range(40)], [0] * 12
     counter = Counter()
@@ -244,7 +244,7 @@
     assert 0 < first < 0.5 * last, called
 
 
-def test_a_counter_that_bears_all_calls_is_read_for_nearly_each_request_within_seconds() -> None:
+def test_slow_start_ends_within_seconds_if_no_call_fails() -> None:
     """What callers saw: on a calm day of 200 gateways a fifth of the units sent on was beyond quotas.
 
     The slow start of calls took 30 s. Traced on calm+mass: none of 13,526 calls failed, and yet 30 were made
@@ -260,7 +260,7 @@
     assert called > 0.9 * 200
 
 
-def test_units_that_there_was_no_room_to_tell_are_told_once_there_is() -> None:
+def test_report_backlog_is_sent_once_the_call_budget_allows_it() -> None:
     """What callers saw: a sixth of the units that were let in on a reading were beyond their quota.
 
     Traced on calm+mass with a slow start of 5 s: summed over the readings of the thinnest plan the totals
@@ -282,7 +282,7 @@
     assert {call.name.partition(":")[2] for call in told if call.amount == 1.0} >= digests
 
 
-def test_wants_of_a_customer_whose_part_holds_no_request_are_not_told() -> None:
+def test_wants_of_a_sparse_customer_are_not_reported() -> None:
     """They would size leases that can pay for nothing: a sixth of all calls to the counter were such."""
     for spread, told in ((200, False), (2, True)):
         world, counter, names = World(plans=(BASIC,), gateways=200), Counter(), list[str]()
@@ -294,7 +294,7 @@
         assert any(name.startswith("w") for name in names) == told, spread
 
 
-def test_the_numbers_of_customers_begin_anew_at_different_times() -> None:
+def test_epochs_of_customers_end_at_different_times() -> None:
     """Danger: the calls that the end of an epoch takes would all come at once, from all gateways."""
     now, seconds = 7 * EPOCH_MS, 30
     made = [Customer(f"c{n}", BASIC, 4, now, now, World().gateway.settings) for n in range(600)]
@@ -303,7 +303,7 @@
     assert max(turns.count(s) for s in range(1, seconds + 1)) < 3 * 600 / seconds
 
 
-def test_a_crowded_counter_is_called_for_what_is_worth_most() -> None:
+def test_crowded_counter_is_called_for_the_most_important_requests() -> None:
     """Of new customers, those whose requests would surely be refused unread or are worth most come first."""
     called = {"order": 0, "view": 0}
     for seed in range(40):
@@ -317,7 +317,7 @@
     assert called["order"] > 0.3 * 800 and called["view"] < called["order"] / 3
 
 
-def test_many_gateways_hold_a_flooding_customer_to_its_quota_and_let_a_calm_one_in() -> None:
+def test_many_gateways_limit_a_flooding_customer_and_admit_a_calm_one() -> None:
     """Danger: at hundreds of gateways the even share is under one request each."""
     worlds, counter = [World(seed=i, gateways=120, index=i) for i in range(120)], Counter()
     for world in worlds:
@@ -337,7 +337,7 @@
     assert 0.6 * 120 < through["flood"] < 1.3 * 128  # two a second for a minute and a burst of eight
 
 
-def test_idle_customers_are_forgotten() -> None:
+def test_idle_customers_are_removed() -> None:
     world, counter = World(), Counter()
     for i in range(500):
         sent(counter, world, customer=f"once{i}")
@@ -346,7 +346,7 @@
     assert len(world.gateway.quotas.customers) == 1
 
 
-def test_what_was_left_of_an_epoch_is_not_taken_off_again_after_the_lease_has_lapsed() -> None:
+def test_rest_of_an_epoch_is_not_subtracted_again_after_the_lease_expired() -> None:
     """Danger: a lapsed lease is sized from the whole numbers, which hold that rest already."""
     world, counter = World(), Counter()
     sent(counter, world)
--- a/tests/decisions/test_limits.py
+++ b/tests/decisions/test_limits.py
@@ -9,7 +9,7 @@
 MAX_MODULE_LINES = 600  # a longer one holds two jobs
 
 
-def test_the_deploy_file_names_every_deciding_module_and_each_has_one_job() -> None:
+def test_deploy_file_names_every_deciding_module_and_each_is_short() -> None:
     policy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
     deciding = {p.name for p in ROOT.glob("mintford/*.py")} - HOSTS
     assert set(policy) == {f"mintford/{name}" for name in deciding}
@@ -23,7 +23,7 @@
             assert len(line) <= 110, f"{path.name}:{number}"
 
 
-def test_the_readme_s_example_runs() -> None:
+def test_readme_example_runs() -> None:
     example = re.findall(r"```python\n(.*?)```", (ROOT / "README.md").read_text(), re.S)
     assert len(example) == 1
     space: dict[str, object] = {}
--- a/tests/decisions/test_membership.py
+++ b/tests/decisions/test_membership.py
@@ -106,9 +106,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize(("size", "stay"), [(2, 1), (4, 3), (4, 1), (6, 2)])
-def test_a_neighbour_s_absence_leaves_its_share_idle_for_seconds_and_not_for_a_lease(
-    size: int, stay: int, seed: int
-) -> None:
+def test_share_of_a_lost_gateway_is_reused_before_a_lease_ends(size: int, stay: int, seed: int) -> None:
     world = fleet(size, size, seed)
     world.run(30)
     assert 0.9 * RATE < world.rate(10, 30) < 1.15 * RATE
@@ -124,9 +122,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize(("size", "first"), [(2, 1), (4, 1), (6, 2), (6, 5)])
-def test_those_that_join_carry_the_whole_over_the_quota_by_a_stated_part_only(
-    size: int, first: int, seed: int
-) -> None:
+def test_joining_gateways_exceed_the_quota_by_a_bounded_amount(size: int, first: int, seed: int) -> None:
     world = fleet(size, first, seed)
     world.run(30)
     before = world.rate(10, 30)
@@ -142,7 +138,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_the_hard_ceiling_holds_whoever_comes_and_goes(seed: int) -> None:
+def test_hard_ceiling_holds_while_gateways_join_and_leave(seed: int) -> None:
     """Each holds its even part of it, whatever its lease: nobody needs to be asked."""
     world = fleet(4, 4, seed, HARD)
     for there in (4, 1, 4, 2, 4):
@@ -158,7 +154,7 @@
         assert level >= 0
 
 
-def test_under_a_ceiling_one_left_of_four_gives_nearly_the_whole_quota() -> None:
+def test_last_gateway_of_four_under_a_ceiling_gives_nearly_the_whole_quota() -> None:
     """Its part of what is split of twice the rate is under a third; the rest is shared, counted before."""
     world = fleet(4, 4, 1, HARD)
     world.run(30)
@@ -168,7 +164,7 @@
     assert 0.85 * RATE < world.rate(50, 70) < 1.1 * RATE
 
 
-def test_n_changes_from_two_to_six_and_back_under_load() -> None:
+def test_quota_holds_while_the_fleet_changes_between_two_and_six_gateways() -> None:
     world = fleet(6, 2, 7)
     for there in (2, 6, 2, 6, 2):
         for place in range(6):
--- a/tests/decisions/test_ordered.py
+++ b/tests/decisions/test_ordered.py
@@ -26,7 +26,7 @@
     return [a for a in actions if isinstance(a, api.SpendRights)]
 
 
-def test_a_request_waits_for_rights_to_all_its_limits_and_is_sent_on_once() -> None:
+def test_request_waits_for_rights_to_all_its_limits_and_is_sent_once() -> None:
     world = World(has_counter=False)
     ordered(world, LIMITS)
     (asked,) = spends(world.ask())
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("answer", ["none", "silence"])
-def test_without_rights_it_is_refused_once(answer: str) -> None:
+def test_request_without_rights_to_its_limits_is_refused_once(answer: str) -> None:
     world = World(has_counter=False)
     ordered(world, LIMITS)
     (asked,) = spends(world.ask())
@@ -49,7 +49,7 @@
     assert not sends(actions) and world.give(api.RightsDecided(asked.request, True)) == []
 
 
-def test_a_ceiling_s_right_and_limits_are_asked_for_together_and_spent_once() -> None:
+def test_rights_to_a_ceiling_and_to_limits_are_requested_together() -> None:
     plan = api.Plan("firm", rate=4, burst=20_000, overage_cost=1, ceiling_rate=0.001, ceiling_burst=40)
     world = World(plans=(plan,), rights_ratio=1.0, has_counter=False)
     ordered(world, {("class", "view"): ("views",)})
@@ -60,7 +60,7 @@
     assert world.gateway.quotas.customers["c"].ceiling.own_tokens == own  # the right paid, not the even part
 
 
-def test_where_a_pool_has_no_room_another_one_is_taken() -> None:
+def test_request_denied_by_one_pool_goes_to_another() -> None:
     world = World([zoned(1, "a"), zoned(2, "a"), zoned(3, "b")], has_counter=False)
     ordered(world, POOL)
     asked = next(a for _ in range(40) for a in spends(world.ask()))
@@ -74,7 +74,7 @@
     assert len(refusals(world.give(api.RightsDecided(again.request, False)))) == 1
 
 
-def test_limits_of_the_class_are_paid_before_that_of_a_pool_and_neither_twice() -> None:
+def test_class_limits_are_spent_before_the_pool_limit_and_each_once() -> None:
     world = World([zoned(1, "a")], has_counter=False)
     ordered(world, {**LIMITS, **POOL})
     (first,) = spends(world.ask())
@@ -83,7 +83,7 @@
     assert sends(world.give(api.RightsDecided(second.request, True)))
 
 
-def test_a_further_attempt_goes_to_no_pool_with_a_limit() -> None:
+def test_further_attempt_never_goes_to_a_pool_with_a_limit() -> None:
     """It would be one more than the limit was asked for."""
     world = World([zoned(1, "a"), zoned(2, "a"), zoned(3, "b")], has_counter=False)
     sent = next(s for _ in range(40) for s in sends(world.ask()) if s.backend != 3)
@@ -95,7 +95,7 @@
     assert not sends(world.end(last[0], api.Outcome.CONNECT))
 
 
-def test_a_blocked_customer_and_a_shed_class_are_refused_at_once_until_that_is_lifted() -> None:
+def test_blocked_customer_and_shed_class_are_refused_until_the_order_ends() -> None:
     world = World(has_counter=False)
     ordered(world, {}, blocked_customers=frozenset({"c"}), shed_classes=frozenset({"order"}))
     assert len(refusals(world.ask())) == len(refusals(world.ask("order", customer="d"))) == 1
@@ -104,7 +104,7 @@
     assert sends(world.ask()) and sends(world.ask("order", customer="d"))
 
 
-def test_a_backend_is_kept_off_while_others_are_there_and_its_attempts_go_on() -> None:
+def test_excluded_backend_gets_no_new_requests_while_others_are_ready() -> None:
     world = World([entry(1), entry(2)], has_counter=False)
     out = next(s for _ in range(40) for s in sends(world.ask()) if s.backend == 1)
     ordered(world, {}, excluded_backends=frozenset({1}))
--- a/tests/decisions/test_plan_changes.py
+++ b/tests/decisions/test_plan_changes.py
@@ -38,7 +38,7 @@
     return gateway.quotas.customers["c"].store
 
 
-def test_an_upgrade_holds_at_once_and_gives_no_second_burst() -> None:
+def test_upgrade_applies_at_once_and_gives_no_second_burst() -> None:
     world, counter = alone(), Counter()
     assert served(world, counter, 20, spread=1) == 8
     world.give(api.PlanChanged(LARGE))
@@ -47,7 +47,7 @@
     assert served(world, counter, 60, spread=1) == 10
 
 
-def test_a_downgrade_below_what_is_owed_waits_until_time_has_paid() -> None:
+def test_downgrade_below_the_debt_waits_for_the_refill() -> None:
     world, counter = alone(LARGE), Counter()
     assert served(world, counter, 20, spread=1) == 20
     world.give(api.PlanChanged(SMALL))
@@ -58,7 +58,7 @@
     assert served(world, counter, 20, spread=1) == 2
 
 
-def test_terms_of_one_customer_change_nobody_elses_and_end_again() -> None:
+def test_own_terms_of_a_customer_affect_no_other_and_can_end() -> None:
     world, counter = alone(), Counter()
     served(world, counter, 1, spread=1)
     served(world, counter, 1, spread=1, customer="other")
@@ -72,7 +72,7 @@
     assert served(world, counter, 60, spread=1, customer="new") == 40
 
 
-def test_what_was_charged_before_a_change_is_settled_after_it() -> None:
+def test_units_charged_before_a_plan_change_are_settled_after_it() -> None:
     world, counter = World(MANY, plans=(SMALL,), gateways=1, max_request_units=4.0), Counter()
     (send,) = (a for a in counter.play(world, world.ask(spread=1)) if isinstance(a, api.Send))
     world.give(api.PlanChanged(LARGE))
@@ -92,7 +92,7 @@
 
 @given(steps=STEPS)
 @settings(max_examples=150, deadline=None)
-def test_one_gateway_lets_out_what_an_exact_store_of_debts_does(steps: list[tuple[str, object]]) -> None:
+def test_single_gateway_matches_an_exact_store_of_debts(steps: list[tuple[str, object]]) -> None:
     """Whatever the order: all that the rule gives and no unit more, a free plan's use apart."""
     world, counter, plan, owed = alone(), Counter(), SMALL, 0.0
     for what, given_ in steps:
@@ -123,7 +123,7 @@
 
 @given(changes=TIMES, size=st.integers(1, 3), seed=st.integers(0, 5))
 @settings(max_examples=60, deadline=None)
-def test_floods_never_overdraw_a_ceiling_that_changes_at_each_gateway_in_its_own_time(
+def test_ceiling_that_changes_at_different_times_is_never_overdrawn(
     changes: list[tuple[str, int, int]], size: int, seed: int
 ) -> None:
     """The gateways hear up to a second apart. The exact store has the larger terms meanwhile."""
@@ -156,7 +156,7 @@
         flood(then)
 
 
-def test_a_ceiling_that_comes_to_a_plan_without_one_begins_with_nothing() -> None:
+def test_ceiling_added_to_a_plan_starts_empty() -> None:
     free = api.Plan("firm", rate=4, burst=20_000, overage_cost=1)
     world = World(MANY, plans=(free,), gateways=1, classes=(SAFE,))
     assert served(world, Counter(), 30, plan="firm", spread=1) == 30
@@ -166,7 +166,7 @@
     assert served(world, Counter(), 30, plan="firm", spread=1) == 10
 
 
-def test_what_is_owed_to_a_ceiling_is_owed_to_the_next_in_each_of_its_parts() -> None:
+def test_debt_to_a_ceiling_carries_over_in_both_parts() -> None:
     old, wide = Ceiling(CAPPED["narrow"], 0.5, True, 100.0, 1.0), Ceiling(CAPPED["wide"], 0.5, True, 0.0, 1.0)
     old.refill(0.0)
     old.estimate_shared_tokens(0.0, 0.0, 0.0)
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -23,7 +23,7 @@
     return Counter().play(world, world.give(event))
 
 
-def test_how_long_ago_a_first_try_began_is_told_by_how_a_marked_retry_waits() -> None:
+def test_elapsed_time_since_the_first_try_follows_from_a_repeat_s_wait() -> None:
     attempts, kind = Attempts(World().gateway.settings), World().gateway.classes["view"]
     assert attempts.estimate_elapsed(kind, 1800, True) == 0, "no first try is known yet"
     assert attempts.estimate_elapsed(kind, 1800, False) == 0
@@ -37,7 +37,7 @@
     assert attempts.estimate_elapsed(other, 900, True) == 0, "by class"
 
 
-def test_a_try_that_is_late_already_does_not_take_the_last_units_of_a_store() -> None:
+def test_late_try_does_not_take_the_last_units_of_a_store() -> None:
     world = World(MANY, has_counter=False)
     world.pass_time(10_000)
     assert sends(ask(world, 2000, False))
@@ -48,13 +48,13 @@
     assert sends(ask(world, 2600, True)), "a retry that can be in time gets the unit"
 
 
-def test_a_late_try_is_served_where_nobody_else_wants_what_it_takes() -> None:
+def test_late_try_is_served_from_spare_quota_and_capacity() -> None:
     world = World(MANY)
     ask(world, 2000, False)
     assert sends(ask(world, 1500, True, customer="idle"))
 
 
-def test_a_late_try_is_refused_while_the_backends_are_busy() -> None:
+def test_late_try_is_refused_while_the_backends_are_busy() -> None:
     world = World()
     for n in range(4):  # out, with nothing answered: nearly what three backends always may hold
         assert sends(ask(world, 2000, False, customer=f"c{n}"))
@@ -63,7 +63,9 @@
 
 
 @pytest.mark.parametrize(("goal", "part"), [({}, 1.0), (dict(whole=0.9, worstClass=0.1), 0.5)])
-def test_a_class_worth_little_leaves_units_to_one_worth_more(goal: dict[str, float], part: float) -> None:
+def test_less_important_class_leaves_units_to_more_important_ones(
+    goal: dict[str, float], part: float
+) -> None:
     """The safe class is worth a quarter of the keyed one: it leaves three quarters of what is kept.
 
     Where the class that fares worst counts by itself, less is kept from it.
--- a/tests/decisions/test_rules_hold.py
+++ b/tests/decisions/test_rules_hold.py
@@ -122,7 +122,7 @@
 
 @settings(max_examples=150)
 @given(STEPS, st.integers(0, 2**31), st.booleans(), st.booleans())
-def test_the_five_rules_hold(
+def test_five_rules_hold_for_random_histories(
     steps: list[tuple[str, int, int]], seed: int, double: bool, started: bool
 ) -> None:
     referee = Referee(seed, double, started)
@@ -145,7 +145,7 @@
     return world.log
 
 
-def test_the_same_events_give_the_same_actions_under_other_hash_seeds() -> None:
+def test_same_events_give_the_same_actions_under_other_hash_seeds() -> None:
     here = Path(__file__).parent
     code = (
         "import test_rules_hold as t, hashlib; print(hashlib.sha256(repr(t.history(7)).encode()).hexdigest())"
--- a/tests/decisions/test_settlement.py
+++ b/tests/decisions/test_settlement.py
@@ -92,7 +92,7 @@
 
 @settings(max_examples=60)
 @given(st.integers(2, 4), st.integers(0, 1000), STEPS)
-def test_what_all_have_added_and_have_yet_to_add_is_what_was_charged_and_settled(
+def test_reported_and_unreported_units_equal_charged_and_settled_ones(
     size: int,
     seed: int,
     steps: list[tuple],  # type: ignore[type-arg]
@@ -143,7 +143,7 @@
     return [c for w in site.worlds for c in w.gateway.quotas.customers.values() if c.has_reading]
 
 
-def test_each_gateway_follows_the_true_store_within_the_stated_error() -> None:
+def test_gateways_follow_the_true_store_within_the_stated_error() -> None:
     """The stated error: two of the largest requests, for nine readings in ten that are under 0.5 s old."""
     for seed, size in ((1, 2), (2, 3), (3, 4)):
         beyond, total, errors = run(size, seed, 60, asked=40.0)  # twice the quota
@@ -153,7 +153,7 @@
         assert errors[len(errors) // 20] > -2 * MOST and errors[-len(errors) // 20] < 2 * MOST
 
 
-def test_a_settlement_may_take_the_store_below_nothing_and_time_brings_it_back() -> None:
+def test_settlement_may_make_the_store_negative_and_the_refill_restores_it() -> None:
     site = Installation(2, 5)
     site.pass_time(10_000)
     for _ in range(60):
@@ -172,7 +172,7 @@
     assert site.ledger == 481
 
 
-def test_the_ceiling_goes_by_the_guess() -> None:
+def test_ceiling_counts_the_estimated_units() -> None:
     site = Installation(2, 6)
     site.pass_time(10_000)
     site.ask(0, "view", 4.0)
@@ -182,7 +182,7 @@
     assert (c.ceiling.own_tokens, c.ceiling.shared_tokens) == left
 
 
-def test_a_try_beyond_the_quota_is_not_charged_and_not_settled() -> None:
+def test_try_beyond_the_quota_is_neither_charged_nor_settled() -> None:
     free = api.Plan("bonus", rate=1, burst=2, overage_earnings=0.5)
     world, counter = (
         World(plans=(free,), capabilities=api.Capabilities(settles_units=True), max_request_units=MOST),
--- a/tests/decisions/test_strain.py
+++ b/tests/decisions/test_strain.py
@@ -23,13 +23,13 @@
     return sum(world.gateway.get_early_refusal(name) is None for _ in range(of)) / of
 
 
-def test_without_lag_nobody_is_turned_away() -> None:
+def test_no_request_is_refused_early_without_lag() -> None:
     world = World()
     lagged(world, TARGET_LAG_MS * 0.8, 500)
     assert world.gateway.shed_level == 0 and let_in(world, SAFE.name) == 1.0
 
 
-def test_the_least_worth_goes_first_and_each_is_told_when_to_come_back() -> None:
+def test_least_important_classes_are_refused_first_with_a_retry_after() -> None:
     world = World()
     while world.gateway.shed_level < 0.55:
         lagged(world, TARGET_LAG_MS * 2, 1)
@@ -40,13 +40,13 @@
     assert let_in(world, KEYED.name) > 0  # never all: else nothing would show that the strain is over
 
 
-def test_a_class_that_is_not_known_is_let_in_to_be_judged_in_full() -> None:
+def test_unknown_class_is_not_refused_early() -> None:
     world = World()
     lagged(world, 200.0, 100)
     assert world.gateway.get_early_refusal("nothing") is None
 
 
-def test_when_the_lag_is_over_all_are_let_in_again_step_by_step() -> None:
+def test_shed_level_falls_gradually_after_the_lag_ends() -> None:
     world = World()
     lagged(world, 200.0, 100)
     assert world.gateway.shed_level == MAX_SHED_LEVEL
@@ -60,7 +60,7 @@
 
 
 @given(st.lists(st.floats(0, 10_000), max_size=200))
-def test_the_level_stays_in_its_bounds_whatever_the_lag(lags: list[float]) -> None:
+def test_shed_level_stays_in_its_bounds(lags: list[float]) -> None:
     world = World()
     for lag in lags:
         lagged(world, lag, 1)
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize(("lag", "called_off"), [(0.0, True), (400.0, False)])
-def test_an_answer_that_waits_here_to_be_read_is_not_called_off(lag: float, called_off: bool) -> None:
+def test_attempt_whose_answer_is_delayed_by_own_lag_is_not_cancelled(lag: float, called_off: bool) -> None:
     world = World([entry(n) for n in range(1, 4)], gateways=1)
     for number in range(30):
         (send,) = sends(world.ask(plan="none", customer=f"c{number}"))
@@ -80,7 +80,7 @@
     assert any(isinstance(a, api.Cancel) for a in actions) == called_off
 
 
-def test_a_backend_is_not_marked_slow_by_the_gateway_s_own_lag() -> None:
+def test_own_lag_does_not_mark_a_backend_slow() -> None:
     marks = []
     for lag in (0.0, 300.0):
         world = World([entry(n) for n in range(1, 4)], gateways=1)
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_gateway_with_few_answers_does_not_take_chance_for_overload(seed: int) -> None:
+def test_gateway_with_few_answers_does_not_mistake_chance_for_overload(seed: int) -> None:
     """Twelve requests a second by chance, each answered in 300 ms: nothing is too late at an aim of 1 s."""
     chance = random.Random(seed)
     world = World([entry(n) for n in range(12)], seed, gateways=8, plans=())  # 4.5 are always allowed out
--- a/tests/decisions/test_subsets.py
+++ b/tests/decisions/test_subsets.py
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize("gateways", [20, 40, 200])
 @pytest.mark.parametrize("zones", [{"a": 60}, {"a": 30, "b": 30}, {"a": 50, "b": 17, "c": 5}, {"a": 47}])
-def test_every_backend_is_used_by_about_as_many_gateways(gateways: int, zones: dict[str, int]) -> None:
+def test_backends_are_used_by_about_equally_many_gateways(gateways: int, zones: dict[str, int]) -> None:
     listed = entries(zones)
     chosen = [subset(n, gateways, listed) for n in range(gateways)]
     covered = Counter(e.backend for one in chosen for e in one)
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("gateways", [20, 200])
-def test_sixteen_times_the_backends_are_used_by_few_more_of_each_gateway_s_connections(gateways: int) -> None:
+def test_subset_grows_little_with_sixteen_times_the_backends(gateways: int) -> None:
     """STANDING bounds what a gateway needs with 3,200 backends in place of 200: descriptors twice and 40.
 
     Each backend that is used holds a connection. The subset grows with backends over gateways: a process told
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("gateways", [40, 200])
-def test_a_lost_zone_takes_no_more_than_its_part_of_any_subset(gateways: int) -> None:
+def test_lost_zone_takes_only_its_part_of_each_subset(gateways: int) -> None:
     listed = entries({"a": 40, "b": 20})
     for n in range(gateways):
         one = subset(n, gateways, listed)
@@ -59,12 +59,12 @@
         assert abs(lost - len(one) / 3) <= 1
 
 
-def test_a_small_fleet_uses_all_of_its_backends() -> None:
+def test_small_fleet_uses_all_backends() -> None:
     listed = entries({"a": 9, "b": 8})
     assert all(len(subset(n, 4, listed)) == 17 for n in range(4))
 
 
-def test_what_a_backend_fails_for_one_class_is_doubted_for_those_not_met_since() -> None:
+def test_failures_of_one_class_count_for_classes_without_recent_answers() -> None:
     """Danger: each class and plan of a gateway with few requests would find out by itself."""
     world = World(plans=())
     marks = "all", "class view", "plan none"
--- a/tests/decisions/test_windows.py
+++ b/tests/decisions/test_windows.py
@@ -24,7 +24,7 @@
     return found[0] if found else None
 
 
-def test_a_repeat_of_keyed_work_tells_the_end_of_its_window() -> None:
+def test_repeat_of_a_keyed_request_carries_the_end_of_its_window() -> None:
     second = again(KEYED, api.Outcome.RESET)
     assert second is not None and second.attempt == 1
     assert second.latest_start == 10_000 + KEYED.repeat_window - EXPIRY_MARGIN_MS
@@ -32,7 +32,7 @@
 
 @pytest.mark.parametrize("outcome", [api.Outcome.CONNECT, api.Outcome.FULL, api.Outcome.IGNORED])
 @pytest.mark.parametrize("kind", [SAFE, KEYED, UNSAFE], ids=lambda kind: kind.name)
-def test_what_surely_never_ran_goes_again_without_a_window(
+def test_request_that_did_not_run_is_repeated_without_a_window(
     kind: api.RequestClass, outcome: api.Outcome
 ) -> None:
     second = again(kind, outcome)
@@ -40,12 +40,12 @@
 
 
 @pytest.mark.parametrize("outcome", [api.Outcome.RESET, api.Outcome.FAILED, api.Outcome.TIMED_OUT])
-def test_unsafe_work_that_may_have_run_never_goes_again(outcome: api.Outcome) -> None:
+def test_unsafe_request_that_may_have_run_is_never_repeated(outcome: api.Outcome) -> None:
     assert again(UNSAFE, outcome) is None
 
 
 @pytest.mark.parametrize("window", [0.0, 40.0, 60.0, 500.0])
-def test_a_window_of_any_length_ends_a_little_before_it_is_forgotten(window: float) -> None:
+def test_repeat_window_ends_a_margin_before_the_backends_forget(window: float) -> None:
     kind = api.RequestClass("k", 1000, 3000, effect=api.Effect.KEYED, repeat_window=window)
     until = get_repeat_deadline(kind, 1_000.0)
     assert until == 1_000 + window - EXPIRY_MARGIN_MS
--- a/tests/decisions/test_wirehost.py
+++ b/tests/decisions/test_wirehost.py
@@ -37,12 +37,12 @@
     return code, [json.loads(line) for line in out.getvalue().splitlines()]
 
 
-def test_empty_batches_and_end_of_input() -> None:
+def test_empty_batches_and_end_of_input_are_accepted() -> None:
     assert play('{"moment":1,"groups":[]}\n') == (0, [{"groups": []}])
     assert play() == (0, [])
 
 
-def test_a_request_is_sent_and_its_outcome_taken() -> None:
+def test_request_is_sent_and_its_outcome_processed() -> None:
     create = [["create", 5, {**SETUP, "familyInfo": {"mayCount": False}}], CREATE[1]]
     code, replies = play(
         batch(*create),
@@ -54,7 +54,7 @@
     assert group["gatewayId"] == 3 and ["callOut", JOB[1], 0.0, 77] in group["out"]
 
 
-def test_every_event_of_the_wire_is_taken() -> None:
+def test_every_event_of_the_wire_is_accepted() -> None:
     code, _ = play(
         batch(
             *CREATE,
@@ -92,7 +92,7 @@
         batch(*CREATE, ["wakeup", 5]),
     ],
 )
-def test_bad_input_is_named_in_one_line_and_ends_the_adapter(
+def test_bad_input_is_reported_in_one_line_and_ends_the_adapter(
     line: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     code, replies = play(line)
@@ -101,7 +101,7 @@
     assert said.err.count("\n") == 1 and said.err.startswith("mintford.wirehost: bad input: ")
 
 
-def test_the_adapter_runs_as_a_command() -> None:
+def test_adapter_runs_as_a_command() -> None:
     run = subprocess.run(
         [sys.executable, "-m", "mintford.wirehost"],
         input=batch(*CREATE) + "oops\n",
