--- a/roadpulley/__init__.py
+++ b/roadpulley/__init__.py
@@ -1,1 +1,1 @@
-"""roadpulley: an API gateway on real sockets round the decision module `mintford`."""
+"""roadpulley: an API gateway. It provides the sockets and processes around the decision module `mintford`."""
--- a/roadpulley/__main__.py
+++ b/roadpulley/__main__.py
@@ -1,4 +1,4 @@
-"""Runs one gateway: `python -m roadpulley`, told by LB_CONFIG what to do."""
+"""Runs one gateway: `python -m roadpulley`, with the configuration that LB_CONFIG names."""
 
 from __future__ import annotations
 
@@ -38,36 +38,38 @@
 
 log = logging.getLogger("roadpulley")
 
-CLIENT_DESCRIPTORS_RATIO, BACKEND_DESCRIPTORS_RATIO = 0.5, 0.25  # of the descriptors; the rest is headroom
-BUFFER_MEMORY_RATIO = 0.2  # of the memory, for answers that are not whole, and again for those not yet taken
-MIN_DRAIN_S = 0.45  # after SIGTERM, new connections go on coming for this long
-MAX_DEADLINE_S = 3.0  # the longest deadline that SIGKILL waits for, and 0.7 s more
-FINAL_ANSWER_MARGIN_S = 0.4  # of these 0.7 s: what is open then is failed, before SIGKILL would lose it
-FIRST_LIST_TIMEOUT_S = 0.5  # at the start, for the agent on this machine, which answers at once or is silent
-CLOSE_TIMEOUT_S = 0.2  # of the rest: for clients to take the last answers and see the end
-GC_THRESHOLDS = (10_000, 20, 20)  # a request leaves no cycles behind, so there is seldom anything to collect
+CLIENT_DESCRIPTORS_RATIO = 0.5  # of the file descriptors
+BACKEND_DESCRIPTORS_RATIO = 0.25  # of the file descriptors; the rest is headroom
+BUFFER_MEMORY_RATIO = 0.2  # of the memory, for incomplete answers, and again for answers not yet sent
+MIN_DRAIN_S = 0.45  # new connections keep arriving for this long after SIGTERM
+MAX_DEADLINE_S = 3.0  # SIGKILL follows SIGTERM after the longest deadline, but at most this, plus 0.7 s
+FINAL_ANSWER_MARGIN_S = 0.4  # of the 0.7 s: then open requests are failed, before SIGKILL would lose them
+FIRST_LIST_TIMEOUT_S = 0.5  # at the start; the local agent answers at once or is silent
+CLOSE_TIMEOUT_S = 0.2  # of the 0.7 s: for clients to read the last answers and see the end of connection
+GC_THRESHOLDS = (10_000, 20, 20)  # high, because requests leave no reference cycles
 
 
 class ReloadTrigger:
-    """A wish to read the configuration again, kept until somebody can fulfil it."""
+    """A request to reload the configuration. It is remembered until a callback is set."""
 
     def __init__(self) -> None:
-        self.wanted = False
-        self.act: Callable[[], None] | None = None
+        self.is_pending = False
+        self.callback: Callable[[], None] | None = None
 
     def __call__(self) -> None:
-        self.wanted = self.act is None
-        if self.act is not None:
-            self.act()
-
-    def ready(self, act: Callable[[], None]) -> None:
-        self.act = act
-        if self.wanted:
+        self.is_pending = self.callback is None
+        if self.callback is not None:
+            self.callback()
+
+    def set_callback(self, callback: Callable[[], None]) -> None:
+        """Set the function that reloads, and call it if a request is pending."""
+        self.callback = callback
+        if self.is_pending:
             self()
 
 
 class ConfigReloader:
-    """One gateway's configuration in service: another takes its place whole, or not at all."""
+    """Replaces the configuration of a running gateway, completely or not at all."""
 
     def __init__(
         self,
@@ -85,21 +87,21 @@
             config = self.load(self.config)
         except ConfigError as error:
             self.life.configurations[1] += 1
-            return log.error("not reloaded, the old configuration stands: %s", error)
-        self.take(config)
+            return log.error("reload failed, the current configuration stays in effect: %s", error)
+        self.apply(config)
         self.life.configurations[0] += 1
         log.info("reloaded: classes %s", ", ".join(c.name for c in config.settings.classes))
 
-    def take(self, config: GatewayConfig) -> None:
-        """In one turn of the loop: no request is judged by a mixture.
+    def apply(self, config: GatewayConfig) -> None:
+        """Apply a configuration within one loop iteration, so that no request sees a mixture of two.
 
-        The address for clients, the operators' and the limits belong to the process and stay.
+        The addresses for clients and operators and the resource limits belong to the process and stay.
         """
-        standing, self.config = self.config, config
-        if config.listen != standing.listen or config.admin != standing.admin:
-            log.warning("listen and admin are taken up at a restart only")
+        previous, self.config = self.config, config
+        if config.listen != previous.listen or config.admin != previous.admin:
+            log.warning("changes of listen and admin take effect only after a restart")
         driver, settings = self.life.driver, config.settings
-        if config.raw_settings != standing.raw_settings:
+        if config.raw_settings != previous.raw_settings:
             self.life.server.set_parser(RequestParser(settings, config.workers))
             driver.backends.set_timeouts(
                 config.connect_timeout_ms, config.keepalive_ms, settings.rules.drain_grace
@@ -114,77 +116,81 @@
 
 
 def lifecycle_times(settings: Settings) -> Times:
-    keep, last = compute_drain_times(settings)
-    return Times(keep * 1000, last * 1000)
+    """The times of a drain, in milliseconds."""
+    keep_open_s, exit_s = compute_drain_times(settings)
+    return Times(keep_open_s * 1000, exit_s * 1000)
 
 
 def compute_drain_times(settings: Settings) -> tuple[float, float]:
-    """Seconds after SIGTERM until clients' connections are closed, and until what is open is failed.
+    """Seconds after SIGTERM until client connections are closed, and until open requests are failed.
 
-    The place of this gateway is empty until it is back, so it serves on those that it has for as long as an
-    answer within its aim can still come before SIGKILL.
+    This gateway has no replacement until it has restarted. It therefore keeps serving its connections for as
+    long as an answer within the latency target can still arrive before SIGKILL.
     """
-    longest = min(MAX_DEADLINE_S, max((c.deadline for c in settings.classes), default=3_000.0) / 1000)
-    aim = max((c.latency_target for c in settings.classes), default=3_000.0) / 1000
-    return max(MIN_DRAIN_S, longest + FINAL_ANSWER_MARGIN_S - aim), longest + FINAL_ANSWER_MARGIN_S
+    max_deadline_s = min(MAX_DEADLINE_S, max((c.deadline for c in settings.classes), default=3_000.0) / 1000)
+    max_aim_s = max((c.latency_target for c in settings.classes), default=3_000.0) / 1000
+    return max(
+        MIN_DRAIN_S, max_deadline_s + FINAL_ANSWER_MARGIN_S - max_aim_s
+    ), max_deadline_s + FINAL_ANSWER_MARGIN_S
 
 
-def reserve_descriptors(told: int) -> int:
-    """How many this process may hold: what the platform tells, and no more than the kernel allows.
+def reserve_descriptors(requested: int) -> int:
+    """The number of file descriptors this process may use: as requested, and at most what the kernel allows.
 
-    Danger: clients take their share of these. Shares of more than there are leave none for discovery, the
-    counter and backends once idle clients have come by hundreds.
+    Raises the soft limit if necessary. Clients get a share of the result. If the shares were computed from
+    more than the limit, hundreds of idle clients would leave no descriptors for discovery, the counter and
+    the backends.
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if soft == resource.RLIM_INFINITY or soft >= told:
-        return told
+    if soft == resource.RLIM_INFINITY or soft >= requested:
+        return requested
     if hard == resource.RLIM_INFINITY or hard > soft:
-        soft = told if hard == resource.RLIM_INFINITY else min(told, hard)
+        soft = requested if hard == resource.RLIM_INFINITY else min(requested, hard)
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-    if soft < told:
-        log.warning("%d descriptors are told and %d allowed", told, soft)
+    if soft < requested:
+        log.warning("%d descriptors are configured, but only %d are allowed", requested, soft)
     return soft
 
 
 def take_inherited_listener() -> socket.socket | None:
-    """The listening socket that the platform holds for every process of this gateway. Raises ConfigError."""
-    told = os.environ.get("LB_ACCEPT_FD")
-    if not told:
+    """The listening socket that the platform keeps open across restarts, or None. Raises ConfigError."""
+    descriptor = os.environ.get("LB_ACCEPT_FD")
+    if not descriptor:
         return None
-    right = "give the number of a descriptor that is a listening TCP socket over IPv4"
+    correction = "give the number of a descriptor that is a listening TCP socket over IPv4"
     try:
-        found = socket.socket(fileno=int(told))
+        listener = socket.socket(fileno=int(descriptor))
     except (ValueError, OSError) as error:
-        raise ConfigError(f"LB_ACCEPT_FD is {told!r} ({error}); {right}") from error
-    listens = found.family == socket.AF_INET and found.type == socket.SOCK_STREAM
-    if not listens or not found.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        found.detach()
-        raise ConfigError(f"LB_ACCEPT_FD is {told}, which does not listen; {right}")
-    return found
+        raise ConfigError(f"LB_ACCEPT_FD is {descriptor!r} ({error}); {correction}") from error
+    is_tcp_socket = listener.family == socket.AF_INET and listener.type == socket.SOCK_STREAM
+    if not is_tcp_socket or not listener.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+        listener.detach()
+        raise ConfigError(f"LB_ACCEPT_FD is {descriptor}, which does not listen; {correction}")
+    return listener
 
 
 async def serve(
     config: GatewayConfig,
     stop: asyncio.Event,
     ready: Callable[[int], None] | None = None,
-    again: ReloadTrigger | None = None,
+    reload_trigger: ReloadTrigger | None = None,
     load: Callable[[GatewayConfig], GatewayConfig] | None = None,
     attach: Callable[[Driver], object] | None = None,
     listener: socket.socket | None = None,
     closing: Callable[[], None] | None = None,
     link: bool = False,
 ) -> None:
-    """Serve until `stop` is set, then drain. `ready` is told the port once clients may come.
+    """Serve until `stop` is set, then drain.
 
-    A `listener` that is given is bound already; `closing` is called once nothing more is accepted. A call
-    of `again` brings a new configuration from `load`, which is given the one that stands; `attach` is handed
-    the driver before that. `link`: another process may accept from the
-    listener beside this one; what both stand for is handed over.
+    `ready` is called with the port once clients can connect. `reload_trigger` reloads the configuration with
+    `load`, which gets the current one. `attach` gets the driver before clients can connect. `listener` is a
+    socket that is already bound. `closing` is called once no more connections are accepted. `link`: another
+    process may accept from the same listener, and the two hand their state over.
     """
-    loop, begun = asyncio.get_running_loop(), now_ms()
+    loop, started_at = asyncio.get_running_loop(), now_ms()
     timers = Timers(loop)
-    tallies = RequestStats()
-    memory, sockets = (
+    stats = RequestStats()
+    memory_bytes, descriptor_limit = (
         int(config.memory_mb * BUFFER_MEMORY_RATIO * 2**20),
         reserve_descriptors(config.max_descriptors),
     )
@@ -194,9 +200,9 @@
         config.connect_timeout_ms,
         config.keepalive_ms,
         config.settings.rules.drain_grace,
-        int(sockets * BACKEND_DESCRIPTORS_RATIO),
-        memory,
-        tallies,
+        int(descriptor_limit * BACKEND_DESCRIPTORS_RATIO),
+        memory_bytes,
+        stats,
     )
     counter = (
         CounterClient(loop, timers, config.counter, config.settings.counter_timeout)
@@ -207,59 +213,63 @@
 
     version = None
     if config.saved_members:
-        known = parse_member_list(config.saved_members)
-        version = known.version
-        driver.update_members(ListScope.SAVED, known.members, now_ms())
+        saved_list = parse_member_list(config.saved_members)
+        version = saved_list.version
+        driver.update_members(ListScope.SAVED, saved_list.members, now_ms())
     discovery = DiscoveryClient(config.discovery, version, driver.update_members, random.Random(config.seed))
     server = RespServer(
         loop,
         timers,
         driver,
         RequestParser(config.settings, config.workers),
-        int(sockets * CLIENT_DESCRIPTORS_RATIO),
-        memory,
-        tallies,
+        int(descriptor_limit * CLIENT_DESCRIPTORS_RATIO),
+        memory_bytes,
+        stats,
     )
     life = Life(Lifecycle(lifecycle_times(config.settings)), timers, driver, server)
-    ends = await open_link(config, driver, life) if link else None
+    link_to_peer = await open_link(config, driver, life) if link else None
     stopped = loop.create_task(stop.wait())
     operators = OperatorAddress(loop, life.answer)
     if config.admin is not None:
         await listening("admin", config.admin, partial(operators.listen, config.admin), stopped)
     watch = loop.create_task(discovery.run())
-    if again is not None and load is not None:
-        again.ready(ConfigReloader(config, load, life, discovery, counter))
-    # Danger: what the agent has counts as told from the first moment on, and what is known may be old.
-    told = loop.create_task(discovery.initial_list_received.wait())
-    await asyncio.wait({told, stopped}, timeout=FIRST_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
-    told.cancel()
-    log.info("list %s after %.0f ms", "heard" if told.done() else "not heard", now_ms() - begun)
+    if reload_trigger is not None and load is not None:
+        reload_trigger.set_callback(ConfigReloader(config, load, life, discovery, counter))
+    # The agent's list is in effect from the start, and the saved list may be outdated.
+    list_received = loop.create_task(discovery.initial_list_received.wait())
+    await asyncio.wait(
+        {list_received, stopped}, timeout=FIRST_LIST_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED
+    )
+    list_received.cancel()
+    log.info("list %s after %.0f ms", "heard" if list_received.done() else "not heard", now_ms() - started_at)
     port = await listening("listen", config.listen, partial(server.listen, *config.listen, listener), stopped)
     if port is None:
-        life.give(Event.STOP)  # before anybody could come
+        life.give(Event.STOP)  # before any client could connect
     else:
         driver.start_lag_monitor()
         if attach is not None:
             attach(driver)
         gc.collect()
-        gc.freeze()  # what was loaded stays: no pause to look at it again
+        gc.freeze()  # exempts the loaded modules from garbage collection pauses
         gc.set_threshold(*GC_THRESHOLDS)
         life.give(Event.READY)
-        if ends is not None:
-            await ends.serves()
-        log.info("%s serves at %s:%d after %.0f ms", config.name, config.listen[0], port, now_ms() - begun)
+        if link_to_peer is not None:
+            await link_to_peer.serves()
+        log.info(
+            "%s serves at %s:%d after %.0f ms", config.name, config.listen[0], port, now_ms() - started_at
+        )
         if ready is not None:
             ready(port)
         await asyncio.wait({stopped, watch}, return_when=asyncio.FIRST_COMPLETED)
         if watch.done():
             stopped.cancel()
-            # It never ends but by a fault: better a crash that is seen than a list that is stale.
+            # The watch ends only by an exception. A visible crash is better than a stale list.
             watch.result()
         life.give(Event.STOP)
     await wait_for_drain(life, server, driver, closing)
     stopped.cancel()
-    if ends is not None:
-        await ends.close()
+    if link_to_peer is not None:
+        await link_to_peer.close()
     watch.cancel()
     backends.close()
     if counter is not None:
@@ -270,47 +280,51 @@
 async def wait_for_drain(
     life: Life, server: RespServer, driver: Driver, closing: Callable[[], None] | None
 ) -> None:
-    """Wait for the end of what was taken; what is open at the last time is failed, and nothing more taken."""
+    """Wait until the accepted connections have ended, and fail the requests that are still open by then."""
     await life.left.wait()
     if closing is not None:
         closing()
-    empty = asyncio.ensure_future(server.all_closed.wait())
+    drained = asyncio.ensure_future(server.all_closed.wait())
     ended = asyncio.ensure_future(life.ended.wait())
-    await asyncio.wait({empty, ended}, return_when=asyncio.FIRST_COMPLETED)
-    life.give(Event.EMPTY if empty.done() else Event.TIME)
+    await asyncio.wait({drained, ended}, return_when=asyncio.FIRST_COMPLETED)
+    life.give(Event.EMPTY if drained.done() else Event.TIME)
     ended.cancel()
     if driver.requests:
-        log.warning("%d requests open at the end", len(driver.requests))
+        log.warning("%d requests still open at shutdown", len(driver.requests))
         driver.fail_all()
     server.finish()
-    await asyncio.wait({empty}, timeout=CLOSE_TIMEOUT_S)
-    empty.cancel()
+    await asyncio.wait({drained}, timeout=CLOSE_TIMEOUT_S)
+    drained.cancel()
 
 
 async def open_link(config: GatewayConfig, driver: Driver, life: Life) -> Link:
-    """The link to the process before and after this one, with what the first gave."""
+    """Open the link to the preceding and the next process, and take over the state of the preceding one."""
     from .operations.link import Link
 
-    def succeeded(serves: bool) -> None:
+    def on_takeover(serves: bool) -> None:
         life.give(Event.SUCCEEDED if serves else Event.ALONE)
 
-    link = Link(f"{config.name}@{config.listen[0]}:{config.listen[1]}", driver, succeeded)
+    link = Link(f"{config.name}@{config.listen[0]}:{config.listen[1]}", driver, on_takeover)
     await link.inherit()
     return link
 
 
 async def run(path: str) -> None:
-    loop, stop, again = asyncio.get_running_loop(), asyncio.Event(), ReloadTrigger()
+    """Run the gateway with the configuration at `path` until SIGTERM or SIGINT. Raises ConfigError."""
+    loop, stop, reload_trigger = asyncio.get_running_loop(), asyncio.Event(), ReloadTrigger()
     for signum in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signum, stop.set)
-    # Danger: without a handler SIGHUP ends the process, and all requests that are open in it.
-    loop.add_signal_handler(signal.SIGHUP, again)
+    # Without a handler SIGHUP would end the process and lose its open requests.
+    loop.add_signal_handler(signal.SIGHUP, reload_trigger)
     load = partial(load_replacement, path)
     config, listener = load_config(path), take_inherited_listener()
-    await serve(config, stop, again=again, load=load, listener=listener, link=listener is not None)
+    await serve(
+        config, stop, reload_trigger=reload_trigger, load=load, listener=listener, link=listener is not None
+    )
 
 
 def main() -> int:
+    """Run the gateway; returns the exit code."""
     logging.basicConfig(
         level=logging.INFO, stream=sys.stderr, format="%(asctime)s %(levelname)s %(name)s: %(message)s"
     )
--- a/roadpulley/core/driver.py
+++ b/roadpulley/core/driver.py
@@ -55,10 +55,10 @@
 
     def spend(
         self,
-        asked: api.SpendRights,
+        action: api.SpendRights,
         duration_s: float,
-        within: float,
-        done: Callable[[bool, EndCallback | None], None],
+        timeout_s: float,
+        callback: Callable[[bool, EndCallback | None], None],
     ) -> None:
         """Calls `callback` once, within `timeout_s`, with whether rights were available and are now spent.
 
--- a/roadpulley/core/settings.py
+++ b/roadpulley/core/settings.py
@@ -1,4 +1,4 @@
-"""What the platform tells a gateway: the file named by LB_CONFIG."""
+"""Reads the configuration of a gateway from the JSON file that LB_CONFIG names."""
 
 from __future__ import annotations
 
@@ -18,29 +18,32 @@
 
 
 class ConfigError(Exception):
-    """The configuration does not say what a gateway needs."""
+    """The configuration is invalid or incomplete."""
 
 
 @dataclass(frozen=True)
 class GatewayConfig:
+    """The configuration of one gateway. Times are milliseconds."""
+
     name: str
     listen: Address
     discovery: Address
     counter: Address | None
-    admin: Address | None  # where operators call
+    admin: Address | None  # the address for operators
     seed: int
     max_descriptors: int
     memory_mb: int
     settings: api.Settings
-    connect_timeout_ms: float  # milliseconds, as all times here
+    connect_timeout_ms: float
     keepalive_ms: float
     max_open_requests: int
-    workers: int  # that share this gateway's address and place; each is a gateway of its own to the module
-    saved_members: dict[str, Any]  # the list of backends as this gateway last had it, in discovery's form
-    raw_settings: dict[str, Any]  # the settings as they came
+    workers: int  # processes that share this gateway's address; the decision module treats each as a gateway
+    saved_members: dict[str, Any]  # the last known list of backends, in the format of discovery
+    raw_settings: dict[str, Any]  # the settings as read
 
 
 def parse_address(text: str) -> Address:
+    """Parses HOST:PORT. Raises ValueError."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not port.isdigit():
         raise ValueError(f"not an address: {text!r}")
@@ -48,12 +51,13 @@
 
 
 def read_admin_address(configured: Any) -> Address | None:
-    """Where operators call: what the process was told, else what the configuration says; neither: nowhere.
+    """The address for operators: from LB_ADMIN, else from the configuration, else None.
 
-    The process first: two processes of one gateway may share a file, and never this address.
+    The environment takes precedence because two processes of one gateway may share a configuration file, but
+    never this address. Raises ValueError.
     """
-    told = os.environ.get("LB_ADMIN")
-    key, text = ("LB_ADMIN", told) if told else ("admin", configured)
+    override = os.environ.get("LB_ADMIN")
+    key, text = ("LB_ADMIN", override) if override else ("admin", configured)
     if not text:
         return None
     try:
@@ -66,7 +70,7 @@
 
 
 def read_int(settings: dict[str, Any], key: str, default: int, least: int) -> int:
-    """A whole number of the settings; what stands there instead is named, with what would be right."""
+    """A whole number of the settings. Raises ValueError with the key, the value and what would be valid."""
     value = settings.get(key)
     if value is None:
         return default
@@ -77,10 +81,11 @@
 
 
 def parse_config(raw: Any) -> GatewayConfig:
+    """Parses a configuration. Raises ConfigError."""
     try:
         settings = raw["settings"]
         caps = settings.get("caps") or {}
-        told = settings
+        original_settings = settings
         workers, worker = int(raw.get("workers") or 1), int(raw.get("worker") or 0)
         if not 0 <= worker < workers:
             raise ValueError(f"worker is {worker}; give a number from 0 to {workers - 1}")
@@ -101,14 +106,14 @@
             max_open_requests=int(caps.get("maxOpen") or 10_000),
             workers=workers,
             saved_members=raw.get("known") or {},
-            raw_settings=told,
+            raw_settings=original_settings,
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise ConfigError(f"{type(error).__name__}: {error}") from error
 
 
-def load_replacement(path: str, standing: GatewayConfig) -> GatewayConfig:
-    """A configuration to take the place of one that stands: judged whole. Raises ConfigError."""
+def load_replacement(path: str, current: GatewayConfig) -> GatewayConfig:
+    """Loads a configuration to replace the current one, after a complete validation. Raises ConfigError."""
     from roadpulley.checks import ValidationError
 
     from .validation import require_existing_keys, validate_gateway_config
@@ -116,8 +121,8 @@
     try:
         raw = json.loads(Path(path).read_text())
         validate_gateway_config(raw)
-        require_existing_keys(raw["settings"], standing.raw_settings)
-        if standing.counter is not None and not raw.get("counter"):
+        require_existing_keys(raw["settings"], current.raw_settings)
+        if current.counter is not None and not raw.get("counter"):
             raise ValidationError(
                 "counter", "is missing", "give HOST:PORT, as in the configuration that stands"
             )
@@ -127,24 +132,27 @@
 
 
 def load_config(path: str) -> GatewayConfig:
-    """The configuration at the start. Raises ConfigError, with the key and what would be right."""
+    """Loads the configuration at the start. Raises ConfigError with the key and what would be valid.
+
+    Values that are invalid but can be parsed are only logged, as there is no previous configuration to keep.
+    """
     from roadpulley.checks import ValidationError
 
     from .validation import validate_gateway_config
 
-    raw, odd = None, None
+    raw, validation_error = None, None
     try:
         raw = json.loads(Path(path).read_text())
         validate_gateway_config(raw)
     except ValidationError as error:
-        odd = error
+        validation_error = error
     except (OSError, ValueError, RecursionError) as error:
         raise ConfigError(f"{path}: {error}") from error
     try:
         config = parse_config(raw)
     except ConfigError as error:
-        named = "; give " in str(error) or odd is None
-        raise ConfigError(f"{path}: {error if named else odd}") from error
-    if odd is not None:
-        log.warning("%s: %s", path, odd)
+        names_key = "; give " in str(error) or validation_error is None
+        raise ConfigError(f"{path}: {error if names_key else validation_error}") from error
+    if validation_error is not None:
+        log.warning("%s: %s", path, validation_error)
     return config
--- a/tests/operations/test_retuning.py
+++ b/tests/operations/test_retuning.py
@@ -118,7 +118,7 @@
         def load(old: GatewayConfig) -> GatewayConfig:
             return load_replacement(str(self.file), old)
 
-        async with running(self.world, again=self.again, load=load) as world:
+        async with running(self.world, reload_trigger=self.again, load=load) as world:
             self.raw = world.config()
             await scenario()
 
