--- a/roadpulley/fleet/verdicts/client.py
+++ b/roadpulley/fleet/verdicts/client.py
@@ -14,8 +14,8 @@
 from .evidence import FAILURES, BackendObservations
 from .messages import ObservationBatch, VerdictSnapshot
 
-MIN_REPORT_INTERVAL_S = 0.02  # minimum interval of reports on failures
-MAX_MISSED_SNAPSHOTS = 4.0  # report intervals without a snapshot, after which the verdicts are dropped
+MIN_REPORT_INTERVAL_S = 0.02  # between two reports on failures
+MAX_MISSED_SNAPSHOTS = 4.0  # in report intervals; verdicts are dropped after more
 
 
 class VerdictClient:
@@ -29,7 +29,7 @@
     ) -> None:
         self.line, self.driver, self.report_interval_s = line, driver, report_interval_s
         self.clock = clock or from_environment()
-        self.evidence = BackendObservations()
+        self.observed = BackendObservations()
         self.reported_at = 0.0  # by `clock`
         self.snapshot_at = 0.0  # by `clock`; 0 if there are no verdicts
         line.listeners.append(self._handle_message)
@@ -39,18 +39,18 @@
         self.task.cancel()
 
     def record(self, backend: int, outcome: Outcome) -> None:
-        known = self.driver.gateway.fleet.backends.get(backend)
-        if known is None:
+        backend_state = self.driver.gateway.fleet.backends.get(backend)
+        if backend_state is None:
             return
         now = self.clock.now()
-        self.evidence.record(now, backend, known.started, outcome)
+        self.observed.record(now, backend, backend_state.started, outcome)
         if outcome in FAILURES and now - self.reported_at >= MIN_REPORT_INTERVAL_S:
             self._report(now)
 
     def _report(self, now: float) -> None:
         self.reported_at = now
         ready = sum(b.ready for b in self.driver.gateway.fleet.backends.values())
-        self.line.send(ObservationBatch(self.line.worker_id, ready, tuple(self.evidence.rows(now))))
+        self.line.send(ObservationBatch(self.line.worker_id, ready, tuple(self.observed.build_rows(now))))
 
     async def _run(self) -> None:
         while True:
@@ -61,11 +61,11 @@
             if self.snapshot_at and now - self.snapshot_at > MAX_MISSED_SNAPSHOTS * self.report_interval_s:
                 self._apply_verdicts({})
 
-    def _handle_message(self, body: Any) -> None:
-        if isinstance(body, VerdictSnapshot) and (body.verdicts or self.snapshot_at):
+    def _handle_message(self, message: Any) -> None:
+        if isinstance(message, VerdictSnapshot) and (message.verdicts or self.snapshot_at):
             now = now_ms()
-            self._apply_verdicts({v.backend: (v.started, v.level, now - v.age_ms) for v in body.verdicts})
+            self._apply_verdicts({v.backend: (v.started, v.level, now - v.age_ms) for v in message.verdicts})
 
-    def _apply_verdicts(self, found: dict[int, tuple[float, float, float]]) -> None:
-        self.snapshot_at = self.clock.now() if found else 0.0
-        self.driver.handle_event(PeerVerdictsChanged(found))
+    def _apply_verdicts(self, verdicts: dict[int, tuple[float, float, float]]) -> None:
+        self.snapshot_at = self.clock.now() if verdicts else 0.0
+        self.driver.handle_event(PeerVerdictsChanged(verdicts))
--- a/roadpulley/fleet/verdicts/evidence.py
+++ b/roadpulley/fleet/verdicts/evidence.py
@@ -11,8 +11,10 @@
 from .messages import MAX_ROWS, ObservationRow
 
 WINDOW_S = 1.5  # time constant of the decay of tries and failures
-CARRY_RATIO = 0.6  # of the past that each try leaves: a failing backend served until it began to fail
-MIN_TRIES = 0.2  # decayed tries, below which an observation is dropped
+# Weight that earlier tries keep at each new one. A backend that begins to fail has served until then, and its
+# earlier successes must not hide that.
+CARRY_RATIO = 0.6
+MIN_TRIES = 0.2  # after decay; an observation with fewer tries is dropped
 # Other outcomes don't count: a full queue is a sign of load, and a request that its client or this gateway
 # cancelled says nothing about the backend. Counted as failures, they would condemn a healthy backend.
 FAILURES = {Outcome.FAILED, Outcome.RESET, Outcome.CONNECT, Outcome.TIMED_OUT}
@@ -20,49 +22,53 @@
 
 @dataclass(slots=True)
 class BackendObservation:
+    """Decaying counts of tries and failures of one process of a backend, started at `started`."""
+
     started: float
     tries: float
     failures: float
     tried_at: MonotonicTime
     failure_run: float = 0.0  # consecutive failures up to the last try
 
-    def fade(self, now: MonotonicTime) -> float:
+    def decay_factor(self, now: MonotonicTime) -> float:
         return math.exp((self.tried_at - now) / WINDOW_S)
 
 
 class BackendObservations:
+    """Decaying counts of tries and failures of all backends that this process uses."""
+
     def __init__(self) -> None:
         self.observations: dict[int, BackendObservation] = {}
 
     def record(self, now: MonotonicTime, backend: int, started: float, outcome: Outcome) -> None:
         if outcome is not Outcome.OK and outcome not in FAILURES:
             return
-        known = self.observations.get(backend)
-        if known is None or known.started != started:
-            known = self.observations[backend] = BackendObservation(started, 0.0, 0.0, now)
-        fade = known.fade(now) * CARRY_RATIO
-        known.tries = known.tries * fade + 1
-        known.failures = known.failures * fade + (outcome is not Outcome.OK)
-        known.failure_run = 0.0 if outcome is Outcome.OK else known.failure_run + 1
-        known.tried_at = now
+        observation = self.observations.get(backend)
+        if observation is None or observation.started != started:
+            observation = self.observations[backend] = BackendObservation(started, 0.0, 0.0, now)
+        decay = observation.decay_factor(now) * CARRY_RATIO
+        observation.tries = observation.tries * decay + 1
+        observation.failures = observation.failures * decay + (outcome is not Outcome.OK)
+        observation.failure_run = 0.0 if outcome is Outcome.OK else observation.failure_run + 1
+        observation.tried_at = now
 
-    def rows(self, now: MonotonicTime) -> list[ObservationRow]:
+    def build_rows(self, now: MonotonicTime) -> list[ObservationRow]:
         """Recent observations, those with the most failures first."""
-        found = []
+        result = []
         for backend, observation in list(self.observations.items()):
-            fade = observation.fade(now)
-            if observation.tries * fade < MIN_TRIES:
+            decay = observation.decay_factor(now)
+            if observation.tries * decay < MIN_TRIES:
                 del self.observations[backend]
                 continue
-            age = int(1000 * (now - observation.tried_at))
-            found.append(
+            age_ms = int(1000 * (now - observation.tried_at))
+            result.append(
                 ObservationRow(
                     backend,
                     observation.started,
-                    observation.tries * fade,
-                    observation.failures * fade,
-                    age,
+                    observation.tries * decay,
+                    observation.failures * decay,
+                    age_ms,
                     observation.failure_run,
                 )
             )
-        return sorted(found, key=lambda row: -row.failures)[:MAX_ROWS]
+        return sorted(result, key=lambda row: -row.failures)[:MAX_ROWS]
--- a/roadpulley/fleet/verdicts/messages.py
+++ b/roadpulley/fleet/verdicts/messages.py
@@ -30,12 +30,12 @@
 
 from roadpulley.fleet.duties.terms import ProcessId
 
-MAX_REPORTS_PER_BATCH = 12  # so that a batch fits into a datagram
-MAX_ROWS = 64  # backends in one report of a process, those with the most failures first
+MAX_REPORTS_PER_BATCH = 12  # a batch has to fit into a datagram
+MAX_ROWS = 64  # backends in one batch; those with the most failures come first
 
 
 class HealthReport(msgspec.Struct, array_like=True, frozen=True):
-    """Decayed tries and failures of one observer; `seen_ms` is the wall clock time of the last try.
+    """Decayed tries and failures of one observer; `last_try_ms` is the wall clock time of the last try.
 
     `failure_run`: consecutive failures up to the last try; 0 if that succeeded or an older version sent this.
     """
@@ -45,7 +45,7 @@
     version: int
     tries: float
     failures: float
-    seen_ms: int
+    last_try_ms: int
     failure_run: float = 0.0
 
 
@@ -63,11 +63,13 @@
 
 
 class ObservationRow(msgspec.Struct, array_like=True, frozen=True):
+    """The decayed tries and failures of one backend in one gateway process."""
+
     backend: int
     started: float
     tries: float
     failures: float
-    age_ms: int  # of the last try
+    age_ms: int  # since the last try
     failure_run: float = 0.0  # consecutive failures up to the last try
 
 
--- a/roadpulley/fleet/verdicts/service.py
+++ b/roadpulley/fleet/verdicts/service.py
@@ -18,34 +18,39 @@
 from .messages import Body, ObservationBatch, ObservationRow, Verdict, VerdictSnapshot
 from .state_machine import HealthReportTable, VerdictSettings
 
-MIN_JUDGE_INTERVAL_S = 0.03  # after new failures; doubles each time, up to the report interval
-OBSERVATION_LIFETIME_S = 1.0  # of the observations of a local process
-MAX_AGES = 4_096  # the latest ages of sent verdicts
+MIN_JUDGE_INTERVAL_S = 0.03  # before a tick on new failures; doubles up to the report interval
+OBSERVATION_LIFETIME_S = 1.0  # a local process that sends none for longer is ignored
+MAX_AGES = 4_096  # samples; older ones are dropped
 
 log = structlog.get_logger("roadpulley.fleet.verdicts")
 
 
 def read_verdict_settings(table: Table) -> VerdictSettings:
     """Raises ValidationError."""
-    say, life = table.read_number("say_s", 0.25, 0.05, 5), table.read_number("life_s", 3.0, 0.5, 60)
-    share = table.read_number("most_share", 0.3, 0.0, 1.0)
+    interval_s, lifetime_s = (
+        table.read_number("say_s", 0.25, 0.05, 5),
+        table.read_number("life_s", 3.0, 0.5, 60),
+    )
+    max_ratio = table.read_number("most_share", 0.3, 0.0, 1.0)
     table.reject_unknown_keys()
-    return VerdictSettings(say, life, share)
+    return VerdictSettings(interval_s, lifetime_s, max_ratio)
 
 
-def total_failures(saw: ObservationBatch) -> float:
-    return sum(row.failures for row in saw.rows)
+def total_failures(batch: ObservationBatch) -> float:
+    return sum(row.failures for row in batch.rows)
 
 
-def merge_observations(one: ObservationRow, other: ObservationRow) -> ObservationRow:
+def merge_observations(first: ObservationRow, second: ObservationRow) -> ObservationRow:
     """Merges the observations of two processes; the later try decides whether the run continues."""
-    last, before = (one, other) if one.age_ms <= other.age_ms else (other, one)
-    run = last.failure_run + before.failure_run if last.failure_run else 0.0
-    tries, failures = one.tries + other.tries, one.failures + other.failures
-    return ObservationRow(one.backend, one.started, tries, failures, last.age_ms, run)
+    later, earlier = (first, second) if first.age_ms <= second.age_ms else (second, first)
+    failure_run = later.failure_run + earlier.failure_run if later.failure_run else 0.0
+    tries, failures = first.tries + second.tries, first.failures + second.failures
+    return ObservationRow(first.backend, first.started, tries, failures, later.age_ms, failure_run)
 
 
 class VerdictService:
+    """`send` sends a message to another instance; `peer_routes` returns the routes to all others."""
+
     def __init__(
         self,
         settings: VerdictSettings,
@@ -63,9 +68,8 @@
         )
         self.send, self.peer_routes = send, peer_routes
         self.table = HealthReportTable(identity, settings)
-        self.observations: dict[
-            int, tuple[MonotonicTime, ObservationBatch]
-        ] = {}  # by local process: time of receipt and observations
+        # By local process: time of receipt and observations.
+        self.observations: dict[int, tuple[MonotonicTime, ObservationBatch]] = {}
         self.verdicts: list[Verdict] = []
         self.age_samples_ms: deque[int] = deque(maxlen=MAX_AGES)
         self.foreign_reports = 0  # count of batches sent in the name of another observer
@@ -95,76 +99,76 @@
         """Runs the next tick early, as requests reach a failing backend all the time."""
         if self.judge_timer is None:
             # If many backends fail at once, a report on each failure would flood all other instances.
-            wait = max(0.0, self.ticked_at + self.judge_interval_s - self.clock.now())
+            delay_s = max(0.0, self.ticked_at + self.judge_interval_s - self.clock.now())
             self.judge_interval_s = min(self.settings.report_interval_s, 2 * self.judge_interval_s)
-            self.judge_timer = asyncio.get_running_loop().call_later(wait, self._tick)
+            self.judge_timer = asyncio.get_running_loop().call_later(delay_s, self._tick)
 
     def _tick(self) -> None:
         if self.judge_timer is not None:
             self.judge_timer.cancel()
             self.judge_timer = None
         self.ticked_at = self.clock.now()
-        now, wall, routes = self.clock.now(), wall_ms(), self.peer_routes()
+        now, wall_time_ms, routes = self.clock.now(), wall_ms(), self.peer_routes()
         ready, rows = self._merge_observations(now)
-        for reports in self.table.record_local(now, wall, ready, rows):
+        for batch in self.table.record_local(now, wall_time_ms, ready, rows):
             for route in routes:
-                self.send(route, reports)
+                self.send(route, batch)
         self.table.expire(now)
-        before, self.verdicts = self.verdicts, self.table.judge(now, wall, len(routes) + 1)
-        self._log_changes(before)
-        if self.verdicts or before:
+        previous, self.verdicts = self.verdicts, self.table.judge(now, wall_time_ms, len(routes) + 1)
+        self._log_changes(previous)
+        if self.verdicts or previous:
             self.age_samples_ms.extend(verdict.age_ms for verdict in self.verdicts)
             self.local_processes.send_to_all(VerdictSnapshot(tuple(self.verdicts)))
 
     def _merge_observations(self, now: MonotonicTime) -> tuple[int, Iterable[ObservationRow]]:
         """Merges the observations of the local processes."""
         self.observations = {
-            holder: (at, saw)
-            for holder, (at, saw) in self.observations.items()
-            if now - at < OBSERVATION_LIFETIME_S
+            holder: (received_at, batch)
+            for holder, (received_at, batch) in self.observations.items()
+            if now - received_at < OBSERVATION_LIFETIME_S
         }
-        found: dict[int, ObservationRow] = {}
-        for _, saw in self.observations.values():
-            for row in saw.rows:
-                known = found.get(row.backend)
-                if known is None or known.started < row.started:
-                    found[row.backend] = row
-                elif known.started == row.started:
-                    found[row.backend] = merge_observations(known, row)
-        return max((saw.ready for _, saw in self.observations.values()), default=0), found.values()
-
-    def _log_changes(self, before: list[Verdict]) -> None:
-        was, now = {v.backend for v in before}, {v.backend: v for v in self.verdicts}
-        for backend in sorted(was - set(now)):
+        merged: dict[int, ObservationRow] = {}
+        for _, batch in self.observations.values():
+            for row in batch.rows:
+                existing = merged.get(row.backend)
+                if existing is None or existing.started < row.started:
+                    merged[row.backend] = row
+                elif existing.started == row.started:
+                    merged[row.backend] = merge_observations(existing, row)
+        return max((batch.ready for _, batch in self.observations.values()), default=0), merged.values()
+
+    def _log_changes(self, previous: list[Verdict]) -> None:
+        previous_backends, current = {v.backend for v in previous}, {v.backend: v for v in self.verdicts}
+        for backend in sorted(previous_backends - set(current)):
             log.info("a verdict ends", backend=backend)
-        for backend in sorted(set(now) - was):
-            log.info("a verdict begins", backend=backend, level=round(now[backend].level, 2))
+        for backend in sorted(set(current) - previous_backends):
+            log.info("a verdict begins", backend=backend, level=round(current[backend].level, 2))
 
     # ---- messages ----
 
-    def handle_peer_message(self, who: ProcessId, body: Body) -> None:
-        if body.owner != who:
+    def handle_peer_message(self, sender: ProcessId, batch: Body) -> None:
+        if batch.owner != sender:
             # Reports in the name of another observer could outlive that observer's own, or be forged.
             self.foreign_reports += 1
             return
-        self.table.merge_remote(self.clock.now(), wall_ms(), body)
-        if any(report.failures for report in body.reports):
+        self.table.merge_remote(self.clock.now(), wall_ms(), batch)
+        if any(report.failures for report in batch.reports):
             self._schedule_tick()
 
-    def handle_observations(self, saw: ObservationBatch) -> None:
-        _, before = self.observations.get(saw.holder, (0.0, None))
-        self.observations[saw.holder] = self.clock.now(), saw
-        if total_failures(saw) > (total_failures(before) if before is not None else 0.0):
+    def handle_observations(self, batch: ObservationBatch) -> None:
+        _, previous = self.observations.get(batch.holder, (0.0, None))
+        self.observations[batch.holder] = self.clock.now(), batch
+        if total_failures(batch) > (total_failures(previous) if previous is not None else 0.0):
             self._schedule_tick()
 
     # ---- reporting ----
 
     def report(self) -> dict[str, Any]:
-        now, wall = self.clock.now(), wall_ms()
+        now, wall_time_ms = self.clock.now(), wall_ms()
         reports: dict[int, list[str]] = {}
-        for owner, report in self.table.iter_fresh(now, wall):
-            words = f"{owner.name}: {report.failures:.1f} of {report.tries:.1f}"
-            reports.setdefault(report.backend, []).append(words)
+        for owner, report in self.table.iter_fresh(now, wall_time_ms):
+            descriptions = f"{owner.name}: {report.failures:.1f} of {report.tries:.1f}"
+            reports.setdefault(report.backend, []).append(descriptions)
         levels = {v.backend: v for v in self.verdicts}
         ages = sorted(self.age_samples_ms)
         return {
@@ -173,9 +177,9 @@
                     "backend": backend,
                     "level": round(levels[backend].level, 2) if backend in levels else "none",
                     "age_ms": levels[backend].age_ms if backend in levels else "",
-                    "failed": "; ".join(sorted(words)),
+                    "failed": "; ".join(sorted(descriptions)),
                 }
-                for backend, words in sorted(reports.items())
+                for backend, descriptions in sorted(reports.items())
             ],
             "most_of_its_own_fails": self.table.is_self_suspect(),
             "ages_ms": {q: ages[int(share * (len(ages) - 1))] for q, share in (("p50", 0.5), ("p99", 0.99))}
--- a/roadpulley/fleet/verdicts/state_machine.py
+++ b/roadpulley/fleet/verdicts/state_machine.py
@@ -15,18 +15,18 @@
 
 from .messages import MAX_REPORTS_PER_BATCH, HealthReport, HealthReportBatch, ObservationRow, Verdict
 
-MAX_TRIES_PER_OBSERVER = 6.0  # so that no observer outweighs all others
+MAX_TRIES_PER_OBSERVER = 6.0  # no observer may outweigh all others
 PRIOR_TRIES = 1.0  # successful tries that every backend starts with
-ENTER_RATIO = 0.5  # of failed tries, at which a verdict begins
-LEAVE_RATIO = 0.25  # of failed tries, below which a verdict ends
-FAILING_RATIO = 0.5  # of failed tries: an observer finds a backend failing though its last try succeeded
+ENTER_RATIO = 0.5  # ratio of failed tries at which a verdict starts
+LEAVE_RATIO = 0.25  # ratio of failed tries below which a verdict ends
+# Ratio of failed tries at which an observer finds a backend failing even if its last try succeeded.
+FAILING_RATIO = 0.5
 MIN_FAILURES_ALONE = 2.5  # failures for a verdict by a single observer, if there are at most two
-MAX_OWN_FAILING_RATIO = (
-    0.5  # of the backends an observer uses; if more seem to fail, the fault is likely its own
-)
+# If a larger ratio of the backends that an observer uses seems to fail, the fault is likely its own.
+MAX_OWN_FAILING_RATIO = 0.5
 MIN_OWN_BACKENDS = 3  # backends that an observer must use for that check
 SERVED_BEFORE_MARGIN_MS = 200.0  # a success this long before a failure of other observers is ignored
-PANIC_RATIO = 0.5  # of all backends; if more seem to fail, there are no verdicts
+PANIC_RATIO = 0.5  # if more than this ratio of the backends seems to fail, there are no verdicts
 RETENTION_LIFETIMES = 10.0  # report lifetimes for which a report is kept, so that no older one replaces it
 MAX_REPORTS = 20_000  # at this number, reports of further backends are rejected
 
@@ -49,8 +49,8 @@
     tries, failures = report.tries, report.failures
     if report.failure_run > 0:
         tries, failures = min(tries, report.failure_run), min(failures, report.failure_run)
-    part = min(1.0, MAX_TRIES_PER_OBSERVER / max(tries, 1e-9))
-    return part * tries, part * failures
+    weight = min(1.0, MAX_TRIES_PER_OBSERVER / max(tries, 1e-9))
+    return weight * tries, weight * failures
 
 
 @dataclass(frozen=True)
@@ -64,6 +64,8 @@
 
 @dataclass(slots=True)
 class StoredReport:
+    """A report and its time of receipt, by the local monotonic clock."""
+
     report: HealthReport
     received_at: MonotonicTime
 
@@ -76,13 +78,11 @@
     settings: VerdictSettings
     version: int = 0
     reports_by_observer: dict[ProcessId, dict[int, StoredReport]] = field(default_factory=dict)
-    own_rows: dict[int, ObservationRow] = field(
-        default_factory=dict
-    )  # latest observations of the local processes, by backend
+    # Latest observations of the local processes, by backend.
+    own_rows: dict[int, ObservationRow] = field(default_factory=dict)
     ready: int = 0
-    active_levels: dict[int, float] = field(
-        default_factory=dict
-    )  # levels of the current verdicts, by backend
+    # Levels of the current verdicts, by backend.
+    active_levels: dict[int, float] = field(default_factory=dict)
     report_count: int = 0
     rejected_count: int = 0
 
@@ -94,28 +94,32 @@
         """Stores the local observations; returns the batches to send to all other instances."""
         self.ready, self.own_rows = ready, {row.backend: row for row in rows}
         disputed = {
-            b
+            backend
             for reports in self.reports_by_observer.values()
-            for b, kept in reports.items()
-            if kept.report.failures
+            for backend, stored in reports.items()
+            if stored.report.failures
+        }
+        failing = {backend for backend, row in self.own_rows.items() if is_failing(row)}
+        reported_rows = {
+            backend: self.own_rows[backend] for backend in sorted(failing | (disputed & set(self.own_rows)))
         }
-        failing = {b for b, row in self.own_rows.items() if is_failing(row)}
-        told = {b: self.own_rows[b] for b in sorted(failing | (disputed & set(self.own_rows)))}
         if self.is_self_suspect():
             # A gateway with a broken network interface finds all backends failing, and would make all others
             # avoid them. It withdraws its earlier reports by reports without tries.
-            mine = self.reports_by_observer.get(self.identity, {}).values()
-            told = {
-                k.report.backend: ObservationRow(k.report.backend, k.report.started, 0.0, 0.0, 0)
-                for k in mine
+            own_reports = self.reports_by_observer.get(self.identity, {}).values()
+            reported_rows = {
+                stored.report.backend: ObservationRow(
+                    stored.report.backend, stored.report.started, 0.0, 0.0, 0
+                )
+                for stored in own_reports
             }
         reports = []
-        for backend, row in told.items():
+        for backend, row in reported_rows.items():
             self.version += 1
-            seen = wall_ms - row.age_ms
+            last_try = wall_ms - row.age_ms
             reports.append(
                 HealthReport(
-                    backend, row.started, self.version, row.tries, row.failures, seen, row.failure_run
+                    backend, row.started, self.version, row.tries, row.failures, last_try, row.failure_run
                 )
             )
         for report in reports:
@@ -134,40 +138,46 @@
 
     def merge_remote(self, now: MonotonicTime, wall_ms: int, reports: HealthReportBatch) -> None:
         for report in reports.reports:
-            if self._is_valid(report) and wall_ms - report.seen_ms <= 1000 * self.settings.report_lifetime_s:
+            if (
+                self._is_valid(report)
+                and wall_ms - report.last_try_ms <= 1000 * self.settings.report_lifetime_s
+            ):
                 self._store(now, reports.owner, report)
 
     def _is_valid(self, report: HealthReport) -> bool:
-        sound = 0 <= report.failures <= report.tries + 1e-6 and report.tries < math.inf
-        return sound and report.version > 0 and report.failure_run >= 0
+        has_valid_counts = 0 <= report.failures <= report.tries + 1e-6 and report.tries < math.inf
+        return has_valid_counts and report.version > 0 and report.failure_run >= 0
 
     def _store(self, now: MonotonicTime, owner: ProcessId, report: HealthReport) -> None:
-        known = self.reports_by_observer.setdefault(owner, {})
-        before = known.get(report.backend)
-        if before is not None and before.report.version >= report.version:
+        observer_reports = self.reports_by_observer.setdefault(owner, {})
+        previous = observer_reports.get(report.backend)
+        if previous is not None and previous.report.version >= report.version:
             return
-        if before is None and self.report_count >= MAX_REPORTS:
+        if previous is None and self.report_count >= MAX_REPORTS:
             self.rejected_count += 1
             return
-        self.report_count += before is None
-        known[report.backend] = StoredReport(report, now)
+        self.report_count += previous is None
+        observer_reports[report.backend] = StoredReport(report, now)
 
     def expire(self, now: MonotonicTime) -> None:
         """Drops reports that are so old that no older ones can arrive any more."""
         for owner, reports in list(self.reports_by_observer.items()):
-            for backend, kept in list(reports.items()):
-                if now - kept.received_at > RETENTION_LIFETIMES * self.settings.report_lifetime_s:
+            for backend, stored in list(reports.items()):
+                if now - stored.received_at > RETENTION_LIFETIMES * self.settings.report_lifetime_s:
                     del reports[backend]
                     self.report_count -= 1
             if not reports:
                 del self.reports_by_observer[owner]
 
     def iter_fresh(self, now: MonotonicTime, wall_ms: int) -> Iterator[tuple[ProcessId, HealthReport]]:
-        life = self.settings.report_lifetime_s
+        lifetime_s = self.settings.report_lifetime_s
         for owner, reports in self.reports_by_observer.items():
-            for kept in reports.values():
-                if now - kept.received_at < life and wall_ms - kept.report.seen_ms < 1000 * life:
-                    yield owner, kept.report
+            for stored in reports.values():
+                if (
+                    now - stored.received_at < lifetime_s
+                    and wall_ms - stored.report.last_try_ms < 1000 * lifetime_s
+                ):
+                    yield owner, stored.report
 
     # ---- verdicts ----
 
@@ -176,41 +186,43 @@
         by_backend: dict[int, list[HealthReport]] = {}
         for _, report in self.iter_fresh(now, wall_ms):
             by_backend.setdefault(report.backend, []).append(report)
-        found = []
+        verdicts = []
         for backend, reports in by_backend.items():
             # Reports on an earlier process at this address don't apply to the current one. They would
             # condemn a backend that has been restarted.
             started = max(report.started for report in reports)
-            of_it = [report for report in reports if report.started == started]
-            verdict = self._judge_backend(wall_ms, backend, started, of_it, instances)
+            current_reports = [report for report in reports if report.started == started]
+            verdict = self._judge_backend(wall_ms, backend, started, current_reports, instances)
             if verdict is not None:
-                found.append(verdict)
-        found.sort(key=lambda v: (-v.level, v.backend))
+                verdicts.append(verdict)
+        verdicts.sort(key=lambda v: (-v.level, v.backend))
         # Verdicts on most of the capacity would do more harm than the failing backends.
-        if len(found) > PANIC_RATIO * self.ready:
-            found = []
-        found = found[: max(1, int(self.settings.max_share * self.ready))]
-        self.active_levels = {verdict.backend: verdict.level for verdict in found}
-        return found
+        if len(verdicts) > PANIC_RATIO * self.ready:
+            verdicts = []
+        verdicts = verdicts[: max(1, int(self.settings.max_share * self.ready))]
+        self.active_levels = {verdict.backend: verdict.level for verdict in verdicts}
+        return verdicts
 
     def _judge_backend(
         self, wall_ms: int, backend: int, started: float, reports: list[HealthReport], instances: int
     ) -> Verdict | None:
         tries = failures = 0.0
-        agree = 0
-        seen = max((report.seen_ms for report in reports if is_failing(report)), default=0)
+        failing_observers = 0
+        last_failure = max((report.last_try_ms for report in reports if is_failing(report)), default=0)
         for report in reports:
-            failing = is_failing(report)
-            if report.seen_ms < seen - SERVED_BEFORE_MARGIN_MS and not failing:
+            has_failing = is_failing(report)
+            if report.last_try_ms < last_failure - SERVED_BEFORE_MARGIN_MS and not has_failing:
                 continue  # its last success was before the failures began, and it has not tried since
-            more_tries, more_failures = capped_counts(report)
-            tries, failures = tries + more_tries, failures + more_failures
-            agree += failing
+            counted_tries, counted_failures = capped_counts(report)
+            tries, failures = tries + counted_tries, failures + counted_failures
+            failing_observers += has_failing
         level = failures / (tries + PRIOR_TRIES)
-        least = LEAVE_RATIO if backend in self.active_levels else ENTER_RATIO
+        threshold = LEAVE_RATIO if backend in self.active_levels else ENTER_RATIO
         # A single observer may have a fault of its own. Its reports are sufficient only if there is no third
         # instance.
-        enough = agree >= 2 or (agree == 1 and instances <= 2 and failures >= MIN_FAILURES_ALONE)
-        if level < least or not (enough or (agree and backend in self.active_levels)):
+        is_sufficient = failing_observers >= 2 or (
+            failing_observers == 1 and instances <= 2 and failures >= MIN_FAILURES_ALONE
+        )
+        if level < threshold or not (is_sufficient or (failing_observers and backend in self.active_levels)):
             return None
-        return Verdict(backend, started, min(1.0, level), max(0, wall_ms - seen))
+        return Verdict(backend, started, min(1.0, level), max(0, wall_ms - last_failure))
--- a/tests/fleet/test_verdicts.py
+++ b/tests/fleet/test_verdicts.py
@@ -56,7 +56,7 @@
     made = BackendObservations()
     for place, how in enumerate(pattern):
         made.record(place * gap_s, 7, 5.0, Outcome.OK if how == "." else Outcome.FAILED)
-    (row,) = made.rows((len(pattern) - 1) * gap_s)
+    (row,) = made.build_rows((len(pattern) - 1) * gap_s)
     return row
 
 
@@ -247,24 +247,24 @@
     for n in range(50):
         made.record(n / 100, 7, 5.0, Outcome.OK)
     made.record(0.5, 7, 5.0, Outcome.FAILED)
-    (row,) = made.rows(0.5)
+    (row,) = made.build_rows(0.5)
     assert row.failures < row.tries / 2
     made.record(0.51, 7, 5.0, Outcome.RESET)
-    (row,) = made.rows(0.6)
+    (row,) = made.build_rows(0.6)
     assert row.failures >= row.tries / 2 and row.age_ms in (89, 90)
     made.record(0.6, 7, 5.0, Outcome.FULL)  # load
     made.record(0.6, 7, 5.0, Outcome.CANCELLED)
-    assert made.rows(0.6) == [row]
+    assert made.build_rows(0.6) == [row]
     made.record(0.7, 7, 6.0, Outcome.OK)  # a new process there
-    assert [(r.started, r.failures) for r in made.rows(0.7)] == [(6.0, 0.0)]
-    assert made.rows(60.0) == [] and not made.observations
+    assert [(r.started, r.failures) for r in made.build_rows(0.7)] == [(6.0, 0.0)]
+    assert made.build_rows(60.0) == [] and not made.observations
 
 
 def test_a_process_tells_of_so_many_backends_at_most_those_that_fail_first() -> None:
     made = BackendObservations()
     for backend in range(200):
         made.record(0.0, backend, 5.0, Outcome.FAILED if backend >= 190 else Outcome.OK)
-    rows = made.rows(0.0)
+    rows = made.build_rows(0.0)
     assert len(rows) == MAX_ROWS and {row.backend for row in rows[:10]} == set(range(190, 200))
 
 
