--- a/roadpulley/fleet/verdicts/service.py
+++ b/roadpulley/fleet/verdicts/service.py
@@ -43,9 +43,9 @@
 def merge_observations(first: ObservationRow, second: ObservationRow) -> ObservationRow:
     """Merges the observations of two processes; the later try decides whether the run continues."""
     later, earlier = (first, second) if first.age_ms <= second.age_ms else (second, first)
-    failure_run = later.failure_run + earlier.failure_run if later.failure_run else 0.0
+    merged_run = later.failure_run + earlier.failure_run if later.failure_run else 0.0
     tries, failures = first.tries + second.tries, first.failures + second.failures
-    return ObservationRow(first.backend, first.started, tries, failures, later.age_ms, failure_run)
+    return ObservationRow(first.backend, first.started, tries, failures, later.age_ms, merged_run)
 
 
 class VerdictService:
--- a/roadpulley/fleet/verdicts/state_machine.py
+++ b/roadpulley/fleet/verdicts/state_machine.py
@@ -94,24 +94,20 @@
         """Stores the local observations; returns the batches to send to all other instances."""
         self.ready, self.own_rows = ready, {row.backend: row for row in rows}
         disputed = {
-            backend
+            b
             for reports in self.reports_by_observer.values()
-            for backend, stored in reports.items()
+            for b, stored in reports.items()
             if stored.report.failures
         }
-        failing = {backend for backend, row in self.own_rows.items() if is_failing(row)}
-        reported_rows = {
-            backend: self.own_rows[backend] for backend in sorted(failing | (disputed & set(self.own_rows)))
-        }
+        failing = {b for b, row in self.own_rows.items() if is_failing(row)}
+        reported_rows = {b: self.own_rows[b] for b in sorted(failing | (disputed & set(self.own_rows)))}
         if self.is_self_suspect():
             # A gateway with a broken network interface finds all backends failing, and would make all others
             # avoid them. It withdraws its earlier reports by reports without tries.
             own_reports = self.reports_by_observer.get(self.identity, {}).values()
             reported_rows = {
-                stored.report.backend: ObservationRow(
-                    stored.report.backend, stored.report.started, 0.0, 0.0, 0
-                )
-                for stored in own_reports
+                r.report.backend: ObservationRow(r.report.backend, r.report.started, 0.0, 0.0, 0)
+                for r in own_reports
             }
         reports = []
         for backend, row in reported_rows.items():
