--- a/tests/fleet/test_orders.py
+++ b/tests/fleet/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders by their machines, one at a time: what each refuses; settings; what a module is told of them."""
+"""The state machines of orders: publisher, voter and follower; settings; events for the decision module."""
 
 from __future__ import annotations
 
@@ -35,167 +35,171 @@
 BLOCK = Order("block", "customer", "acme", ticket="t1")
 
 
-def book(fence: int, number: int, *orders: Order) -> OrderBook:
+def make_book(fence: int, number: int, *orders: Order) -> OrderBook:
     return OrderBook(Version(fence, number), orders)
 
 
-def ready(fence: int = 7) -> Publisher:
-    """It has read two voters whose memory is whole, and both took its book."""
-    made = Publisher(fence, initial_config(VOTERS), OrderBook(), 0.1)
+def make_ready_publisher(fence: int = 7) -> Publisher:
+    """A publisher that has read two voters with memory, which have accepted its book."""
+    publisher = Publisher(fence, initial_config(VOTERS), OrderBook(), 0.1)
     for voter in ("v0", "v1"):
-        made.handle_voter_reply(voter, VoterReply(fence, Version(0, 0), True), OrderBook())
-    took(made, "v0", "v1")
-    assert made.state is PublisherState.READY
-    return made
+        publisher.handle_voter_reply(voter, VoterReply(fence, Version(0, 0), True), OrderBook())
+    accept_at(publisher, "v0", "v1")
+    assert publisher.state is PublisherState.READY
+    return publisher
 
 
-def took(made: Publisher, *voters: str) -> None:
+def accept_at(publisher: Publisher, *voters: str) -> None:
     for voter in voters:
-        made.handle_voter_reply(voter, VoterReply(made.fence, made.book.version, True), None)
-
-
-def test_a_change_is_acknowledged_once_a_majority_took_it_and_once_only() -> None:
-    made = ready()
-    wish = ChangeRequest("t1", BLOCK, False)
-    assert made.submit(wish) is None
-    took(made, "v0")
-    assert made.published is not None and not made.published.orders
-    took(made, "v2")
-    assert made.published is not None and made.published.orders == (BLOCK,)
-    number = made.book.version.number
-    assert made.submit(wish) == made.change_outcomes["t1"]  # it comes again
-    assert made.book.version.number == number
-
-
-def test_the_next_publisher_goes_on_from_what_one_voter_has_and_knows_the_call_again() -> None:
-    """The one before had a single voter take it, and died; whoever asked asks again."""
-    left = book(7, 3, BLOCK)
-    made = Publisher(9, initial_config(VOTERS), OrderBook(), 0.1)
-    made.handle_voter_reply("v1", VoterReply(9, Version(7, 2), True), book(7, 2))
-    made.handle_voter_reply("v0", VoterReply(9, left.version, True), None)
-    assert made.state is PublisherState.READING  # its sheets are on their way
-    made.handle_voter_reply("v0", VoterReply(9, left.version, True), left)
-    assert made.state is PublisherState.REPLICATING and made.published is None
-    took(made, "v1", "v2")
-    assert made.published == book(9, 4, BLOCK)
-    outcome = made.submit(ChangeRequest("t1", BLOCK, False))
+        publisher.handle_voter_reply(voter, VoterReply(publisher.fence, publisher.book.version, True), None)
+
+
+def test_change_is_acknowledged_once_when_a_majority_has_accepted_it() -> None:
+    publisher = make_ready_publisher()
+    change = ChangeRequest("t1", BLOCK, False)
+    assert publisher.submit(change) is None
+    accept_at(publisher, "v0")
+    assert publisher.published is not None and not publisher.published.orders
+    accept_at(publisher, "v2")
+    assert publisher.published is not None and publisher.published.orders == (BLOCK,)
+    number = publisher.book.version.number
+    assert publisher.submit(change) == publisher.change_outcomes["t1"]  # the call is repeated
+    assert publisher.book.version.number == number
+
+
+def test_next_publisher_recovers_a_book_from_one_voter_and_recognizes_the_call() -> None:
+    """The previous publisher failed when one voter had accepted the change, and the call is repeated."""
+    unfinished_book = make_book(7, 3, BLOCK)
+    publisher = Publisher(9, initial_config(VOTERS), OrderBook(), 0.1)
+    publisher.handle_voter_reply("v1", VoterReply(9, Version(7, 2), True), make_book(7, 2))
+    publisher.handle_voter_reply("v0", VoterReply(9, unfinished_book.version, True), None)
+    assert publisher.state is PublisherState.READING  # its pages have not arrived
+    publisher.handle_voter_reply("v0", VoterReply(9, unfinished_book.version, True), unfinished_book)
+    assert publisher.state is PublisherState.REPLICATING and publisher.published is None
+    accept_at(publisher, "v1", "v2")
+    assert publisher.published == make_book(9, 4, BLOCK)
+    outcome = publisher.submit(ChangeRequest("t1", BLOCK, False))
     assert outcome is not None and outcome.error == ""
-    assert made.book.version == Version(9, 4)
-
-
-def test_a_higher_fence_ends_it_and_an_answer_to_an_earlier_one_is_no_reading() -> None:
-    made = Publisher(9, initial_config(VOTERS), OrderBook(), 0.1)
-    made.handle_voter_reply("v0", VoterReply(8, Version(0, 0), True), OrderBook())
-    assert not made.read_voters
-    made.handle_voter_reply("v1", VoterReply(10, Version(0, 0), True), OrderBook())
-    assert made.state is PublisherState.SUPERSEDED and made.tick(0.0, 0) == []
-
-
-def test_voters_without_a_memory_are_made_up_for_by_asking_all_or_by_an_operator() -> None:
-    made = Publisher(9, initial_config(VOTERS), OrderBook(), 0.1)
-    made.handle_voter_reply("v0", VoterReply(9, Version(0, 0), False), OrderBook())
-    made.handle_voter_reply("v1", VoterReply(9, Version(0, 0), True), OrderBook())
-    assert made.state is PublisherState.READING
-    assert "v2" in made.describe_wait()
-    made.force()
-    assert made.state is PublisherState.READING  # who follows may know more
-    made.tick(0.0, 0)
-    made.handle_voter_reply("o0", VoterReply(9, Version(7, 5), False), book(7, 5, BLOCK))
-    made.tick(1.0, 0)
-    assert made.book.orders == (BLOCK,)
-    assert made.state is PublisherState.REPLICATING and made.lost_memory_count == 1
-
-
-def test_other_voters_have_to_take_the_book_before_more_is_published() -> None:
-    made = ready()
-    roll = VoterConfig(VoterConfigId(1, 8), {**VOTERS, "v3": "", "v4": ""}, VOTERS)
-    made.set_voter_config(roll)
-    assert made.state is PublisherState.REPLICATING
-    took(made, "v0", "v1")
-    assert made.state is PublisherState.REPLICATING  # of five, three
-    took(made, "v3")
-    assert made.state is PublisherState.READY
-
-
-def test_orders_end_by_a_book_without_them() -> None:
-    made = ready()
-    made.submit(ChangeRequest("t1", Order("shed", "class", "view", ends_ms=5_000), False))
-    took(made, "v0", "v1")
-    made.tick(0.0, 4_999)
-    assert len(made.book.orders) == 1
-    made.tick(0.0, 5_000)
-    assert made.book.orders == () and made.state is PublisherState.REPLICATING
-
-
-def test_there_are_so_many_orders_at_most_and_the_largest_book_fits_into_datagrams() -> None:
-    made = ready()
-    wide = [
+    assert publisher.book.version == Version(9, 4)
+
+
+def test_higher_fence_supersedes_a_publisher_and_replies_to_a_lower_one_are_ignored() -> None:
+    publisher = Publisher(9, initial_config(VOTERS), OrderBook(), 0.1)
+    publisher.handle_voter_reply("v0", VoterReply(8, Version(0, 0), True), OrderBook())
+    assert not publisher.read_voters
+    publisher.handle_voter_reply("v1", VoterReply(10, Version(0, 0), True), OrderBook())
+    assert publisher.state is PublisherState.SUPERSEDED and publisher.tick(0.0, 0) == []
+
+
+def test_read_without_enough_memory_waits_for_all_voters_or_is_forced() -> None:
+    publisher = Publisher(9, initial_config(VOTERS), OrderBook(), 0.1)
+    publisher.handle_voter_reply("v0", VoterReply(9, Version(0, 0), False), OrderBook())
+    publisher.handle_voter_reply("v1", VoterReply(9, Version(0, 0), True), OrderBook())
+    assert publisher.state is PublisherState.READING
+    assert "v2" in publisher.describe_wait()
+    publisher.force()
+    assert publisher.state is PublisherState.READING  # followers may know a newer book
+    publisher.tick(0.0, 0)
+    publisher.handle_voter_reply("o0", VoterReply(9, Version(7, 5), False), make_book(7, 5, BLOCK))
+    publisher.tick(1.0, 0)
+    assert publisher.book.orders == (BLOCK,)
+    assert publisher.state is PublisherState.REPLICATING and publisher.lost_memory_count == 1
+
+
+def test_new_voters_have_to_accept_the_book_before_the_next_change() -> None:
+    publisher = make_ready_publisher()
+    voter_config = VoterConfig(VoterConfigId(1, 8), {**VOTERS, "v3": "", "v4": ""}, VOTERS)
+    publisher.set_voter_config(voter_config)
+    assert publisher.state is PublisherState.REPLICATING
+    accept_at(publisher, "v0", "v1")
+    assert publisher.state is PublisherState.REPLICATING  # a majority of five is three
+    accept_at(publisher, "v3")
+    assert publisher.state is PublisherState.READY
+
+
+def test_publisher_ends_expired_orders_by_a_new_book() -> None:
+    publisher = make_ready_publisher()
+    publisher.submit(ChangeRequest("t1", Order("shed", "class", "view", ends_ms=5_000), False))
+    accept_at(publisher, "v0", "v1")
+    publisher.tick(0.0, 4_999)
+    assert len(publisher.book.orders) == 1
+    publisher.tick(0.0, 5_000)
+    assert publisher.book.orders == () and publisher.state is PublisherState.REPLICATING
+
+
+def test_orders_are_limited_and_the_largest_book_fits_into_datagrams() -> None:
+    publisher = make_ready_publisher()
+    large_orders = [
         Order(
             "rate", "customer", f"{n:064d}", 1e6, 1e6, 0, 2**52, "o" * 32, "w" * MAX_REASON_BYTES, f"{n:016x}"
         )
         for n in range(MAX_ORDERS + 1)
     ]
-    for order in wide:
-        made.submit(ChangeRequest(order.ticket, order, False))
-        took(made, "v0", "v1")
-    assert len(made.book.orders) == MAX_ORDERS
-    assert "lift one" in made.change_outcomes[wide[-1].ticket].error
-    codec, gathering = Codec("x" * 32, "y" * 32, 2**53 - 1, b"k" * 32), PageAssembler()
-    found = [gathering.add(sheet) for sheet in reversed(split_into_pages(made.book))]
-    assert found[-1] == made.book and set(found[:-1]) == {None}
-    for data in codec.pack(2**53 - 1, [codec.encode_body(sheet) for sheet in split_into_pages(made.book)]):
-        assert len(data) <= 1_200
-
-
-def test_a_keeper_remembers_what_it_promised_and_took_where_it_has_a_disk(tmp_path: Path) -> None:
-    keeper = Voter(tmp_path, "v0")
-    assert keeper.prepare(9) == VoterReply(9, Version(0, 0), False)
-    assert keeper.accept(book(8, 1)) == VoterReply(
+    for order in large_orders:
+        publisher.submit(ChangeRequest(order.ticket, order, False))
+        accept_at(publisher, "v0", "v1")
+    assert len(publisher.book.orders) == MAX_ORDERS
+    assert "lift one" in publisher.change_outcomes[large_orders[-1].ticket].error
+    codec, assembler = Codec("x" * 32, "y" * 32, 2**53 - 1, b"k" * 32), PageAssembler()
+    assembled = [assembler.add(page) for page in reversed(split_into_pages(publisher.book))]
+    assert assembled[-1] == publisher.book and set(assembled[:-1]) == {None}
+    for datagram in codec.pack(
+        2**53 - 1, [codec.encode_body(page) for page in split_into_pages(publisher.book)]
+    ):
+        assert len(datagram) <= 1_200
+
+
+def test_voter_with_a_disk_restores_its_promise_and_its_book(tmp_path: Path) -> None:
+    voter = Voter(tmp_path, "v0")
+    assert voter.prepare(9) == VoterReply(9, Version(0, 0), False)
+    assert voter.accept(make_book(8, 1)) == VoterReply(
         9, Version(0, 0), False
-    )  # of a lower fence than it promised
-    keeper.accept(book(9, 1, BLOCK))
-    again = Voter(tmp_path, "v0")
-    assert again.state == keeper.state and again.state.whole
-    assert again.accept(book(9, 1)).version == Version(9, 1) and again.state.book.orders == (BLOCK,)
+    )  # its fence is below the promised one
+    voter.accept(make_book(9, 1, BLOCK))
+    restored = Voter(tmp_path, "v0")
+    assert restored.state == voter.state and restored.state.whole
+    assert restored.accept(make_book(9, 1)).version == Version(9, 1) and restored.state.book.orders == (
+        BLOCK,
+    )
     (tmp_path / "v0.orders").write_bytes(b'{"book": 1')
     with pytest.raises(ValidationError, match=r"v0\.orders.*bring it back"):
         Voter(tmp_path, "v0")
 
 
-def test_a_keeper_that_cannot_write_says_nothing(tmp_path: Path) -> None:
+def test_voter_that_cannot_write_sends_no_reply(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("")
-    keeper = Voter(tmp_path / "file" / "state", "v0")
-    assert keeper.prepare(9) is None and keeper.accept(book(9, 1)) is None
-    assert keeper.state.promised == 0
+    voter = Voter(tmp_path / "file" / "state", "v0")
+    assert voter.prepare(9) is None and voter.accept(make_book(9, 1)) is None
+    assert voter.state.promised == 0
 
 
-def followed(keep: bool) -> Follower:
-    made = Follower(FollowerSettings(0.3, 2.0, keep, 0.0))
-    poll = made.tick(10.0)
+def make_follower_with_book(keep: bool) -> Follower:
+    follower = Follower(FollowerSettings(0.3, 2.0, keep, 0.0))
+    poll = follower.tick(10.0)
     assert poll is not None
-    assert not made.handle_reply(10.4, PollReply(0, poll.number, 7, Version(7, 2), 2.0))
-    assert made.handle_page(10.4, split_into_pages(book(7, 2, BLOCK))[0])
-    return made
+    assert not follower.handle_reply(10.4, PollReply(0, poll.number, 7, Version(7, 2), 2.0))
+    assert follower.handle_page(10.4, split_into_pages(make_book(7, 2, BLOCK))[0])
+    return follower
 
 
 @pytest.mark.parametrize("keep", [True, False])
-def test_a_book_holds_from_when_it_was_asked_for_and_after_that_as_set(keep: bool) -> None:
-    made = followed(keep)
-    assert made.is_fresh(11.99) and not made.is_fresh(12.0)
-    assert made.current_book(11.99).orders == (BLOCK,)
-    assert bool(made.current_book(12.0).orders) is keep
+def test_lease_of_a_book_starts_at_the_poll_and_ends_as_configured(keep: bool) -> None:
+    follower = make_follower_with_book(keep)
+    assert follower.is_fresh(11.99) and not follower.is_fresh(12.0)
+    assert follower.current_book(11.99).orders == (BLOCK,)
+    assert bool(follower.current_book(12.0).orders) is keep
 
 
-def test_news_of_a_lower_fence_and_answers_that_are_late_change_nothing() -> None:
-    made = followed(False)
-    assert not made.handle_announcement(10.5, 6, Version(6, 9))
-    poll = made.tick(10.5)
+def test_announcements_of_a_lower_fence_and_late_replies_change_nothing() -> None:
+    follower = make_follower_with_book(False)
+    assert not follower.handle_announcement(10.5, 6, Version(6, 9))
+    poll = follower.tick(10.5)
     assert poll is not None
-    assert not made.handle_reply(10.5, PollReply(0, poll.number, 6, Version(7, 2), 2.0))
+    assert not follower.handle_reply(10.5, PollReply(0, poll.number, 6, Version(7, 2), 2.0))
     for now in (10.9, 11.3, 11.7):
-        made.tick(now)
-    assert not made.handle_reply(11.7, PollReply(0, poll.number, 7, Version(7, 2), 2.0))
-    assert made.fresh_until == 12.0
+        follower.tick(now)
+    assert not follower.handle_reply(11.7, PollReply(0, poll.number, 7, Version(7, 2), 2.0))
+    assert follower.fresh_until == 12.0
 
 
 @pytest.mark.parametrize(
@@ -211,9 +215,9 @@
         (Order("block", "customer", "a", why="w" * 97), "at most 96 bytes"),
     ],
 )
-def test_orders_that_are_none_are_turned_down(order: Order, right: str) -> None:
+def test_invalid_orders_are_rejected(order: Order, right: str) -> None:
     assert right in validate_order(order)
-    outcome = ready().submit(ChangeRequest("t", order, False))
+    outcome = make_ready_publisher().submit(ChangeRequest("t", order, False))
     assert outcome is not None and right in outcome.error
 
 
@@ -226,17 +230,17 @@
         ({"pol_s": 1.0}, "pol_s"),
     ],
 )
-def test_settings_that_cannot_be_taken_name_the_key(raw: dict[str, object], right: str) -> None:
+def test_invalid_settings_name_the_key(raw: dict[str, object], right: str) -> None:
     with pytest.raises(ValidationError, match=right):
         read_order_settings(Table(raw, "orders"), 0.02)
 
 
-def test_a_module_is_told_limits_by_scope_and_the_rest_by_subject() -> None:
-    rate = Order("rate", "pool", "zone-a", 5.0, 5.0)
-    most = Order("open", "pool", "zone-a", most=3)
-    others = BLOCK, Order("shed", "class", "view"), Order("keep-off", "backend", "t3")
-    assert to_orders_changed((rate, most, *others)) == api.OrdersChanged(
-        {("pool", "zone-a"): (rate.limit_name, most.limit_name)},
+def test_orders_are_converted_to_limits_by_scope_and_the_rest_by_subject() -> None:
+    rate_order = Order("rate", "pool", "zone-a", 5.0, 5.0)
+    open_order = Order("open", "pool", "zone-a", most=3)
+    other_orders = BLOCK, Order("shed", "class", "view"), Order("keep-off", "backend", "t3")
+    assert to_orders_changed((rate_order, open_order, *other_orders)) == api.OrdersChanged(
+        {("pool", "zone-a"): (rate_order.limit_name, open_order.limit_name)},
         ("zone-a",),
         frozenset({"acme"}),
         frozenset({"view"}),
@@ -244,16 +248,16 @@
     )
 
 
-def test_even_parts_begin_with_nothing_and_an_order_given_anew_brings_none_back() -> None:
+def test_even_shares_start_empty_and_a_repeated_order_restores_none() -> None:
     order = Order("rate", "class", "view", 10.0, 10.0)
-    parts = EvenShares(0.4, 4)  # 1 a second, 1 at once
-    parts.set_orders(0.0, [order])
-    assert not parts.try_take(0.9, order.limit_name, 1.0)
-    assert parts.try_take(5.0, order.limit_name, 1.0) and not parts.try_take(5.0, order.limit_name, 1.0)
-    parts.set_orders(5.1, [])
-    parts.set_orders(5.2, [order])
-    assert not parts.try_take(5.9, order.limit_name, 1.0)
-    assert parts.try_take(6.1, order.limit_name, 1.0)
-    parts.put_back(order.limit_name, 1.0)
-    parts.set_orders(6.1, [Order("rate", "class", "view", 10.0, 5.0)])
-    assert not parts.try_take(60.0, order.limit_name, 1.0)  # half a request at once is none
+    shares = EvenShares(0.4, 4)  # rate 1, burst 1
+    shares.set_orders(0.0, [order])
+    assert not shares.try_take(0.9, order.limit_name, 1.0)
+    assert shares.try_take(5.0, order.limit_name, 1.0) and not shares.try_take(5.0, order.limit_name, 1.0)
+    shares.set_orders(5.1, [])
+    shares.set_orders(5.2, [order])
+    assert not shares.try_take(5.9, order.limit_name, 1.0)
+    assert shares.try_take(6.1, order.limit_name, 1.0)
+    shares.put_back(order.limit_name, 1.0)
+    shares.set_orders(6.1, [Order("rate", "class", "view", 10.0, 5.0)])
+    assert not shares.try_take(60.0, order.limit_name, 1.0)  # a burst of half a request allows none
--- a/tests/fleet/test_verdicts.py
+++ b/tests/fleet/test_verdicts.py
@@ -1,4 +1,4 @@
-"""Verdicts by their machine: reports that merge in any order, who is believed, what is never taken."""
+"""The state machine of verdicts: merging of reports, agreement of observers, limits of verdicts, expiry."""
 
 from __future__ import annotations
 
@@ -21,90 +21,92 @@
 WALL = 1_000_000
 
 
-def book(ready: int = 10) -> HealthReportTable:
-    made = HealthReportTable(ME, SETTINGS)
-    made.record_local(0.0, WALL, ready, [])
-    return made
+def make_table(ready: int = 10) -> HealthReportTable:
+    table = HealthReportTable(ME, SETTINGS)
+    table.record_local(0.0, WALL, ready, [])
+    return table
 
 
-def reports(
+def make_reports(
     owner: ProcessId, backend: int, failures: float, version: int = 1, tries: float = 3.0, **more: float
 ) -> HealthReportBatch:
-    seen, started = int(more.get("seen", WALL)), more.get("started", 5.0)
-    return HealthReportBatch(owner, (HealthReport(backend, started, version, tries, failures, seen),))
+    last_try_ms, started = int(more.get("last_try_ms", WALL)), more.get("started", 5.0)
+    return HealthReportBatch(owner, (HealthReport(backend, started, version, tries, failures, last_try_ms),))
 
 
-def level(
-    made: HealthReportTable, backend: int, now: float = 0.0, wall: int = WALL, instances: int = 5
+def judge_level(
+    table: HealthReportTable, backend: int, now: float = 0.0, wall: int = WALL, instances: int = 5
 ) -> float:
-    return {v.backend: v.level for v in made.judge(now, wall, instances)}.get(backend, 0.0)
+    return {v.backend: v.level for v in table.judge(now, wall, instances)}.get(backend, 0.0)
 
 
-def test_two_observers_make_a_verdict_and_one_alone_only_where_there_is_no_third() -> None:
-    made = book()
-    made.merge_remote(0.0, WALL, reports(A, 7, 3.0))
-    assert level(made, 7) == 0
-    assert level(made, 7, instances=2) > 0.5
-    made = book()
+def test_verdict_needs_two_observers_unless_there_is_no_third_instance() -> None:
+    table = make_table()
+    table.merge_remote(0.0, WALL, make_reports(A, 7, 3.0))
+    assert judge_level(table, 7) == 0
+    assert judge_level(table, 7, instances=2) > 0.5
+    table = make_table()
     for owner in (A, B):
-        made.merge_remote(0.0, WALL, reports(owner, 7, 3.0))
-    assert level(made, 7) > 0.5
+        table.merge_remote(0.0, WALL, make_reports(owner, 7, 3.0))
+    assert judge_level(table, 7) > 0.5
 
 
-def seen_by_a_gateway(pattern: str, gap_s: float) -> ObservationRow:
-    """The row of a gateway whose tries ended so, `.` served and `x` failed, that far apart."""
-    made = BackendObservations()
-    for place, how in enumerate(pattern):
-        made.record(place * gap_s, 7, 5.0, Outcome.OK if how == "." else Outcome.FAILED)
-    (row,) = made.build_rows((len(pattern) - 1) * gap_s)
+def observe_pattern(pattern: str, gap_s: float) -> ObservationRow:
+    """The row of a gateway with these tries (`.` for a success, `x` for a failure), `gap_s` apart."""
+    observations = BackendObservations()
+    for index, result in enumerate(pattern):
+        observations.record(index * gap_s, 7, 5.0, Outcome.OK if result == "." else Outcome.FAILED)
+    (row,) = observations.build_rows((len(pattern) - 1) * gap_s)
     return row
 
 
-def told(owner: ProcessId, row: ObservationRow, version: int = 1, seen: int = WALL) -> HealthReportBatch:
+def make_batch(
+    owner: ProcessId, row: ObservationRow, version: int = 1, last_try_ms: int = WALL
+) -> HealthReportBatch:
     return HealthReportBatch(
-        owner, (HealthReport(7, 5.0, version, row.tries, row.failures, seen, row.failure_run),)
+        owner, (HealthReport(7, 5.0, version, row.tries, row.failures, last_try_ms, row.failure_run),)
     )
 
 
 @pytest.mark.parametrize("gap_s", [0.01, 0.1, 0.25, 1.0])
-def test_one_failure_each_behind_tries_that_were_served_is_enough_for_two(gap_s: float) -> None:
-    """What callers saw: a failing node was avoided by all in some plays, late or not at all in others.
-
-    Each gateway keeps off a node from its first failure on, so that one failure is all that it ever tells.
-    Behind tries that were served 0.25 s apart that is 1.0 of 2.04 tries: under half, so that it was not told
-    at all, and five such reports would have come to 5 of 11.2, under ENTER_RATIO. A verdict needed a gateway
-    that happened to meet the node a second time. In 35 plays beside load ten had no verdict in time: in
-    eight of these no gateway, or one, met the node twice within 3 s (1796277962: one failure each at five).
+def test_one_failure_after_successes_at_each_of_two_observers_makes_a_verdict(gap_s: float) -> None:
+    """Guards against verdicts that come late or not at all, although every gateway has had a failure.
+
+    A gateway avoids a node from its first failure on, so it reports only that one failure. After successes
+    0.25 s apart that is 1.0 of 2.04 decayed tries, less than half, so it was not reported at all. Five such
+    reports would have been 5 of 11.2 tries, less than ENTER_RATIO. A verdict needed a gateway that tried the
+    node a second time: of 35 runs under load ten had no verdict in time, and in eight of these at most one
+    gateway had tried the node twice within 3 s (in run 1796277962 five gateways had one failure each).
     """
-    row = seen_by_a_gateway("........x", gap_s)
-    sender = book()
-    (sent,) = sender.record_local(0.0, WALL, 10, [row])
-    assert sent.reports[0].failure_run == 1
-    made = book()
-    made.merge_remote(0.0, WALL, told(A, row))
-    assert level(made, 7) == 0  # one alone is not enough
-    made.merge_remote(0.0, WALL, told(B, row))
-    assert level(made, 7) > 0.5
-
-
-def test_failures_by_chance_are_outweighed_by_those_who_were_served_since() -> None:
-    """Two of five meet one error each while the others are served: no verdict."""
-    failed, served = seen_by_a_gateway("....x", 0.25), seen_by_a_gateway(".....", 0.25)
-    made = book()
+    row = observe_pattern("........x", gap_s)
+    sender = make_table()
+    (batch,) = sender.record_local(0.0, WALL, 10, [row])
+    assert batch.reports[0].failure_run == 1
+    table = make_table()
+    table.merge_remote(0.0, WALL, make_batch(A, row))
+    assert judge_level(table, 7) == 0  # a single observer is not sufficient
+    table.merge_remote(0.0, WALL, make_batch(B, row))
+    assert judge_level(table, 7) > 0.5
+
+
+def test_random_failures_are_outweighed_by_later_successes_of_others() -> None:
+    """Two of five gateways have one failure each while the others succeed: there is no verdict."""
+    failed, served = observe_pattern("....x", 0.25), observe_pattern(".....", 0.25)
+    table = make_table()
     for owner in (A, B):
-        made.merge_remote(0.0, WALL, told(owner, failed))
+        table.merge_remote(0.0, WALL, make_batch(owner, failed))
     for n in range(3):
-        made.merge_remote(0.0, WALL, told(ProcessId("served", n), served))
-    assert level(made, 7) == 0
-    # Served again themselves, they no longer find it failing.
-    again = seen_by_a_gateway("....x.", 0.25)
-    made = book()
+        table.merge_remote(0.0, WALL, make_batch(ProcessId("served", n), served))
+    assert judge_level(table, 7) == 0
+    # After a success of their own, the two no longer find it failing.
+    recovered = observe_pattern("....x.", 0.25)
+    table = make_table()
     for owner in (A, B):
-        made.merge_remote(0.0, WALL, told(owner, again))
-    assert level(made, 7) == 0
+        table.merge_remote(0.0, WALL, make_batch(owner, recovered))
+    assert judge_level(table, 7) == 0
 
 
-def test_what_two_processes_of_an_instance_saw_ends_with_who_tried_last() -> None:
+def test_merged_observations_take_the_run_of_the_later_try() -> None:
     served, failed = ObservationRow(7, 5.0, 2.0, 0.0, 30, 0.0), ObservationRow(7, 5.0, 2.0, 1.0, 10, 1.0)
     assert (
         merge_observations(served, failed)
@@ -116,102 +118,106 @@
     assert merge_observations(failed, failed).failure_run == 2.0
 
 
-def test_one_that_saw_everything_fail_says_nothing_and_takes_back_what_it_said() -> None:
-    made = book()
-    assert made.record_local(
+def test_observer_for_which_most_backends_fail_withdraws_its_reports() -> None:
+    table = make_table()
+    assert table.record_local(
         0.0, WALL, 10, [ObservationRow(1, 5.0, 3.0, 3.0, 0), ObservationRow(2, 5.0, 3.0, 0.0, 0)]
     )
-    broken = [ObservationRow(n, 5.0, 3.0, 3.0, 0) for n in range(1, 4)]
-    (told,) = made.record_local(1.0, WALL, 10, broken)
-    assert [(c.backend, c.failures) for c in told.reports] == [(1, 0.0)]
-    assert made.is_self_suspect()
+    failing_rows = [ObservationRow(n, 5.0, 3.0, 3.0, 0) for n in range(1, 4)]
+    (batch,) = table.record_local(1.0, WALL, 10, failing_rows)
+    assert [(c.backend, c.failures) for c in batch.reports] == [(1, 0.0)]
+    assert table.is_self_suspect()
 
 
-def test_who_is_served_outweighs_who_is_not_unless_that_was_before_it_began_to_fail() -> None:
-    made = book()
+def test_successes_outweigh_failures_unless_they_were_earlier() -> None:
+    table = make_table()
     for owner in (A, B):
-        made.merge_remote(0.0, WALL, reports(owner, 7, 3.0))
+        table.merge_remote(0.0, WALL, make_reports(owner, 7, 3.0))
     for n in range(4):
-        made.merge_remote(0.0, WALL, reports(ProcessId("served", n), 7, 0.0))
-    assert level(made, 7) == 0
-    made = book()
+        table.merge_remote(0.0, WALL, make_reports(ProcessId("served", n), 7, 0.0))
+    assert judge_level(table, 7) == 0
+    table = make_table()
     for owner in (A, B):
-        made.merge_remote(0.0, WALL, reports(owner, 7, 3.0))
+        table.merge_remote(0.0, WALL, make_reports(owner, 7, 3.0))
     for n in range(4):
-        made.merge_remote(0.0, WALL, reports(ProcessId("served", n), 7, 0.0, seen=WALL - 500))
-    assert level(made, 7) > 0.5
+        table.merge_remote(0.0, WALL, make_reports(ProcessId("served", n), 7, 0.0, last_try_ms=WALL - 500))
+    assert judge_level(table, 7) > 0.5
 
 
-def test_no_observer_outweighs_the_others_by_its_traffic() -> None:
-    made = book()
-    made.merge_remote(0.0, WALL, reports(A, 7, 1_000.0, tries=1_000.0))
-    made.merge_remote(0.0, WALL, reports(B, 7, 3.0))
+def test_observer_with_more_traffic_does_not_outweigh_the_others() -> None:
+    table = make_table()
+    table.merge_remote(0.0, WALL, make_reports(A, 7, 1_000.0, tries=1_000.0))
+    table.merge_remote(0.0, WALL, make_reports(B, 7, 3.0))
     for n in range(4):
-        made.merge_remote(0.0, WALL, reports(ProcessId("served", n), 7, 0.0, tries=6.0))
-    assert level(made, 7) == 0
+        table.merge_remote(0.0, WALL, make_reports(ProcessId("served", n), 7, 0.0, tries=6.0))
+    assert judge_level(table, 7) == 0
 
 
-def test_verdicts_take_no_more_than_their_share_and_nothing_where_most_seems_to_fail() -> None:
-    made = book(ready=10)
+def test_verdicts_are_limited_to_their_share_and_dropped_if_most_backends_fail() -> None:
+    table = make_table(ready=10)
     for backend in range(5):
         for owner in (A, B):
-            made.merge_remote(0.0, WALL, reports(owner, backend, 3.0 - backend / 10, version=backend + 1))
-    assert [v.backend for v in made.judge(0.0, WALL, 5)] == [0, 1, 2]  # the worst
+            table.merge_remote(
+                0.0, WALL, make_reports(owner, backend, 3.0 - backend / 10, version=backend + 1)
+            )
+    assert [v.backend for v in table.judge(0.0, WALL, 5)] == [0, 1, 2]  # those with the highest levels
     for owner in (A, B):
-        made.merge_remote(0.0, WALL, reports(owner, 5, 3.0, version=9))
-    assert made.judge(0.0, WALL, 5) == []  # six of ten
+        table.merge_remote(0.0, WALL, make_reports(owner, 5, 3.0, version=9))
+    assert table.judge(0.0, WALL, 5) == []  # six of ten backends fail
 
 
-def test_it_ends_later_than_it_begins_and_when_its_evidence_is_old() -> None:
-    made = book()
+def test_verdict_ends_at_a_lower_ratio_than_it_starts_and_when_reports_expire() -> None:
+    table = make_table()
     for owner in (A, B):
-        made.merge_remote(0.0, WALL, reports(owner, 7, 3.0))
-    assert level(made, 7) > 0.5
-    made.merge_remote(0.5, WALL + 500, reports(A, 7, 0.2, version=2, seen=WALL + 500))
-    assert 0.25 < level(made, 7, 0.5, WALL + 500) < 0.5  # it would not begin with that
-    made.merge_remote(1.0, WALL + 1_000, reports(B, 7, 0.0, version=2, seen=WALL + 1_000))
-    assert level(made, 7, 1.0, WALL + 1_000) == 0
-    made = book()
+        table.merge_remote(0.0, WALL, make_reports(owner, 7, 3.0))
+    assert judge_level(table, 7) > 0.5
+    table.merge_remote(0.5, WALL + 500, make_reports(A, 7, 0.2, version=2, last_try_ms=WALL + 500))
+    assert 0.25 < judge_level(table, 7, 0.5, WALL + 500) < 0.5  # a verdict would not start at this level
+    table.merge_remote(1.0, WALL + 1_000, make_reports(B, 7, 0.0, version=2, last_try_ms=WALL + 1_000))
+    assert judge_level(table, 7, 1.0, WALL + 1_000) == 0
+    table = make_table()
     for owner in (A, B):
-        made.merge_remote(0.0, WALL, reports(owner, 7, 3.0))
-    assert level(made, 7, 2.9, WALL + 2_900) > 0.5
-    assert level(made, 7, 3.0, WALL + 2_000) == 0  # by our own clock, though the walls say two seconds
-    assert level(made, 7, 2.0, WALL + 3_000) == 0
-
-
-def test_a_claim_that_comes_too_late_or_again_does_nothing_also_after_its_recall() -> None:
-    made = book()
-    made.merge_remote(0.0, WALL, reports(A, 7, 3.0, version=5))
-    made.merge_remote(0.1, WALL, reports(A, 7, 0.0, version=6))
-    for at in (0.2, 9.0, 25.0):
-        made.expire(at)
-        made.merge_remote(at, WALL, reports(A, 7, 3.0, version=5))  # its clock is behind: it looks fresh
-        made.merge_remote(at, WALL, reports(B, 7, 3.0, version=1))
-        assert all(report.version == 6 for owner, report in made.iter_fresh(at, WALL) if owner == A)
-    made.merge_remote(0.0, WALL, reports(C, 8, 3.0, seen=WALL - 3_001))
-    assert C not in made.reports_by_observer
-
-
-def test_of_a_backend_that_restarted_only_what_was_seen_since_counts() -> None:
-    made = book()
+        table.merge_remote(0.0, WALL, make_reports(owner, 7, 3.0))
+    assert judge_level(table, 7, 2.9, WALL + 2_900) > 0.5
+    assert judge_level(table, 7, 3.0, WALL + 2_000) == 0  # expired by the monotonic clock only
+    assert judge_level(table, 7, 2.0, WALL + 3_000) == 0
+
+
+def test_late_or_repeated_report_has_no_effect_even_after_its_withdrawal() -> None:
+    table = make_table()
+    table.merge_remote(0.0, WALL, make_reports(A, 7, 3.0, version=5))
+    table.merge_remote(0.1, WALL, make_reports(A, 7, 0.0, version=6))
+    for now in (0.2, 9.0, 25.0):
+        table.expire(now)
+        table.merge_remote(
+            now, WALL, make_reports(A, 7, 3.0, version=5)
+        )  # it looks fresh by a slow wall clock
+        table.merge_remote(now, WALL, make_reports(B, 7, 3.0, version=1))
+        assert all(report.version == 6 for owner, report in table.iter_fresh(now, WALL) if owner == A)
+    table.merge_remote(0.0, WALL, make_reports(C, 8, 3.0, last_try_ms=WALL - 3_001))
+    assert C not in table.reports_by_observer
+
+
+def test_reports_from_before_a_backend_restart_do_not_count() -> None:
+    table = make_table()
     for owner in (A, B):
-        made.merge_remote(0.0, WALL, reports(owner, 7, 3.0))
-    made.merge_remote(0.0, WALL, reports(C, 7, 0.0, started=6.0))
-    assert level(made, 7) == 0
+        table.merge_remote(0.0, WALL, make_reports(owner, 7, 3.0))
+    table.merge_remote(0.0, WALL, make_reports(C, 7, 0.0, started=6.0))
+    assert judge_level(table, 7) == 0
 
 
 @pytest.mark.parametrize(
     "report", [HealthReport(7, 5.0, 1, 1.0, 2.0, WALL), HealthReport(7, 5.0, 1, 1.0, -1.0, WALL)]
 )
-def test_figures_that_cannot_be_are_passed_over(report: HealthReport) -> None:
-    made = book()
-    made.merge_remote(0.0, WALL, HealthReportBatch(A, (report, HealthReport(7, 5.0, 0, 1.0, 1.0, WALL))))
-    assert A not in made.reports_by_observer or not made.reports_by_observer[A]
+def test_invalid_counts_are_ignored(report: HealthReport) -> None:
+    table = make_table()
+    table.merge_remote(0.0, WALL, HealthReportBatch(A, (report, HealthReport(7, 5.0, 0, 1.0, 1.0, WALL))))
+    assert A not in table.reports_by_observer or not table.reports_by_observer[A]
 
 
-drawn_claims = st.lists(
+random_batches = st.lists(
     st.builds(
-        reports,
+        make_reports,
         st.sampled_from([A, B, C]),
         st.integers(1, 3),
         st.floats(0, 3),
@@ -221,54 +227,57 @@
 )
 
 
-@given(drawn_claims, st.randoms(use_true_random=False))
-def test_claims_come_to_the_same_in_any_order_and_again(
-    said: list[HealthReportBatch], rng: random.Random
+@given(random_batches, st.randoms(use_true_random=False))
+def test_reports_merge_to_the_same_verdicts_in_any_order_and_with_repeats(
+    batches: list[HealthReportBatch], rng: random.Random
 ) -> None:
-    # One observer gives a version once.
-    unique = {(c.owner, c.reports[0].backend, c.reports[0].version): c for c in said}
-    first, second = book(), book()
-    for one in unique.values():
-        first.merge_remote(0.0, WALL, one)
-    again = [*unique.values(), *rng.sample(list(unique.values()), len(unique) // 2)]
-    rng.shuffle(again)
-    for one in again:
-        second.merge_remote(0.0, WALL, one)
+    # An observer uses each version only once.
+    unique_batches = {(c.owner, c.reports[0].backend, c.reports[0].version): c for c in batches}
+    first, second = make_table(), make_table()
+    for batch in unique_batches.values():
+        first.merge_remote(0.0, WALL, batch)
+    repeated = [
+        *unique_batches.values(),
+        *rng.sample(list(unique_batches.values()), len(unique_batches) // 2),
+    ]
+    rng.shuffle(repeated)
+    for batch in repeated:
+        second.merge_remote(0.0, WALL, batch)
     assert set(first.iter_fresh(0.0, WALL)) == set(second.iter_fresh(0.0, WALL))
-    found = [
-        [(v.backend, round(v.level, 6)) for v in sorted(made.judge(0.0, WALL, 5), key=lambda v: v.backend)]
-        for made in (first, second)
+    verdicts = [
+        [(v.backend, round(v.level, 6)) for v in sorted(table.judge(0.0, WALL, 5), key=lambda v: v.backend)]
+        for table in (first, second)
     ]
-    assert found[0] == found[1]
+    assert verdicts[0] == verdicts[1]
 
 
-def test_evidence_follows_a_backend_that_begins_to_fail_and_fades() -> None:
-    made = BackendObservations()
+def test_observations_follow_a_backend_that_starts_to_fail_and_decay() -> None:
+    observations = BackendObservations()
     for n in range(50):
-        made.record(n / 100, 7, 5.0, Outcome.OK)
-    made.record(0.5, 7, 5.0, Outcome.FAILED)
-    (row,) = made.build_rows(0.5)
+        observations.record(n / 100, 7, 5.0, Outcome.OK)
+    observations.record(0.5, 7, 5.0, Outcome.FAILED)
+    (row,) = observations.build_rows(0.5)
     assert row.failures < row.tries / 2
-    made.record(0.51, 7, 5.0, Outcome.RESET)
-    (row,) = made.build_rows(0.6)
+    observations.record(0.51, 7, 5.0, Outcome.RESET)
+    (row,) = observations.build_rows(0.6)
     assert row.failures >= row.tries / 2 and row.age_ms in (89, 90)
-    made.record(0.6, 7, 5.0, Outcome.FULL)  # load
-    made.record(0.6, 7, 5.0, Outcome.CANCELLED)
-    assert made.build_rows(0.6) == [row]
-    made.record(0.7, 7, 6.0, Outcome.OK)  # a new process there
-    assert [(r.started, r.failures) for r in made.build_rows(0.7)] == [(6.0, 0.0)]
-    assert made.build_rows(60.0) == [] and not made.observations
+    observations.record(0.6, 7, 5.0, Outcome.FULL)  # a sign of load, not of failure
+    observations.record(0.6, 7, 5.0, Outcome.CANCELLED)
+    assert observations.build_rows(0.6) == [row]
+    observations.record(0.7, 7, 6.0, Outcome.OK)  # the backend has restarted
+    assert [(r.started, r.failures) for r in observations.build_rows(0.7)] == [(6.0, 0.0)]
+    assert observations.build_rows(60.0) == [] and not observations.observations
 
 
-def test_a_process_tells_of_so_many_backends_at_most_those_that_fail_first() -> None:
-    made = BackendObservations()
+def test_process_reports_a_limited_number_of_backends_and_failing_ones_first() -> None:
+    observations = BackendObservations()
     for backend in range(200):
-        made.record(0.0, backend, 5.0, Outcome.FAILED if backend >= 190 else Outcome.OK)
-    rows = made.build_rows(0.0)
+        observations.record(0.0, backend, 5.0, Outcome.FAILED if backend >= 190 else Outcome.OK)
+    rows = observations.build_rows(0.0)
     assert len(rows) == MAX_ROWS and {row.backend for row in rows[:10]} == set(range(190, 200))
 
 
 @pytest.mark.parametrize("raw", [{"life_s": 0}, {"most_share": 1.5}, {"say": 1}])
-def test_settings_that_cannot_be_taken_name_the_key(raw: dict[str, object]) -> None:
+def test_invalid_settings_name_the_key(raw: dict[str, object]) -> None:
     with pytest.raises(ValidationError, match=rf"verdicts\.{next(iter(raw))}"):
         read_verdict_settings(Table(raw, "verdicts"))
