--- a/tests/fleet/test_verdicts.py
+++ b/tests/fleet/test_verdicts.py
@@ -53,10 +53,10 @@
 
 def observe_pattern(pattern: str, gap_s: float) -> ObservationRow:
     """The row of a gateway with these tries (`.` for a success, `x` for a failure), `gap_s` apart."""
-    observations = BackendObservations()
+    observed = BackendObservations()
     for index, result in enumerate(pattern):
-        observations.record(index * gap_s, 7, 5.0, Outcome.OK if result == "." else Outcome.FAILED)
-    (row,) = observations.build_rows((len(pattern) - 1) * gap_s)
+        observed.record(index * gap_s, 7, 5.0, Outcome.OK if result == "." else Outcome.FAILED)
+    (row,) = observed.build_rows((len(pattern) - 1) * gap_s)
     return row
 
 
@@ -252,28 +252,28 @@
 
 
 def test_observations_follow_a_backend_that_starts_to_fail_and_decay() -> None:
-    observations = BackendObservations()
+    observed = BackendObservations()
     for n in range(50):
-        observations.record(n / 100, 7, 5.0, Outcome.OK)
-    observations.record(0.5, 7, 5.0, Outcome.FAILED)
-    (row,) = observations.build_rows(0.5)
+        observed.record(n / 100, 7, 5.0, Outcome.OK)
+    observed.record(0.5, 7, 5.0, Outcome.FAILED)
+    (row,) = observed.build_rows(0.5)
     assert row.failures < row.tries / 2
-    observations.record(0.51, 7, 5.0, Outcome.RESET)
-    (row,) = observations.build_rows(0.6)
+    observed.record(0.51, 7, 5.0, Outcome.RESET)
+    (row,) = observed.build_rows(0.6)
     assert row.failures >= row.tries / 2 and row.age_ms in (89, 90)
-    observations.record(0.6, 7, 5.0, Outcome.FULL)  # a sign of load, not of failure
-    observations.record(0.6, 7, 5.0, Outcome.CANCELLED)
-    assert observations.build_rows(0.6) == [row]
-    observations.record(0.7, 7, 6.0, Outcome.OK)  # the backend has restarted
-    assert [(r.started, r.failures) for r in observations.build_rows(0.7)] == [(6.0, 0.0)]
-    assert observations.build_rows(60.0) == [] and not observations.observations
+    observed.record(0.6, 7, 5.0, Outcome.FULL)  # a sign of load, not of failure
+    observed.record(0.6, 7, 5.0, Outcome.CANCELLED)
+    assert observed.build_rows(0.6) == [row]
+    observed.record(0.7, 7, 6.0, Outcome.OK)  # the backend has restarted
+    assert [(r.started, r.failures) for r in observed.build_rows(0.7)] == [(6.0, 0.0)]
+    assert observed.build_rows(60.0) == [] and not observed.observations
 
 
 def test_process_reports_a_limited_number_of_backends_and_failing_ones_first() -> None:
-    observations = BackendObservations()
+    observed = BackendObservations()
     for backend in range(200):
-        observations.record(0.0, backend, 5.0, Outcome.FAILED if backend >= 190 else Outcome.OK)
-    rows = observations.build_rows(0.0)
+        observed.record(0.0, backend, 5.0, Outcome.FAILED if backend >= 190 else Outcome.OK)
+    rows = observed.build_rows(0.0)
     assert len(rows) == MAX_ROWS and {row.backend for row in rows[:10]} == set(range(190, 200))
 
 
