--- a/roadpulley/fleet/orders/client.py
+++ b/roadpulley/fleet/orders/client.py
@@ -58,6 +58,7 @@
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def close(self) -> None:
+        """Stops polling."""
         self.task.cancel()
 
     async def _run(self) -> None:
@@ -102,6 +103,7 @@
         self.rights, self.even_shares = rights, even_shares
 
     def set_orders(self, orders: tuple[Order, ...]) -> None:
+        """Applies changed orders to the even shares."""
         self.even_shares.set_orders(self.rights.clock.now(), orders)
 
     def spend(
@@ -111,6 +113,7 @@
         within: float,
         done: Callable[[bool, EndCallback | None], None],
     ) -> None:
+        """Spends the even shares first, and requests rights for all other limits."""
         now = self.rights.clock.now()
         taken_limits = [limit for limit in asked.limits if self.even_shares.try_take(now, limit, 1.0)]
         costs = tuple(UnitCost(limit, 1.0, lasting) for limit in asked.limits if limit not in taken_limits)
--- a/roadpulley/fleet/orders/even_shares.py
+++ b/roadpulley/fleet/orders/even_shares.py
@@ -24,6 +24,7 @@
     filled_at: MonotonicTime
 
     def fill(self, now: MonotonicTime) -> None:
+        """Refills the bucket up to now."""
         self.level = min(self.burst, self.level + max(0.0, now - self.filled_at) * self.rate)
         self.filled_at = max(now, self.filled_at)
 
@@ -47,6 +48,7 @@
             bucket.rate, bucket.burst = rate, burst
 
     def try_take(self, now: MonotonicTime, limit: str, units: float) -> bool:
+        """Takes units from the share of a limit; False if the limit is not ordered or the share is too small."""
         bucket = self.buckets.get(limit)
         if bucket is None:
             return False
--- a/roadpulley/fleet/orders/follower.py
+++ b/roadpulley/fleet/orders/follower.py
@@ -53,6 +53,7 @@
     # ---- polling ----
 
     def tick(self, now: MonotonicTime) -> Poll | None:
+        """Returns the poll to send now, if one is due."""
         if now < self.poll_at:
             return None
         self.poll_at = now + self.settings.poll
@@ -89,6 +90,7 @@
         return self._adopt(now)
 
     def handle_page(self, now: MonotonicTime, page: BookPage) -> bool:
+        """Processes a page of a book; True if the book has changed or is fresh again."""
         book = self.assembler.add(page)
         if book is not None and self.pending_reply is not None and book.version == self.pending_reply.version:
             return self._adopt(now, book)
@@ -113,6 +115,7 @@
     # ---- current orders ----
 
     def is_fresh(self, now: MonotonicTime) -> bool:
+        """Whether the lease of the book has not expired."""
         return now < self.fresh_until
 
     def current_book(self, now: MonotonicTime) -> OrderBook:
--- a/roadpulley/fleet/orders/messages.py
+++ b/roadpulley/fleet/orders/messages.py
@@ -90,6 +90,7 @@
 
     @property
     def is_limit(self) -> bool:
+        """Whether the order limits a rate or the number of open requests."""
         return self.kind in ("rate", "open")
 
     @property
@@ -128,6 +129,8 @@
 
 
 class OrderBook(msgspec.Struct, array_like=True, frozen=True):
+    """All orders, under one version."""
+
     version: Version = NO_VERSION
     orders: tuple[Order, ...] = ()
 
@@ -232,6 +235,7 @@
 
 
 def split_into_pages(book: OrderBook, to_store: bool = False) -> list[BookPage]:
+    """Splits a book into pages that fit into a datagram each."""
     page_orders = [
         book.orders[n : n + MAX_ORDERS_PER_PAGE] for n in range(0, len(book.orders), MAX_ORDERS_PER_PAGE)
     ] or [()]
--- a/roadpulley/fleet/orders/publisher.py
+++ b/roadpulley/fleet/orders/publisher.py
@@ -26,13 +26,15 @@
 
 MAX_QUEUED_CHANGES = 64  # changes that wait while another one is replicated
 MAX_REMEMBERED_OUTCOMES = 256  # stored to reply to repeated calls
-# Of the retry interval: the time for followers to reply, if too few voters have their memory.
+# Followers have this many retry intervals to reply if too few voters have their memory.
 FULL_READ_TIMEOUT_RATIO = 3.0
 READY_RETRY_RATIO = 5.0  # retry intervals between two tries at a voter whose vote is not needed
 FOLLOWER_TIMEOUT_S = 3.0  # after its last poll a follower counts as lost
 
 
 class PublisherState(Enum):
+    """The values are shown to operators."""
+
     READING = "reading"  # it reads the books of a majority of voters
     REPLICATING = "having it taken"  # it sends the newest book to a majority of voters
     READY = "ready"
@@ -67,11 +69,10 @@
         self.read_voters: dict[str, bool] = {}
         self.accepted_by: set[str] = set()  # voters that have accepted `book`
         self.retry_at: dict[str, MonotonicTime] = {}
-        self.full_read_until: MonotonicTime | None = (
-            None  # end of the wait for followers; set by the first tick
-        )
+        # End of the wait for the replies of followers; set by the first tick.
+        self.full_read_until: MonotonicTime | None = None
         self.is_full_read_over = False  # followers have had time to reply
-        self.forced = False  # an operator has told it to continue without the missing voters
+        self.forced = False  # by an operator, to continue without the missing voters
         self.current_change: ChangeRequest | None = None
         self.queued_changes: deque[ChangeRequest] = deque()
         self.change_outcomes: dict[str, ChangeOutcome] = {}
@@ -146,6 +147,7 @@
         return all(len(voter_names & set(voters)) >= majority_size(voters) for voters in electorates)
 
     def all_voters(self) -> set[str]:
+        """The voters, and the former ones while the voters change."""
         return {*self.voter_config.before, *self.voter_config.voters}
 
     def force(self) -> None:
@@ -201,6 +203,7 @@
     # ---- followers ----
 
     def record_poll(self, now: MonotonicTime, name: str, book_version: Version) -> None:
+        """Stores the version that a follower has polled with."""
         self.followers[name] = FollowerStatus(book_version, now)
 
     def count_followers(self, now: MonotonicTime) -> tuple[int, int]:
--- a/roadpulley/fleet/orders/service.py
+++ b/roadpulley/fleet/orders/service.py
@@ -103,7 +103,7 @@
         self.voter_pages: dict[str, PageAssembler] = {}  # pages of the voters' books
         self.voter_replies: dict[str, tuple[VoterReply, OrderBook | None]] = {}
         self.calls: dict[str, OperatorCall] = {}
-        self.outcome_routes: dict[str, Route] = {}  # by ticket: where to send the outcome
+        self.outcome_routes: dict[str, Route] = {}  # by ticket: the instance that waits for the outcome
         self.ages: deque[float] = deque(maxlen=MAX_AGE_SAMPLES)
         self.counts: Counter[str] = Counter()
         self.was_fresh = False
@@ -121,9 +121,11 @@
     # ---- lifecycle ----
 
     def open(self) -> None:
+        """Starts the periodic tick."""
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def close(self) -> None:
+        """Stops the periodic tick."""
         if self.task is not None:
             self.task.cancel()
 
@@ -382,6 +384,7 @@
         return self.status(ticket)
 
     def status(self, ticket: str) -> dict[str, Any]:
+        """The state of an operator's call, by its ticket."""
         call = self.calls.get(ticket)
         if call is None:
             return {"step": "unknown", "ticket": ticket, "why": "it is not known here any more"}
@@ -432,6 +435,7 @@
         return {"done": publisher is not None, "instance": self.name}
 
     def report(self) -> dict[str, Any]:
+        """The followed book and, at the publisher, its state, for operators."""
         now, follower = self.clock.now(), self.follower
         book, wall_time_ms = follower.current_book(now), wall_ms()
         result: dict[str, Any] = {
--- a/roadpulley/fleet/orders/settings.py
+++ b/roadpulley/fleet/orders/settings.py
@@ -26,8 +26,8 @@
     lease_s = table.read_number("open_lease_s", 15.0, 0.5, 600)
     table.reject_unknown_keys()
     if holds_s < 4 * poll_s:
-        remedy = f"give {4 * poll_s:g} or more: three asks may be lost"
+        remedy = f"give {4 * poll_s:g} or more: three polls may be lost"
         raise ValidationError(
-            table.path_of("holds_s"), f"is {holds_s:g}, and is asked for every {poll_s:g} s", remedy
+            table.path_of("holds_s"), f"is {holds_s:g}, and polls are sent every {poll_s:g} s", remedy
         )
     return OrderSettings(FollowerSettings(poll_s, holds_s, cut_off == "keep", drift), lease_s)
--- a/roadpulley/fleet/orders/voter.py
+++ b/roadpulley/fleet/orders/voter.py
@@ -27,6 +27,7 @@
     whole: bool = False
 
     def prepare(self, fence: int) -> VoterState:
+        """Promises to accept nothing below this fence."""
         return VoterState(self.book, fence, self.whole) if fence > self.promised else self
 
     def accept(self, book: OrderBook) -> VoterState:
@@ -39,6 +40,7 @@
         return VoterState(max(book, self.book, key=lambda b: b.version), book.version.fence, True)
 
     def make_reply(self) -> VoterReply:
+        """Creates the reply to a publisher."""
         return VoterReply(self.promised, self.book.version, self.whole)
 
 
@@ -78,4 +80,5 @@
         return self.state.make_reply() if self.store(self.state.prepare(fence)) else None
 
     def accept(self, book: OrderBook) -> VoterReply | None:
+        """Returns the reply; None if the state could not be stored, so that no reply may be sent."""
         return self.state.make_reply() if self.store(self.state.accept(book)) else None
--- a/roadpulley/fleet/orders/work.py
+++ b/roadpulley/fleet/orders/work.py
@@ -28,6 +28,10 @@
         return highest if highest >= fence else None
 
     def act(self, duty: HeldDuty) -> float | None:
+        """Starts a publisher once a holding of the duty.
+
+        Raises StaleFenceError if voters have promised a higher fence.
+        """
         if duty is not self.duty and self.on_start is not None:
             self.duty = duty
             self.on_start(duty)
--- a/roadpulley/fleet/rights/allocator.py
+++ b/roadpulley/fleet/rights/allocator.py
@@ -28,7 +28,7 @@
 MAX_OUTSTANDING_PER_SNAPSHOT = 40  # rights; so that a snapshot fits a datagram
 MAX_LIMITS = 100_000  # ledgers in memory; requests for further limits get no reply
 SWEEP_INTERVAL_S = 5.0
-MAX_CONTENDED_RATIO = 0.5  # of the level, for one request while other holders want units too
+MAX_CONTENDED_RATIO = 0.5  # part of the level for one request while other holders want units
 MIN_RETRY_DELAY_S = 0.02
 MAX_RETRY_DELAY_S = 0.5
 
@@ -80,6 +80,7 @@
     snapshots: dict[str, tuple[MonotonicTime, LedgerSnapshot]] = field(default_factory=dict)
 
     def add(self, now: MonotonicTime, snapshot: LedgerSnapshot) -> None:
+        """Stores a snapshot of the expected fence; a repeated one is ignored."""
         if snapshot.fence == self.fence:
             self.snapshots.setdefault(snapshot.limit, (now, snapshot))
 
@@ -217,9 +218,11 @@
         )
 
     def lease_for(self, limit: Limit) -> float:
+        """The lease of rights to a limit, in seconds."""
         return limit.lease or self.times.lease
 
     def ready_at_for(self, limit: Limit) -> MonotonicTime:
+        """Time from which no right of an earlier allocator to this limit can be spent."""
         return self.started_at + max(self.times.clear, self.lease_for(limit))
 
     def _contended_ratio(self, now: MonotonicTime, ledger: LimitLedger, request: RightsRequest) -> float:
@@ -331,6 +334,7 @@
         ledger.refilled_at = ledger.ready_at = received_at
 
     def find_limit(self, name: str) -> Limit | None:
+        """The limit of this name, or that of the plan for `PLAN/CUSTOMER`."""
         return self.limits.get(name) or self.limits.get(name.partition("/")[0])
 
     def set_limits(self, now: MonotonicTime, limits: Mapping[str, Limit]) -> None:
--- a/roadpulley/fleet/rights/holder.py
+++ b/roadpulley/fleet/rights/holder.py
@@ -27,13 +27,13 @@
 
 NEVER_DUE = math.inf
 DEMAND_DECAY_S = 1.0  # time constant of the decay of past demand
-PREFETCH_S = 0.25  # demand of this time is held in advance
-REFILL_RATIO = 0.5  # of the target; below it more units are requested
-SPARE_CONCURRENCY_RATIO = 0.5  # of the units in use of a concurrency limit, held in advance
-MAX_RETURN_DELAY_RATIO = 0.3  # of the lease; then a used-up right is reported without another request
+PREFETCH_S = 0.25  # units for the demand of this time are held in advance
+REFILL_RATIO = 0.5  # more units are requested if less than this ratio of the target is held
+SPARE_CONCURRENCY_RATIO = 0.5  # units of a concurrency limit held in advance, for each unit in use
+MAX_RETURN_DELAY_RATIO = 0.3  # part of the lease after which a used-up right is reported by itself
 UNSERVED_CHECK_INTERVAL_S = 0.25  # minimum interval of the checks of a limit without a known allocator
 MIN_CHECK_INTERVAL_S = 0.002
-IDLE_TIMEOUT_S = 10.0  # without demand, after which a limit is dropped
+IDLE_TIMEOUT_S = 10.0  # a limit without demand is dropped after this time
 
 
 @dataclass(slots=True)
@@ -71,18 +71,19 @@
     partition: int
     rights: list[HeldRight] = field(default_factory=list)  # the oldest first
     returned: list[ReturnedRight] = field(default_factory=list)  # to be reported with the next request
-    report_returns_at: MonotonicTime = NEVER_DUE  # at the latest; another request may report them earlier
+    report_returns_at: MonotonicTime = NEVER_DUE  # another request may report them earlier
     pending: PendingRequest | None = None
-    demand: float = 0.0  # units; an exponentially decaying sum of recent spends
+    demand: float = 0.0  # units of recent spends; an exponentially decaying sum
     demand_at: MonotonicTime = 0.0
     largest_spend: float = 0.0  # units; decays as well
     lacking_units: float = 0.0  # units of a spend that the rights don't cover: requested at once
-    retry_at: MonotonicTime = 0.0  # until then the allocator asked not to be sent further requests for units
+    retry_at: MonotonicTime = 0.0  # the allocator refuses units until then
     check_at: MonotonicTime = NEVER_DUE
     use_duration_s: float = 0.0  # how long the units of the current spend may be in use
 
     @property
     def is_concurrency(self) -> bool:
+        """Whether this is a concurrency limit."""
         return is_concurrency_limit(self.limit)
 
     def spendable_units(self, now: MonotonicTime) -> float:
@@ -93,6 +94,7 @@
         return sum(right.units for right in self.rights if now + self.use_duration_s < right.expires_at)
 
     def count_units_in_use(self, now: MonotonicTime) -> float:
+        """Units in use of unexpired rights."""
         return sum(right.units_in_use for right in self.rights if now < right.expires_at)
 
 
@@ -270,9 +272,8 @@
         )
         if holding.is_concurrency:  # units in use will be released and can be spent again
             prefetch_units = min(prefetch_units, SPARE_CONCURRENCY_RATIO * holding.count_units_in_use(now))
-        prefetch_units = (
-            prefetch_units if prefetch_units >= holding.largest_spend else 0.0
-        )  # at low demand units are requested for each spend
+        # At low demand units are requested for each spend.
+        prefetch_units = prefetch_units if prefetch_units >= holding.largest_spend else 0.0
         target_units, available_units = (
             max(prefetch_units, holding.lacking_units),
             holding.spendable_units(now),
--- a/roadpulley/fleet/rights/messages.py
+++ b/roadpulley/fleet/rights/messages.py
@@ -102,8 +102,10 @@
         if self.clear < self.lease:
             raise ValueError(f"clear is {self.clear:g}; give the longest lease in use, from {self.lease:g}")
         if self.holder_lease_s < 4 * self.answer:
-            least = 4 * self.answer * (1 + self.drift) / (1 - self.drift)
-            raise ValueError(f"lease is {self.lease:g}; with this drift and answer give {least:.2f} or more")
+            minimum = 4 * self.answer * (1 + self.drift) / (1 - self.drift)
+            raise ValueError(
+                f"lease is {self.lease:g}; with this drift and answer give {minimum:.2f} or more"
+            )
 
     @property
     def holder_lease_s(self) -> float:
@@ -115,6 +117,7 @@
         return self.holder_lease_for(self.lease)
 
     def holder_lease_for(self, lease: float) -> float:
+        """Time in seconds that a holder may spend a right with this lease at the allocator."""
         return lease * (1 - self.drift) / (1 + self.drift)
 
     @property
--- a/roadpulley/fleet/rights/service.py
+++ b/roadpulley/fleet/rights/service.py
@@ -39,8 +39,8 @@
 from .work import AllocatorWork
 
 ANNOUNCE_INTERVAL_S = 0.25
-ANNOUNCEMENT_LIFETIME_S = 1.0  # validity of one announcement
-HANDOVER_RETRY_INTERVAL_S = 0.05  # of the offer
+ANNOUNCEMENT_LIFETIME_S = 1.0
+HANDOVER_RETRY_INTERVAL_S = 0.05  # between two offers
 HANDOVER_TIMEOUT_S = 0.3  # the duty is then released without a handover
 SNAPSHOT_DELIVERY_S = 0.05  # time for the snapshots to arrive before the duty is released
 
@@ -82,9 +82,11 @@
     # ---- lifecycle ----
 
     def open(self) -> None:
+        """Starts the periodic announcements."""
         self._announce_periodically()
 
     def close(self) -> None:
+        """Stops the periodic announcements."""
         if self.announce_timer is not None:
             self.announce_timer.cancel()
 
@@ -176,6 +178,7 @@
         return allocator
 
     def handle_request(self, request: RightsRequest) -> RightsReply | None:
+        """The reply to a request; None if this instance is not the allocator, or there is no reply."""
         allocator = self.active_allocator(request.partition)
         if allocator is None:
             self.counts["asked of one that does not serve"] += 1
--- a/roadpulley/fleet/rights/settings.py
+++ b/roadpulley/fleet/rights/settings.py
@@ -50,10 +50,12 @@
 
 
 def read_subtables(table: Table) -> list[tuple[str, Table]]:
+    """The subtables of a table with their names."""
     return [(name, table.read_table(name)) for name in table.raw]
 
 
 def read_limit(name: str, table: Table) -> Limit:
+    """Raises ValidationError."""
     if not name or "/" in name or len(name.encode()) > MAX_LIMIT_NAME_BYTES // 2:
         raise ValidationError(
             table.path, f"is named {name!r}", f"give 1 to {MAX_LIMIT_NAME_BYTES // 2} bytes without '/'"
--- a/roadpulley/fleet/rights/work.py
+++ b/roadpulley/fleet/rights/work.py
@@ -8,7 +8,7 @@
 
 DUTY = "fleet.rights."  # followed by the number of the partition
 
-Begins = Callable[[int, HeldDuty], None]
+StartCallback = Callable[[int, HeldDuty], None]
 
 
 class AllocatorWork:
@@ -16,10 +16,13 @@
 
     def __init__(self, partition: int) -> None:
         self.partition = partition
-        self.on_start: Begins | None = None  # callback of the instance; called in the thread of the work
+        self.on_start: StartCallback | None = (
+            None  # callback of the instance; called in the thread of the work
+        )
         self.duty: HeldDuty | None = None
 
     def claim(self, fence: int, owner: str) -> int | None:
+        """Accepts every fence, as there are no registers."""
         return None
 
     def act(self, duty: HeldDuty) -> float | None:
--- a/roadpulley/fleet/verdicts/client.py
+++ b/roadpulley/fleet/verdicts/client.py
@@ -36,9 +36,11 @@
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def close(self) -> None:
+        """Stops the periodic reports."""
         self.task.cancel()
 
     def record(self, backend: int, outcome: Outcome) -> None:
+        """Records how a try at a backend ended."""
         backend_state = self.driver.gateway.fleet.backends.get(backend)
         if backend_state is None:
             return
--- a/roadpulley/fleet/verdicts/evidence.py
+++ b/roadpulley/fleet/verdicts/evidence.py
@@ -31,6 +31,7 @@
     failure_run: float = 0.0  # consecutive failures up to the last try
 
     def decay_factor(self, now: MonotonicTime) -> float:
+        """Factor of the decay since the last try."""
         return math.exp((self.tried_at - now) / WINDOW_S)
 
 
@@ -41,6 +42,7 @@
         self.observations: dict[int, BackendObservation] = {}
 
     def record(self, now: MonotonicTime, backend: int, started: float, outcome: Outcome) -> None:
+        """Adds a try; a new process of the backend starts with no tries."""
         if outcome is not Outcome.OK and outcome not in FAILURES:
             return
         observation = self.observations.get(backend)
--- a/roadpulley/fleet/verdicts/service.py
+++ b/roadpulley/fleet/verdicts/service.py
@@ -37,6 +37,7 @@
 
 
 def total_failures(batch: ObservationBatch) -> float:
+    """The decayed failures at all backends of a batch."""
     return sum(row.failures for row in batch.rows)
 
 
@@ -81,9 +82,11 @@
     # ---- lifecycle ----
 
     def open(self) -> None:
+        """Starts the periodic tick."""
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def close(self) -> None:
+        """Stops the periodic tick."""
         if self.task is not None:
             self.task.cancel()
         if self.judge_timer is not None:
@@ -147,6 +150,7 @@
     # ---- messages ----
 
     def handle_peer_message(self, sender: ProcessId, batch: Body) -> None:
+        """Merges the reports of another instance; new failures make the next tick earlier."""
         if batch.owner != sender:
             # Reports in the name of another observer could outlive that observer's own, or be forged.
             self.foreign_reports += 1
@@ -156,6 +160,7 @@
             self._schedule_tick()
 
     def handle_observations(self, batch: ObservationBatch) -> None:
+        """Stores the observations of a local process; new failures make the next tick earlier."""
         _, previous = self.observations.get(batch.holder, (0.0, None))
         self.observations[batch.holder] = self.clock.now(), batch
         if total_failures(batch) > (total_failures(previous) if previous is not None else 0.0):
@@ -164,6 +169,7 @@
     # ---- reporting ----
 
     def report(self) -> dict[str, Any]:
+        """All current reports and verdicts, for operators."""
         now, wall_time_ms = self.clock.now(), wall_ms()
         reports: dict[int, list[str]] = {}
         for owner, report in self.table.iter_fresh(now, wall_time_ms):
--- a/roadpulley/fleet/verdicts/state_machine.py
+++ b/roadpulley/fleet/verdicts/state_machine.py
@@ -27,7 +27,7 @@
 MIN_OWN_BACKENDS = 3  # backends that an observer must use for that check
 SERVED_BEFORE_MARGIN_MS = 200.0  # a success this long before a failure of other observers is ignored
 PANIC_RATIO = 0.5  # if more than this ratio of the backends seems to fail, there are no verdicts
-RETENTION_LIFETIMES = 10.0  # report lifetimes for which a report is kept, so that no older one replaces it
+RETENTION_LIFETIMES = 10.0  # a report is stored for longer, so that no older one replaces it
 MAX_REPORTS = 20_000  # at this number, reports of further backends are rejected
 
 
@@ -133,6 +133,7 @@
     # ---- reports ----
 
     def merge_remote(self, now: MonotonicTime, wall_ms: int, reports: HealthReportBatch) -> None:
+        """Merges the reports of another observer, except invalid and expired ones."""
         for report in reports.reports:
             if (
                 self._is_valid(report)
@@ -166,6 +167,7 @@
                 del self.reports_by_observer[owner]
 
     def iter_fresh(self, now: MonotonicTime, wall_ms: int) -> Iterator[tuple[ProcessId, HealthReport]]:
+        """All unexpired reports, with their observers."""
         lifetime_s = self.settings.report_lifetime_s
         for owner, reports in self.reports_by_observer.items():
             for stored in reports.values():
