--- a/roadpulley/fleet/orders/even_shares.py
+++ b/roadpulley/fleet/orders/even_shares.py
@@ -48,7 +48,7 @@
             bucket.rate, bucket.burst = rate, burst
 
     def try_take(self, now: MonotonicTime, limit: str, units: float) -> bool:
-        """Takes units from the share of a limit; False if the limit is not ordered or the share is too small."""
+        """Takes units from the share of a limit; False if the limit is not ordered or it is too small."""
         bucket = self.buckets.get(limit)
         if bucket is None:
             return False
--- a/tests/fleet/test_orders_processes.py
+++ b/tests/fleet/test_orders_processes.py
@@ -1,4 +1,4 @@
-"""Orders over several real processes with faults between them: who publishes dies, stalls, is cut off."""
+"""Orders in several real processes with faults: publishers fail, are suspended, and are partitioned."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 Play = Callable[[Fleet], Awaitable[None]]
 
 
-def play(folder: Path, what: Play, plan: FleetPlan = PLAN) -> None:
+def run_scenario(folder: Path, what: Play, plan: FleetPlan = PLAN) -> None:
     async def run() -> None:
         async with Fleet(plan, folder) as fleet:
             await fleet.start()
@@ -36,7 +36,7 @@
 
 
 async def call(fleet: Fleet, name: str, what: str, **args: Any) -> dict[str, Any]:
-    """What it answers, once it has begun."""
+    """Calls an instance, and retries until it has started; returns its answer."""
     end = time.monotonic() + WITHIN_S
     while True:
         try:
@@ -48,7 +48,7 @@
 
 
 async def order(fleet: Fleet, name: str, given: Order, lift: bool = False) -> list[int]:
-    """Have it ordered at one instance, and wait for the acknowledged book's number."""
+    """Gives an order at one instance; returns the version of the acknowledged book."""
     values = [getattr(given, field) for field in given.__struct_fields__]
     status = await call(fleet, name, "order", order=values, lift=lift)
     end = time.monotonic() + WITHIN_S
@@ -60,19 +60,21 @@
     return list(status["id"])
 
 
-async def subjects(fleet: Fleet, name: str) -> set[str]:
+async def ordered_subjects(fleet: Fleet, name: str) -> set[str]:
     return {row["of"].split()[1] for row in (await call(fleet, name, "orders"))["orders"]}
 
 
-async def follow(fleet: Fleet, names: list[str], wanted: set[str], within: float = WITHIN_S) -> None:
+async def wait_for_subjects(
+    fleet: Fleet, names: list[str], wanted: set[str], within: float = WITHIN_S
+) -> None:
     end = time.monotonic() + within
-    while (found := [await subjects(fleet, name) for name in names]) != [wanted] * len(names):
+    while (found := [await ordered_subjects(fleet, name) for name in names]) != [wanted] * len(names):
         assert time.monotonic() < end, (found, wanted)
         await asyncio.sleep(0.02)
 
 
-def publisher(fleet: Fleet) -> str:
-    """Who said last that it publishes."""
+def current_publisher(fleet: Fleet) -> str:
+    """The instance that last logged the start of a publisher."""
     said: list[tuple[float, str]] = []
     for name, member in fleet.members.items():
         for line in read_lines(member.log.read_bytes().splitlines()) if member.log.exists() else []:
@@ -85,100 +87,100 @@
     return Order("block", "customer", customer, **more)
 
 
-def test_orders_outlive_a_publisher_that_is_killed(tmp_path: Path) -> None:
+def test_orders_survive_killed_publishers(tmp_path: Path) -> None:
     async def what(fleet: Fleet) -> None:
         wanted: set[str] = set()
         for customer in ("a", "b", "c"):
             wanted.add(customer)
-            last = publisher(fleet) if len(wanted) > 1 else ""
+            last = current_publisher(fleet) if len(wanted) > 1 else ""
             asked = next(n for n in PLAN.names if fleet.members[n].runs and n != last)
             before = await order(fleet, asked, block(customer))
-            first = publisher(fleet)
+            first = current_publisher(fleet)
             fleet.kill(first)
             await fleet.gone(first)
-            await follow(fleet, [n for n in PLAN.names if n != first], wanted)
+            await wait_for_subjects(fleet, [n for n in PLAN.names if n != first], wanted)
             await fleet.start(first)
-            await follow(fleet, [first], wanted)
+            await wait_for_subjects(fleet, [first], wanted)
         assert await order(fleet, "o1", block("a"), lift=True) > before
-        await follow(fleet, PLAN.names, wanted - {"a"})
+        await wait_for_subjects(fleet, PLAN.names, wanted - {"a"})
 
-    play(tmp_path, what)
+    run_scenario(tmp_path, what)
 
 
-def test_a_publisher_that_was_stopped_undoes_nothing_when_it_wakes(tmp_path: Path) -> None:
-    """It has a call in its socket that it reads when it wakes: then another publishes."""
+def test_suspended_publisher_undoes_nothing_after_it_resumes(tmp_path: Path) -> None:
+    """When it resumes, it reads a call that arrived in the meantime. Another publisher is active by then."""
 
     async def what(fleet: Fleet) -> None:
         await order(fleet, "v0", block("a"))
-        first = publisher(fleet)
+        first = current_publisher(fleet)
         others = [n for n in PLAN.names if n != first]
         fleet.stop(first)
         late = asyncio.create_task(order(fleet, others[0], block("b")))
         await late
-        assert publisher(fleet) != first
+        assert current_publisher(fleet) != first
         await order(fleet, others[1], block("a"), lift=True)
         fleet.go_on(first)
-        await follow(fleet, PLAN.names, {"b"})
+        await wait_for_subjects(fleet, PLAN.names, {"b"})
         await asyncio.sleep(2 * PLAN.lease)
-        assert [await subjects(fleet, n) for n in PLAN.names] == [{"b"}] * 5
+        assert [await ordered_subjects(fleet, n) for n in PLAN.names] == [{"b"}] * 5
 
-    play(tmp_path, what)
+    run_scenario(tmp_path, what)
 
 
 @pytest.mark.parametrize("cut_off", ["keep", "let-go"])
-def test_an_instance_that_is_cut_off_goes_by_its_book_for_so_long_and_then_as_set(
+def test_isolated_instance_follows_its_book_for_the_lease_and_then_as_configured(
     tmp_path: Path, cut_off: str
 ) -> None:
     async def what(fleet: Fleet) -> None:
         await order(fleet, "v0", block("a"))
-        await follow(fleet, PLAN.names, {"a"})
-        away = next(n for n in ("o0", "o1") if n != publisher(fleet))
+        await wait_for_subjects(fleet, PLAN.names, {"a"})
+        away = next(n for n in ("o0", "o1") if n != current_publisher(fleet))
         fleet.links.part((away,), [n for n in PLAN.names if n != away])
         cut_at = time.monotonic()
-        await order(fleet, "v0" if publisher(fleet) != "v0" else "v1", block("b"))
+        await order(fleet, "v0" if current_publisher(fleet) != "v0" else "v1", block("b"))
         while (await call(fleet, away, "orders"))["known"] == "newest":
             assert time.monotonic() - cut_at < PLAN.orders_holds + 1.0
             await asyncio.sleep(0.02)
-        assert await subjects(fleet, away) == ({"a"} if cut_off == "keep" else set())
+        assert await ordered_subjects(fleet, away) == ({"a"} if cut_off == "keep" else set())
         said = f'"they_are": "{"kept" if cut_off == "keep" else "let go"}"'
         await fleet.until(lambda: said in fleet.members[away].log.read_text(), "it says so")
         fleet.links.heal()
-        await follow(fleet, PLAN.names, {"a", "b"})
+        await wait_for_subjects(fleet, PLAN.names, {"a", "b"})
 
-    play(tmp_path, what, replace(PLAN, cut_off=cut_off))
+    run_scenario(tmp_path, what, replace(PLAN, cut_off=cut_off))
 
 
-def test_all_voters_restart_with_nothing_and_those_who_follow_know_what_was_ordered(tmp_path: Path) -> None:
+def test_followers_restore_orders_after_all_voters_lose_their_memory(tmp_path: Path) -> None:
     async def what(fleet: Fleet) -> None:
         await order(fleet, "v0", block("a"))
         await order(fleet, "v1", block("b"))
-        await follow(fleet, PLAN.names, {"a", "b"})
+        await wait_for_subjects(fleet, PLAN.names, {"a", "b"})
         voters = PLAN.names[:3]
         fleet.kill(*voters)
         await fleet.gone(*voters)
         await fleet.start(*voters)
         await order(fleet, "o0", block("c"))
-        await follow(fleet, PLAN.names, {"a", "b", "c"})
+        await wait_for_subjects(fleet, PLAN.names, {"a", "b", "c"})
 
-    play(tmp_path, what)
+    run_scenario(tmp_path, what)
 
 
-def test_everything_restarts_and_voters_with_a_disk_know_what_was_ordered(tmp_path: Path) -> None:
+def test_voters_with_a_disk_restore_orders_after_all_instances_restart(tmp_path: Path) -> None:
     async def what(fleet: Fleet) -> None:
         await order(fleet, "v0", block("a"))
         fleet.kill(*PLAN.names)
         await fleet.gone(*PLAN.names)
         await fleet.start()
         await order(fleet, "o0", block("b"))
-        await follow(fleet, PLAN.names, {"a", "b"})
+        await wait_for_subjects(fleet, PLAN.names, {"a", "b"})
 
-    play(tmp_path, what, replace(PLAN, state=True))
+    run_scenario(tmp_path, what, replace(PLAN, state=True))
 
 
-def test_voters_that_have_promised_more_than_the_duty_s_fences_are_followed_by_a_higher_one(
+def test_duty_rises_above_the_fences_that_voters_have_promised(
     tmp_path: Path,
 ) -> None:
-    """Which fences were used is lost with its files, the clocks are an hour back, and the books are kept."""
+    """The files with the used fences are lost, and clocks are an hour back, but the voters' books remain."""
 
     async def what(fleet: Fleet) -> None:
         before = await order(fleet, "v0", block("a"))
@@ -189,12 +191,12 @@
         for name in PLAN.names:
             await fleet.start(name, offset_ms=-3_600_000)
         assert await order(fleet, "o0", block("b")) > before
-        await follow(fleet, PLAN.names, {"a", "b"})
+        await wait_for_subjects(fleet, PLAN.names, {"a", "b"})
 
-    play(tmp_path, what, replace(PLAN, state=True))
+    run_scenario(tmp_path, what, replace(PLAN, state=True))
 
 
-def test_a_call_waits_while_no_majority_is_there_and_bad_links_repeat_nothing(tmp_path: Path) -> None:
+def test_call_waits_for_a_majority_and_bad_links_repeat_no_call(tmp_path: Path) -> None:
     async def what(fleet: Fleet) -> None:
         await order(fleet, "v0", block("a"))
         fleet.links.part(("v0",), ("v1",), ("v2", "o0", "o1"))
@@ -206,27 +208,27 @@
         fleet.links.disturb(loss=0.3, delay_ms=2, jitter_ms=60, repeats=0.3)
         await asyncio.gather(*(order(fleet, n, block(n)) for n in PLAN.names))
         await order(fleet, "v2", block("b"), lift=True)
-        await follow(fleet, PLAN.names, {"a", *PLAN.names})
+        await wait_for_subjects(fleet, PLAN.names, {"a", *PLAN.names})
 
-    play(tmp_path, what, replace(PLAN, lease=2.0, answer=0.2))
+    run_scenario(tmp_path, what, replace(PLAN, lease=2.0, answer=0.2))
 
 
-def test_an_order_ends_once_for_all_though_clocks_are_apart(tmp_path: Path) -> None:
-    """One that is two seconds ahead does not end it before the publisher does."""
+def test_order_ends_at_all_instances_together_despite_clock_skew(tmp_path: Path) -> None:
+    """An instance whose clock is two seconds ahead does not end the order before the publisher does."""
 
     async def what(fleet: Fleet) -> None:
         await order(fleet, "v0", block("a"))
-        ahead = next(n for n in ("o0", "o1") if n != publisher(fleet))
+        ahead = next(n for n in ("o0", "o1") if n != current_publisher(fleet))
         await fleet.end(ahead)
         await fleet.start(ahead, offset_ms=2_000)
         ends = int(time.time() * 1000) + 5_000
         await order(fleet, "v0", block("b", ends_ms=ends))
-        await follow(fleet, PLAN.names, {"a", "b"})
+        await wait_for_subjects(fleet, PLAN.names, {"a", "b"})
         while time.time() * 1000 < ends - 100:
             said = [await call(fleet, n, "orders") for n in PLAN.names]
             assert [len(each["orders"]) for each in said] == [2] * 5
-            assert {each["known"] for each in said} == {"newest"}  # asked for again and again
+            assert {each["known"] for each in said} == {"newest"}  # by repeated polls
             await asyncio.sleep(0.1)
-        await follow(fleet, PLAN.names, {"a"}, within=2.0)
+        await wait_for_subjects(fleet, PLAN.names, {"a"}, within=2.0)
 
-    play(tmp_path, what)
+    run_scenario(tmp_path, what)
--- a/tests/fleet/test_orders_world.py
+++ b/tests/fleet/test_orders_world.py
@@ -1,4 +1,4 @@
-"""The book of orders in drawn histories: one line of books, nobody stale; and the mistakes that they find."""
+"""Random histories of orders: books form one sequence, no follower is stale, mistakes are found."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 from roadpulley.testbed.orders_world import Draw, World
 
 USUAL = Draw()
-# Five voters and short holdings: the next publisher often comes in the middle of a change.
+# Five voters and short holdings of the duty: publishers often change in the middle of a change.
 HASTY = Draw(voters=5, others=0, holding=1.0, wishes=4.0, loss=0.25, late=0.25, restarts=0.01)
 FORGETFUL = Draw(disk=0.0, restarts=0.04, holding=2.0, wishes=3.0)
 SEEDS = 25
 
 
 @pytest.mark.parametrize("draw", [USUAL, HASTY, FORGETFUL], ids=["usual", "hasty", "forgetful"])
-def test_books_form_one_line_and_who_goes_by_them_is_not_stale(draw: Draw) -> None:
-    """Where memories are lost, an acknowledged order may be gone only with all voters that had it."""
+def test_books_form_one_sequence_and_followers_are_not_stale(draw: Draw) -> None:
+    """If voters lose their memory, an acknowledged order may be lost only with all voters that had it."""
     worlds = [World(draw, seed).run() for seed in range(SEEDS)]
     assert sum(world.outcomes for world in worlds) > 5 * SEEDS
     assert all(len(world.reached) > 1 for world in worlds)
@@ -32,23 +32,23 @@
         assert not world.broken or (draw is FORGETFUL and world.read_blank), (world.seed, world.broken[0])
 
 
-def test_a_publisher_goes_on_without_the_memory_of_some_only_where_all_were_asked() -> None:
+def test_publisher_continues_without_a_majority_with_memory() -> None:
     found = [World(FORGETFUL, seed).run() for seed in range(SEEDS)]
     assert sum(world.read_blank for world in found) > SEEDS / 4
 
 
-def lower_fence(patch: pytest.MonkeyPatch) -> None:
+def accept_lower_fences(patch: pytest.MonkeyPatch) -> None:
     def told(self: VoterState, book: OrderBook) -> VoterState:
         return VoterState(book, max(self.promised, book.version.fence), True)
 
     patch.setattr(VoterState, "accept", told)
 
 
-def lost_and_counts(patch: pytest.MonkeyPatch) -> None:
+def count_voters_without_memory(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(VoterState, "make_reply", lambda self: VoterReply(self.promised, self.book.version, True))
 
 
-def not_taken_anew(patch: pytest.MonkeyPatch) -> None:
+def publish_without_replicating(patch: pytest.MonkeyPatch) -> None:
     real = Publisher._advance
 
     def look(self: Publisher) -> None:
@@ -60,7 +60,7 @@
     patch.setattr(Publisher, "_advance", look)
 
 
-def without_its_book(patch: pytest.MonkeyPatch) -> None:
+def read_without_the_book(patch: pytest.MonkeyPatch) -> None:
     real = Publisher.handle_voter_reply
 
     def kept(self: Publisher, voter: str, keeps: VoterReply, book: OrderBook | None) -> None:
@@ -71,11 +71,11 @@
     patch.setattr(Publisher, "handle_voter_reply", kept)
 
 
-def one_is_enough(patch: pytest.MonkeyPatch) -> None:
+def accept_any_majority(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(publishing, "majority_size", lambda voters: 1)
 
 
-def back_to_a_lower_book(patch: pytest.MonkeyPatch) -> None:
+def follow_lower_versions(patch: pytest.MonkeyPatch) -> None:
     real = Follower.handle_reply
 
     def standing(self: Follower, now: float, said: PollReply) -> bool:
@@ -87,7 +87,7 @@
     patch.setattr(Follower, "handle_reply", standing)
 
 
-def any_answer_counts(patch: pytest.MonkeyPatch) -> None:
+def accept_any_reply(patch: pytest.MonkeyPatch) -> None:
     real = Follower.handle_reply
 
     def standing(self: Follower, now: float, said: PollReply) -> bool:
@@ -97,28 +97,28 @@
     patch.setattr(Follower, "handle_reply", standing)
 
 
-def holds_for_ever(patch: pytest.MonkeyPatch) -> None:
+def never_expire(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Follower, "is_fresh", lambda self, now: self.fresh_until > -math.inf)
 
 
 @pytest.mark.parametrize(
     ("mistake", "draw"),
     [
-        (lower_fence, HASTY),
-        (lost_and_counts, FORGETFUL),
-        (not_taken_anew, replace(HASTY, holding=0.4, loss=0.5, wishes=10.0)),
-        (without_its_book, HASTY),
-        (one_is_enough, HASTY),
-        (back_to_a_lower_book, HASTY),
-        (any_answer_counts, replace(USUAL, holds=1.3, stops=0.2, late=0.5)),
-        (holds_for_ever, USUAL),
+        (accept_lower_fences, HASTY),
+        (count_voters_without_memory, FORGETFUL),
+        (publish_without_replicating, replace(HASTY, holding=0.4, loss=0.5, wishes=10.0)),
+        (read_without_the_book, HASTY),
+        (accept_any_majority, HASTY),
+        (follow_lower_versions, HASTY),
+        (accept_any_reply, replace(USUAL, holds=1.3, stops=0.2, late=0.5)),
+        (never_expire, USUAL),
     ],
     ids=lambda value: getattr(value, "__name__", ""),
 )
-def test_a_mistake_is_found(
+def test_planted_mistake_is_found(
     mistake: Callable[[pytest.MonkeyPatch], None], draw: Draw, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """By a history that is not broken without it: where memories are lost, some are."""
+    """The history must be correct without the mistake, as some are not if voters lose their memory."""
 
     def finds(seed: int) -> bool:
         with monkeypatch.context() as patch:
--- a/tests/fleet/test_rights_gateways.py
+++ b/tests/fleet/test_rights_gateways.py
@@ -1,4 +1,4 @@
-"""Rights in gateways that serve clients: real processes under load, judged by what nodes were sent."""
+"""Rights in gateways that serve clients: real processes under load, checked by the requests at the nodes."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 pytestmark = [pytest.mark.timeout(120), pytest.mark.alone]
 
 GATEWAYS = 5
-# All customers at all gateways, at six times their quota, which is three times their ceiling.
+# All customers send to all gateways, at six times their quota, which is three times their ceiling.
 LOAD = Load(rate=150.0, heavy=1.0, heavy_x=6.0, spread=GATEWAYS)
 SCENARIO = Scenario(
     name="rights",
@@ -31,8 +31,8 @@
 )
 
 
-def played(scenario: Scenario) -> tuple[Outcome, int]:
-    """What came of it, and how many asks for rights were answered by the gateways that live at its end."""
+def run_scenario(scenario: Scenario) -> tuple[Outcome, int]:
+    """Returns the outcome, and the requests for rights at the gateways that are alive at the end."""
 
     async def work() -> tuple[Outcome, int]:
         async with asyncio.timeout(90), Installation(scenario) as world:
@@ -40,7 +40,7 @@
             await asyncio.sleep(scenario.seconds - 1)
             asks = 0
             for name in world.gateways:
-                with suppress(ValidationError):  # one that was killed starts once its last worker has drained
+                with suppress(ValidationError):  # a killed gateway starts when its last worker has drained
                     found = await asyncio.to_thread(call_agent, world.folder / "fleet", name, "limits")
                     asks += found["counts"].get("asks", 0)
             return await running, asks
@@ -48,9 +48,9 @@
     return uvloop.run(work())
 
 
-def test_ceilings_hold_while_the_gateways_that_give_out_rights_are_killed() -> None:
-    """Any of them may be it: two of the five are killed one after the other, and come back."""
+def test_ceilings_hold_while_allocator_gateways_are_killed() -> None:
+    """Any gateway may be the allocator: two of the five are killed one after the other, and restart."""
     faults = tuple(Fault(at, "kill", name, seconds=1.0) for at, name in ((6.0, "n0"), (8.0, "n1")))
-    outcome, asks = played(SCENARIO.with_(faults=faults))
+    outcome, asks = run_scenario(SCENARIO.with_(faults=faults))
     assert outcome.verdict.ok, "\n".join(outcome.verdict.lines())
     assert asks > 20
--- a/tests/fleet/test_rights_processes.py
+++ b/tests/fleet/test_rights_processes.py
@@ -1,4 +1,4 @@
-"""Rights over several real processes with faults between them; all that was spent is judged together."""
+"""Rights in several real processes with faults between them; all spends are checked against the limit."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 Play = Callable[[Fleet], Awaitable[None]]
 
 
-def played(folder: Path, play: Play, plan: FleetPlan = PLAN) -> tuple[Use, list[Wished]]:
+def run_scenario(folder: Path, play: Play, plan: FleetPlan = PLAN) -> tuple[Use, list[Wished]]:
     async def run() -> tuple[Use, list[Wished]]:
         async with Fleet(plan, folder) as fleet:
             await fleet.start()
             await play(fleet)
-            return judged(fleet), fleet.wishes()
+            return find_use(fleet), fleet.wishes()
 
     found, wishes = asyncio.run(run())
     assert found.units > 0
@@ -38,41 +38,41 @@
     return found, wishes
 
 
-def judged(fleet: Fleet, limit: Limit = LIMIT) -> Use:
+def find_use(fleet: Fleet, limit: Limit = LIMIT) -> Use:
     return use(fleet.spends(KEY), [Holds(0.0, limit.rate, limit.burst)])
 
 
-def paid(fleet: Fleet, by: int | None = None, least: int = 1, since: float = 0.0) -> bool:
+def has_paid(fleet: Fleet, by: int | None = None, least: int = 1, since: float = 0.0) -> bool:
     name = fleet.spenders[by].log.name if by is not None else ""
     rows = [w for w in fleet.wishes() if w.paid and w.by.startswith(name) and w.at > since]
     return len(rows) >= least
 
 
-async def spending(fleet: Fleet, *loads: float) -> None:
-    """One spender for each load, beside as many instances; all have spent something."""
+async def start_spenders(fleet: Fleet, *loads: float) -> None:
+    """Starts a spender for each load at an instance of its own; returns when all have spent units."""
     for name, rate in zip(fleet.plan.names, loads, strict=False):
         await fleet.spend(name, Load(rate))
     await fleet.until(
-        lambda: all(paid(fleet, n) for n in range(len(fleet.spenders))), "everybody has spent something"
+        lambda: all(has_paid(fleet, n) for n in range(len(fleet.spenders))), "everybody has spent something"
     )
 
 
-def test_all_that_is_wanted_is_paid_where_it_is_wanted(tmp_path: Path) -> None:
-    """One instance receives nearly all: an even split would let it have a fifth."""
+def test_rights_move_to_the_instance_with_the_demand(tmp_path: Path) -> None:
+    """One instance receives nearly all requests. An even split would give it a fifth of the limit."""
 
     async def play(fleet: Fleet) -> None:
-        await spending(fleet, 20.0, 1.0, 1.0)
-        await asyncio.sleep(2.0)  # until the level is up
+        await start_spenders(fleet, 20.0, 1.0, 1.0)
+        await asyncio.sleep(2.0)  # until the limit has refilled
         since = fleet.wishes()[-1].at
-        await fleet.until(lambda: paid(fleet, 0, 40, since), "forty more at the busy one")
+        await fleet.until(lambda: has_paid(fleet, 0, 40, since), "forty more at the busy one")
         late = [w for w in fleet.wishes() if w.at > since]
         assert sum(w.paid for w in late) > 0.95 * len(late)
 
-    played(tmp_path, play)
+    run_scenario(tmp_path, play)
 
 
-def giver(fleet: Fleet) -> str | None:
-    """Who said last that it gives out rights."""
+def current_allocator(fleet: Fleet) -> str | None:
+    """The instance that last logged the start of an allocator."""
     last: tuple[float, str] | None = None
     for name, member in fleet.members.items():
         for line in read_lines(member.log.read_bytes().splitlines()) if member.log.exists() else []:
@@ -81,81 +81,81 @@
     return last[1] if last else None
 
 
-async def follows(fleet: Fleet, first: str | None) -> None:
-    await fleet.until(lambda: giver(fleet) != first, f"another allocator than {first}")
+async def wait_for_successor(fleet: Fleet, first: str | None) -> None:
+    await fleet.until(lambda: current_allocator(fleet) != first, f"another allocator than {first}")
 
 
-async def paid_again(fleet: Fleet, least: int = 30) -> None:
+async def wait_for_payments(fleet: Fleet, least: int = 30) -> None:
     since = fleet.wishes()[-1].at
-    await fleet.until(lambda: paid(fleet, None, least, since), f"{least} wishes more are paid")
+    await fleet.until(lambda: has_paid(fleet, None, least, since), f"{least} wishes more are paid")
 
 
-def test_an_allocator_that_is_killed_is_followed_by_one_that_gives_nothing_twice(tmp_path: Path) -> None:
+def test_successor_of_a_killed_allocator_grants_no_units_twice(tmp_path: Path) -> None:
     async def play(fleet: Fleet) -> None:
-        await spending(fleet, 30.0, 30.0, 30.0)
+        await start_spenders(fleet, 30.0, 30.0, 30.0)
         for _ in range(2):
-            first = giver(fleet)
+            first = current_allocator(fleet)
             assert first is not None
             fleet.kill(first)
-            await follows(fleet, first)
-            await paid_again(fleet)
+            await wait_for_successor(fleet, first)
+            await wait_for_payments(fleet)
             await fleet.gone(first)
             await fleet.start(first)
 
-    played(tmp_path, play)
+    run_scenario(tmp_path, play)
 
 
-def test_an_allocator_that_is_stopped_and_wakes_gives_out_nothing_more(tmp_path: Path) -> None:
-    """Asks that came to it while it stood are read when it wakes: another serves by then."""
+def test_suspended_allocator_grants_nothing_after_it_resumes(tmp_path: Path) -> None:
+    """When it resumes, it reads requests that arrived before; another allocator serves by then."""
 
     async def play(fleet: Fleet) -> None:
-        await spending(fleet, 30.0, 30.0, 30.0)
-        first = giver(fleet)
+        await start_spenders(fleet, 30.0, 30.0, 30.0)
+        first = current_allocator(fleet)
         assert first is not None
         fleet.stop(first)
-        await follows(fleet, first)
-        await paid_again(fleet)
+        await wait_for_successor(fleet, first)
+        await wait_for_payments(fleet)
         fleet.go_on(first)
-        await paid_again(fleet)
+        await wait_for_payments(fleet)
 
-    played(tmp_path, play)
+    run_scenario(tmp_path, play)
 
 
-def test_an_instance_that_is_cut_off_spends_what_it_held_and_no_more(tmp_path: Path) -> None:
-    """It is not the one that gives out; the rest go on, and it is paid again once it is back."""
+def test_isolated_instance_spends_only_its_held_rights(tmp_path: Path) -> None:
+    """It is not the allocator. The others continue, and it is paid again when the partition has healed."""
 
     async def play(fleet: Fleet) -> None:
-        await spending(fleet, 30.0, 30.0, 30.0)
-        away = next(n for n in fleet.plan.names[:3] if n != giver(fleet))
+        await start_spenders(fleet, 30.0, 30.0, 30.0)
+        away = next(n for n in fleet.plan.names[:3] if n != current_allocator(fleet))
         place = fleet.plan.names.index(away)
         fleet.links.part((away,), [n for n in fleet.plan.names if n != away])
         await asyncio.sleep(2.5)
         cut_off = [w for w in fleet.wishes() if w.by == fleet.spenders[place].log.name]
         assert not any(w.paid for w in cut_off[-20:])
-        await paid_again(fleet)
+        await wait_for_payments(fleet)
         fleet.links.heal()
         since = fleet.wishes()[-1].at
-        await fleet.until(lambda: paid(fleet, place, 5, since), "it is paid again")
+        await fleet.until(lambda: has_paid(fleet, place, 5, since), "it is paid again")
 
-    played(tmp_path, play)
+    run_scenario(tmp_path, play)
 
 
-def test_all_instances_restart_while_those_who_spend_go_on(tmp_path: Path) -> None:
+def test_spending_continues_after_all_instances_restart(tmp_path: Path) -> None:
     async def play(fleet: Fleet) -> None:
-        await spending(fleet, 30.0, 30.0, 30.0)
+        await start_spenders(fleet, 30.0, 30.0, 30.0)
         fleet.kill(*fleet.plan.names)
         await fleet.gone(*fleet.plan.names)
         await fleet.start()
-        await paid_again(fleet)
+        await wait_for_payments(fleet)
 
-    played(tmp_path, play)
+    run_scenario(tmp_path, play)
 
 
-def test_spenders_that_restart_at_once_or_stand_still_spend_nothing_twice(tmp_path: Path) -> None:
-    """A third restart and lose what they knew; one stands for three leases and wakes with old rights."""
+def test_restarted_or_suspended_spenders_spend_no_units_twice(tmp_path: Path) -> None:
+    """One of three spenders restarts without state; another resumes after three leases with old rights."""
 
     async def play(fleet: Fleet) -> None:
-        await spending(fleet, 30.0, 30.0, 30.0)
+        await start_spenders(fleet, 30.0, 30.0, 30.0)
         first, second, _ = fleet.spenders
         second.signal(signal.SIGSTOP)
         first.signal(signal.SIGKILL)
@@ -164,30 +164,30 @@
         await fleet.spend_again(first)
         await asyncio.sleep(3 * fleet.plan.rights_lease)
         second.signal(signal.SIGCONT)
-        await paid_again(fleet)
+        await wait_for_payments(fleet)
 
-    played(tmp_path, play)
+    run_scenario(tmp_path, play)
 
 
-def test_bad_links_and_clocks_at_both_ends_of_the_drift(tmp_path: Path) -> None:
-    """Answers are lost, come twice and out of order; the fastest clock gives out to the slowest."""
+def test_limit_holds_with_bad_links_and_extreme_clock_drift(tmp_path: Path) -> None:
+    """Replies are lost, repeated and reordered; the allocator has the fastest clock, holders the slowest."""
 
     async def play(fleet: Fleet) -> None:
         drift = fleet.plan.drift
         for name in fleet.plan.names:
             await fleet.spend(name, Load(20.0), rate=1 - drift)
         fleet.links.disturb(loss=0.2, delay_ms=5, jitter_ms=120, repeats=0.3)
-        await fleet.until(lambda: paid(fleet, None, 60), "sixty are paid over bad links")
+        await fleet.until(lambda: has_paid(fleet, None, 60), "sixty are paid over bad links")
         fleet.links.disturb()
-        await paid_again(fleet)
+        await wait_for_payments(fleet)
 
     async def run() -> Use:
-        # The duty is asked for with the patience that such links need: this is about rights.
+        # A long lease and timeout keep the duty stable on such links, as the test is about rights.
         async with Fleet(replace(PLAN, lease=3.0, answer=0.4), tmp_path) as fleet:
             for name in fleet.plan.names:
                 await fleet.start(name, rate=1 + fleet.plan.drift)
             await play(fleet)
-            return judged(fleet)
+            return find_use(fleet)
 
     found = asyncio.run(run())
     assert found.units > 0
@@ -195,39 +195,39 @@
     assert found.tight > 0.1
 
 
-def test_an_upgrade_of_the_instance_leaves_those_who_spend_beside_it_their_way(tmp_path: Path) -> None:
-    """Two processes of one name; the newer one takes the socket, and the older one ends."""
+def test_local_spender_is_paid_during_an_upgrade_of_its_instance(tmp_path: Path) -> None:
+    """Two processes have one name: the newer one takes over the socket, and the older one ends."""
 
     async def play(fleet: Fleet) -> None:
-        await spending(fleet, 30.0, 30.0)
+        await start_spenders(fleet, 30.0, 30.0)
         name = fleet.plan.names[0]
         old = fleet.members[name].process
         newer = await fleet.start_beside(name)
-        await paid_again(fleet)
+        await wait_for_payments(fleet)
         assert old is not None
         old.terminate()
         await old.wait()
         since = fleet.wishes()[-1].at
-        await fleet.until(lambda: paid(fleet, 0, 10, since), "the one beside it is paid still")
+        await fleet.until(lambda: has_paid(fleet, 0, 10, since), "the local spender is still paid")
         assert newer.runs
 
-    played(tmp_path, play)
+    run_scenario(tmp_path, play)
 
 
-async def settled(fleet: Fleet) -> str:
-    """Who gives out, once the limit is full."""
-    await fleet.until(lambda: giver(fleet) is not None, "somebody who gives out")
+async def wait_for_full_limit(fleet: Fleet) -> str:
+    """Waits until the limit is full; returns the allocator."""
+    await fleet.until(lambda: current_allocator(fleet) is not None, "somebody who gives out")
     await asyncio.sleep(fleet.plan.rights_lease + LIMIT.burst / LIMIT.rate + 0.3)
-    name = giver(fleet)
+    name = current_allocator(fleet)
     assert name is not None
     return name
 
 
-async def holds(fleet: Fleet, spender: Spender) -> None:
-    """It has its units given out, and does not spend them."""
+async def wait_until_held(fleet: Fleet, spender: Spender) -> None:
+    """Makes the spender request units without spending them; waits until they are granted."""
 
     def out() -> float:
-        name = giver(fleet)
+        name = current_allocator(fleet)
         assert name is not None
         found = call_agent(fleet.folder / f"run-{name}", name, "limits")
         return sum(float(row["out"]) for row in found["limits"])
@@ -239,100 +239,102 @@
         await asyncio.sleep(0.01)
 
 
-def was_paid(fleet: Fleet, spender: Spender) -> bool:
+def is_paid(fleet: Fleet, spender: Spender) -> bool:
     return any(w.paid for w in fleet.wishes() if w.by == spender.log.name)
 
 
-def test_a_planned_hand_over_gives_nothing_out_beside_what_is_held_still(tmp_path: Path) -> None:
-    """Nearly all of the burst is held when the allocator ends; the next one begins at once, and is asked."""
+def test_planned_handover_accounts_for_held_rights(tmp_path: Path) -> None:
+    """Nearly all of the burst is held when the allocator ends, and its successor gets a request at once."""
 
     async def play(fleet: Fleet) -> None:
-        for _ in range(5):  # on a machine that stalls, what is held may have ended before it is spent
-            first = await settled(fleet)
+        for _ in range(5):  # on a slow machine the held right may expire before it is spent
+            first = await wait_for_full_limit(fleet)
             beside = [n for n in fleet.plan.names if n != first][:2]
             keeps, asks = [
                 await fleet.spend(n, Load(0.0, units)) for n, units in zip(beside, (18.0, 15.0), strict=True)
             ]
-            await asyncio.sleep(0.6)  # until both know whom to ask
+            await asyncio.sleep(0.6)  # until both know the allocator
             loop = asyncio.get_running_loop()
-            await holds(fleet, keeps)
+            await wait_until_held(fleet, keeps)
             began = loop.time()
             await fleet.end(first)
-            await follows(fleet, first)
+            await wait_for_successor(fleet, first)
             await asyncio.sleep(max(0.0, began + 1.0 - loop.time()))
             asks.signal(signal.SIGUSR1)
             await asyncio.sleep(0.1)
             keeps.signal(signal.SIGUSR1)
             await asyncio.sleep(0.3)
-            assert not was_paid(fleet, asks)
+            assert not is_paid(fleet, asks)
             await fleet.start(first)
-            if was_paid(fleet, keeps):
+            if is_paid(fleet, keeps):
                 return
         pytest.fail("what was held was never spent: nothing was shown")
 
-    played(tmp_path, play, replace(PLAN, rights_lease=2.0))
+    run_scenario(tmp_path, play, replace(PLAN, rights_lease=2.0))
 
 
-def test_a_planned_hand_over_passes_on_what_is_left(tmp_path: Path) -> None:
-    """Most of the burst is there before; after it, it is there at once, not a lease and the filling later."""
+def test_planned_handover_transfers_the_level(tmp_path: Path) -> None:
+    """Most of the burst is available, and it still is after the handover, without a wait for a refill."""
 
     async def play(fleet: Fleet) -> None:
-        first = await settled(fleet)
+        first = await wait_for_full_limit(fleet)
         beside = [n for n in fleet.plan.names if n != first][:2]
         small, large = [
             await fleet.spend(n, Load(0.0, units, 0.5)) for n, units in zip(beside, (1.0, 15.0), strict=True)
         ]
-        await asyncio.sleep(0.6)  # until both know whom to ask
+        await asyncio.sleep(0.6)  # until both know the allocator
         small.signal(signal.SIGUSR1)
-        await fleet.until(lambda: was_paid(fleet, small), "the limit is in use")
+        await fleet.until(lambda: is_paid(fleet, small), "the limit is in use")
         await fleet.end(first)
-        await follows(fleet, first)
-        await asyncio.sleep(0.3)  # until the next one's word has come
+        await wait_for_successor(fleet, first)
+        await asyncio.sleep(0.3)  # until the successor's announcement has arrived
         large.signal(signal.SIGUSR1)
         await fleet.until(lambda: len(fleet.wishes()) == 2, "the other has wished")
-        assert was_paid(fleet, large)
+        assert is_paid(fleet, large)
 
-    # Of what comes back with time, 15 units would take four seconds and the lease before that.
-    played(tmp_path, play, replace(PLAN, rights_lease=2.0))
+    # Without the handover 15 units would be available only after the lease and a refill of several seconds.
+    run_scenario(tmp_path, play, replace(PLAN, rights_lease=2.0))
 
 
-def test_processes_that_stood_still_wake_with_rights_and_may_not_spend_them(tmp_path: Path) -> None:
-    """Each held nearly all of the burst, one after the other, and was stopped with it."""
+def test_suspended_processes_cannot_spend_expired_rights(tmp_path: Path) -> None:
+    """Each in turn holds nearly all of the burst and is suspended with it."""
 
     async def play(fleet: Fleet) -> None:
-        first = await settled(fleet)
+        first = await wait_for_full_limit(fleet)
         beside = [n for n in fleet.plan.names if n != first][:2]
         sleepers = [await fleet.spend(name, Load(0.0, 18.0)) for name in beside]
         await asyncio.sleep(0.6)
         for sleeper in sleepers:
-            await holds(fleet, sleeper)
+            await wait_until_held(fleet, sleeper)
             sleeper.signal(signal.SIGSTOP)
-            await asyncio.sleep(fleet.plan.rights_lease * 1.6)  # it has ended, and all is there again
+            await asyncio.sleep(
+                fleet.plan.rights_lease * 1.6
+            )  # the right has expired, and the limit is full again
         for sleeper in sleepers:
             sleeper.signal(signal.SIGUSR1)
             sleeper.signal(signal.SIGCONT)
         await fleet.until(lambda: len(fleet.wishes()) >= 2, "both have wished")
         await fleet.spend(fleet.plan.names[0], Load(20.0))
-        await fleet.until(lambda: paid(fleet, 2, 10), "the rest go on")
+        await fleet.until(lambda: has_paid(fleet, 2, 10), "the rest go on")
 
-    found, wishes = played(tmp_path, play)
-    assert sum(w.paid for w in wishes if w.units == 18.0) <= 1  # one may have asked anew, and got it
+    found, wishes = run_scenario(tmp_path, play)
+    assert sum(w.paid for w in wishes if w.units == 18.0) <= 1  # one may have requested and got a new right
 
 
-def test_an_allocator_that_wakes_beside_one_that_never_heard_of_the_next_gives_nothing(
+def test_resumed_allocator_grants_nothing_to_an_instance_that_missed_the_successor(
     tmp_path: Path,
 ) -> None:
-    """Cut off together from all others; it is stopped until another gives out, then woken and asked."""
+    """Both are partitioned from the others; the allocator is suspended until a successor grants."""
 
     async def play(fleet: Fleet) -> None:
-        await spending(fleet, *[30.0] * len(fleet.plan.names))
-        first = giver(fleet)
+        await start_spenders(fleet, *[30.0] * len(fleet.plan.names))
+        first = current_allocator(fleet)
         assert first is not None
         beside = next(n for n in fleet.plan.names[3:] if n != first)
         away = (first, beside)
         fleet.links.part(away, [n for n in fleet.plan.names if n not in away])
         fleet.stop(first)
-        await follows(fleet, first)
+        await wait_for_successor(fleet, first)
         await asyncio.sleep(1.5 * fleet.plan.rights_lease)
         since = fleet.wishes()[-1].at
         fleet.go_on(first)
@@ -342,23 +344,23 @@
         assert len(wished) > 20
         assert not any(w.paid for w in wished)
         fleet.links.heal()
-        await paid_again(fleet)
+        await wait_for_payments(fleet)
 
-    played(tmp_path, play)
+    run_scenario(tmp_path, play)
 
 
-def test_an_instance_that_holds_the_duty_again_gives_out_again(tmp_path: Path) -> None:
-    """The same processes hand it round without a pause, and each time another one has it at once."""
+def test_instance_grants_again_when_it_holds_the_duty_again(tmp_path: Path) -> None:
+    """The duty is handed over several times without a pause between the same processes."""
 
     async def play(fleet: Fleet) -> None:
-        await spending(fleet, 30.0, 30.0, 30.0)
+        await start_spenders(fleet, 30.0, 30.0, 30.0)
         for _ in range(6):
-            first = giver(fleet)
+            first = current_allocator(fleet)
             assert first is not None
             folder = fleet.folder / f"run-{first}"
             done = await asyncio.to_thread(call_agent, folder, first, "hand-over", duty="fleet.rights.0")
             assert done["done"]
-            await follows(fleet, first)
-        await paid_again(fleet)
+            await wait_for_successor(fleet, first)
+        await wait_for_payments(fleet)
 
-    played(tmp_path, play, FleetPlan(voters=3, duties=0, limit=LIMIT))
+    run_scenario(tmp_path, play, FleetPlan(voters=3, duties=0, limit=LIMIT))
--- a/tests/fleet/test_verdicts_gateways.py
+++ b/tests/fleet/test_verdicts_gateways.py
@@ -1,4 +1,4 @@
-"""Verdicts in gateways that serve clients: one node that fails, one gateway with a broken card."""
+"""Verdicts in gateways that serve clients: one node fails, one gateway loses the network to all nodes."""
 
 from __future__ import annotations
 
@@ -35,16 +35,17 @@
         Fault(CARD_AT, "cut", "n0>t*", seconds=CARD_S),
     ),
 )
-LATEST_MS = 2_500.0  # after the first failure: by then all keep off it; most is for a machine under load
-OVER_MS = 1_000 * FAILS_S + 4_000.0  # after it: what was seen has ended
+# After the first failure all gateways avoid the node by then; most of the time is for a machine under load.
+LATEST_MS = 2_500.0
+OVER_MS = 1_000 * FAILS_S + 4_000.0  # after the first failure all reports on it have expired
 
 
 class Watch:
-    """Which verdicts each gateway's instance holds, looked at again and again while a scenario is played."""
+    """Samples the verdicts of each gateway's instance while a scenario runs."""
 
     def __init__(self, world: Installation) -> None:
         self.world = world
-        self.seen: list[tuple[float, str, set[int]]] = []  # ms of the ledger's clock, gateway, backends
+        self.seen: list[tuple[float, str, set[int]]] = []  # ms by the ledger's clock, gateway, backends
 
     async def run(self) -> None:
         loop = asyncio.get_running_loop()
@@ -63,7 +64,7 @@
         return [held for at, name, held in self.seen if since <= at < until and name != but]
 
 
-def test_all_keep_off_a_node_that_fails_and_off_none_that_one_broken_gateway_finds_failing() -> None:
+def test_all_avoid_a_failing_node_and_none_that_only_a_broken_gateway_reports() -> None:
     async def work() -> tuple[Watch, Installation]:
         async with asyncio.timeout(90), Installation(SCENARIO) as world:
             watch = Watch(world)
@@ -80,6 +81,6 @@
     assert {name for name, held in in_time if failing in held} == set(world.gateways)
     assert not any(watch.between(0.0, first))
     assert not any(held - {failing} for held in watch.between(first, first + OVER_MS, but="n0"))
-    # While one gateway reaches no node at all, and after it.
+    # While one gateway reaches no node, and after that.
     later = watch.between(first + OVER_MS, math.inf, but="n0")
     assert len(later) > 20 and not any(later)
