--- a/tests/core/test_budget.py
+++ b/tests/core/test_budget.py
@@ -1,4 +1,4 @@
-"""Room for what has to be held whole, over drawn orders of asking, leaving and giving back."""
+"""The memory budget, with drawn sequences of acquiring, releasing and cancelling."""
 
 from __future__ import annotations
 
@@ -44,6 +44,6 @@
     assert not budget.waiters and granted == asked
 
 
-def test_more_than_there_is_in_all_is_refused_at_once() -> None:
+def test_more_than_the_capacity_raises_value_error() -> None:
     with pytest.raises(ValueError):
         MemoryBudget(10).acquire("who", 11, lambda: None)
--- a/tests/core/test_counter.py
+++ b/tests/core/test_counter.py
@@ -1,4 +1,4 @@
-"""The counter's client, over loopback sockets."""
+"""The client of the counter service, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -15,19 +15,21 @@
 from roadpulley.core.clock import Timers
 from roadpulley.core.counter import CounterClient, parse_answer
 
-Ending = tuple[str, Outcome, float]
+CallOutcome = tuple[str, Outcome, float]
 
 
 class Calls:
+    """Adds to a counter and collects the outcomes."""
+
     def __init__(self, counter: CounterClient) -> None:
-        self.counter, self.endings = counter, list[Ending]()
+        self.counter, self.outcomes = counter, list[CallOutcome]()
 
     def add(self, name: str = "n", amount: float = 1.0) -> None:
-        self.counter.add(name, amount, 4000.0, lambda *ending: self.endings.append(ending))
+        self.counter.add(name, amount, 4000.0, lambda *ending: self.outcomes.append(ending))
 
-    async def ended(self, count: int) -> list[Ending]:
-        await until(lambda: len(self.endings) >= count)
-        return self.endings
+    async def ended(self, count: int) -> list[CallOutcome]:
+        await until(lambda: len(self.outcomes) >= count)
+        return self.outcomes
 
 
 @asynccontextmanager
@@ -55,8 +57,8 @@
     in_loop(scenario)
 
 
-def test_a_late_answer_is_its_own_call_s_and_dropped() -> None:
-    """Given to the next call, it would tell that one the total of another moment, or of another name."""
+def test_a_late_answer_is_not_taken_for_the_next_call_s() -> None:
+    """The next call would otherwise get a total of another time or another name."""
 
     async def scenario() -> None:
         go_on = asyncio.Event()
@@ -78,7 +80,7 @@
     in_loop(scenario)
 
 
-def test_a_call_turned_away_added_nothing() -> None:
+def test_a_refused_call_ends_as_full() -> None:
     async def scenario() -> None:
         async def script(words: list[bytes]) -> Reply:
             return b"busy\r\n"
@@ -90,7 +92,7 @@
     in_loop(scenario)
 
 
-def test_a_refused_connection_added_nothing_and_is_tried_again() -> None:
+def test_a_refused_connection_ends_calls_as_connect_and_is_retried() -> None:
     async def scenario() -> None:
         service = Service()
         async with calling(service) as calls:
@@ -105,7 +107,7 @@
     in_loop(scenario)
 
 
-def test_a_break_after_the_call_may_have_added() -> None:
+def test_a_connection_lost_after_the_call_ends_it_as_timed_out() -> None:
     async def scenario() -> None:
         async def script(words: list[bytes]) -> Reply:
             return b""
@@ -117,8 +119,8 @@
     in_loop(scenario)
 
 
-def test_a_connection_that_owes_and_stays_silent_is_left(monkeypatch: pytest.MonkeyPatch) -> None:
-    """After the counter's machine vanished, its connections stay open and say nothing for ever."""
+def test_a_silent_connection_with_unanswered_calls_is_replaced(monkeypatch: pytest.MonkeyPatch) -> None:
+    """If the counter's machine fails, its connections stay open and silent for ever."""
     monkeypatch.setattr(module, "SILENCE_TIMEOUT_MS", 50.0)
 
     async def scenario() -> None:
@@ -150,12 +152,12 @@
         *((line, None) for line in (b"ok", b"ok x", b"what", b"", b"ok nan", b"ok inf", b"ok 1_0", b"ok  1")),
     ],
 )
-def test_answers(line: bytes, ending: tuple[Outcome, float] | None) -> None:
+def test_answer_lines_are_parsed(line: bytes, ending: tuple[Outcome, float] | None) -> None:
     assert parse_answer(line) == ending
 
 
-def test_an_answer_that_is_none_ends_its_connection() -> None:
-    """Its amount was added; what follows there may be anything, and is no later call's answer."""
+def test_a_malformed_answer_ends_its_connection() -> None:
+    """The amount was added, and the following data must not be taken for the answer to a later call."""
 
     async def scenario() -> None:
         async def script(words: list[bytes]) -> Reply:
@@ -174,7 +176,7 @@
     in_loop(scenario)
 
 
-def test_a_new_address_takes_new_calls_and_the_old_one_is_still_heard() -> None:
+def test_a_new_address_gets_new_calls_and_the_old_one_still_answers() -> None:
     async def scenario() -> None:
         go_on = asyncio.Event()
 
@@ -195,7 +197,7 @@
             assert await calls.ended(1) == [("other", Outcome.OK, 222.0)]
             calls.add("n")
             await until(lambda: len(new.got) == 2)
-            assert len(calls.endings) == 1  # told now, it would be taken for the older call's
+            assert len(calls.outcomes) == 1  # reported now, it would be taken for the older call's
             go_on.set()
             assert (await calls.ended(3))[1:] == [("n", Outcome.OK, 111.0), ("n", Outcome.OK, 222.0)]
             assert not calls.counter.calls
@@ -206,7 +208,7 @@
     in_loop(scenario)
 
 
-def test_a_quota_is_held_with_the_counter_s_help() -> None:
+def test_a_quota_is_enforced_with_the_counter() -> None:
     async def scenario() -> None:
         async with running(World(*(Backend() for _ in range(4)))) as world:
             peer = await world.client()
@@ -221,7 +223,7 @@
     in_loop(scenario)
 
 
-def test_a_silent_counter_does_not_hold_up_requests_for_long() -> None:
+def test_a_silent_counter_delays_requests_only_briefly() -> None:
     async def silent(words: list[bytes]) -> Reply:
         return None
 
--- a/tests/core/test_driver.py
+++ b/tests/core/test_driver.py
@@ -1,4 +1,4 @@
-"""The driver between a scripted module and the sockets' parts, without any socket."""
+"""The driver with a scripted decision module, mostly without network connections."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 from roadpulley.edges.resp_server import RespServer
 from roadpulley.edges.slots import Slot
 
-pytestmark = pytest.mark.patches_inside  # a module of its own
+pytestmark = pytest.mark.patches_inside  # replaces the decision module
 
 
 class Module:
-    """Stands in for the decision module: keeps the events, and answers each with what a test says."""
+    """A fake decision module: records the events and returns the actions that a test configured."""
 
     def __init__(self) -> None:
         self.events: list[api.Event] = []
@@ -37,11 +37,13 @@
             raise answer
         return answer
 
-    def of(self, kind: type) -> list[api.Event]:
+    def events_of(self, kind: type) -> list[api.Event]:
         return [event for event in self.events if type(event) is kind]
 
 
 class Scene:
+    """A driver with a fake module and one client connection."""
+
     def __init__(self, max_open: int = 10) -> None:
         loop = asyncio.get_running_loop()
         timers = Timers(loop)
@@ -64,7 +66,7 @@
         return slot
 
 
-def test_a_fault_in_the_module_ends_its_request_with_a_failure(caplog: pytest.LogCaptureFixture) -> None:
+def test_an_exception_in_the_module_fails_its_request(caplog: pytest.LogCaptureFixture) -> None:
     async def scenario() -> None:
         scene = Scene()
         scene.module.answers[api.RequestArrived] = ValueError("what")
@@ -76,14 +78,14 @@
     assert "RequestArrived could not be handled" in caplog.text
 
 
-def test_what_lay_unread_while_the_loop_stood_still_is_taken_off_its_time() -> None:
-    """Its client counts from when it sent; an answer later than that by half a second is no answer."""
+def test_loop_lag_is_subtracted_from_the_request_timeout() -> None:
+    """The client's timeout starts when it sends the request, and it ignores answers half a second late."""
 
     async def scenario() -> None:
         scene = Scene()
         scene.driver.start_lag_monitor()
-        time.sleep(0.3)  # the loop stands still here
-        scene.ask(b"first", wait=1000)  # read in the same turn, before any look at the lag
+        time.sleep(0.3)  # blocks the event loop
+        scene.ask(b"first", wait=1000)  # in the same loop iteration, before the lag is measured
         first = scene.driver.requests["first"].expires_at
         assert first - now_ms() <= 1000 - 250
         await asyncio.sleep(0)
@@ -94,8 +96,8 @@
     in_loop(scenario)
 
 
-def test_a_request_that_the_module_forgets_is_failed_at_its_end() -> None:
-    """A fault at a timer or a counter's reply would leave its client without an answer."""
+def test_an_unanswered_request_is_failed_at_its_deadline() -> None:
+    """A bug in the handling of a timer or a counter reply could leave the client without an answer."""
 
     async def scenario() -> None:
         scene = Scene()
@@ -103,7 +105,7 @@
         assert slot.reply is None
         await until(lambda: slot.answered)
         assert slot.reply == FAILED and not scene.driver.requests
-        assert scene.module.of(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
+        assert scene.module.events_of(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
 
     in_loop(scenario)
 
@@ -114,7 +116,7 @@
         send = api.Send("r1", 7)
         scene.module.answers[api.RequestArrived] = [send, send, send, api.Refuse("r1"), send]
         scene.ask()
-        ended = scene.module.of(api.AttemptEnded)
+        ended = scene.module.events_of(api.AttemptEnded)
         outcomes = [(e.attempt, e.outcome, e.finished) for e in ended if isinstance(e, api.AttemptEnded)]
         assert outcomes == [
             (0, api.Outcome.CONNECT, False),  # a backend that was never listed
@@ -126,7 +128,7 @@
     in_loop(scenario)
 
 
-def test_an_attempt_s_own_time_out_leaves_the_request_open() -> None:
+def test_an_attempt_timeout_leaves_the_request_open() -> None:
     async def scenario() -> None:
         scene = Scene()
         server = await asyncio.start_server(lambda *_: None, LOCAL, 0)
@@ -136,7 +138,7 @@
         scene.module.answers[api.AttemptEnded] = [api.Refuse("r1")]
         slot = scene.ask()
         await until(lambda: slot.answered)
-        (ended,) = scene.module.of(api.AttemptEnded)
+        (ended,) = scene.module.events_of(api.AttemptEnded)
         assert isinstance(ended, api.AttemptEnded)
         assert (ended.outcome, ended.finished) == (api.Outcome.TIMED_OUT, False) and ended.elapsed >= 20
         assert slot.reply == b"-BUSY\r\n"
@@ -145,7 +147,7 @@
     in_loop(scenario)
 
 
-def test_more_open_requests_than_allowed_are_turned_away() -> None:
+def test_requests_above_the_open_limit_are_refused() -> None:
     async def scenario() -> None:
         scene = Scene(max_open=1)
         assert scene.ask().reply is None
@@ -155,11 +157,13 @@
     in_loop(scenario)
 
 
-def test_without_a_counter_calls_end_as_never_made() -> None:
+def test_without_a_counter_calls_end_as_connect() -> None:
     async def scenario() -> None:
         scene = Scene()
         scene.module.answers[api.RequestArrived] = [api.AddToCounter("n", 1.0, 100.0)]
         scene.ask()
-        assert scene.module.of(api.CounterReplied) == [api.CounterReplied("n", api.Outcome.CONNECT, 0.0)]
+        assert scene.module.events_of(api.CounterReplied) == [
+            api.CounterReplied("n", api.Outcome.CONNECT, 0.0)
+        ]
 
     in_loop(scenario)
--- a/tests/core/test_lag.py
+++ b/tests/core/test_lag.py
@@ -1,4 +1,4 @@
-"""The shell's side of its own strain: the lag is seen, the door is cheap, and the counter is not blamed."""
+"""Lag of the event loop: it is reported, early refusals make no attempt, and the counter doesn't time out."""
 
 from __future__ import annotations
 
@@ -17,57 +17,57 @@
 
 
 def drivers(monkeypatch: pytest.MonkeyPatch) -> list[Driver]:
-    """The drivers that are made from now on."""
-    made: list[Driver] = []
+    """The drivers that are created from now on."""
+    created: list[Driver] = []
     real = Driver.__init__
 
     def init(self: Driver, *args: Any) -> None:
         real(self, *args)
-        made.append(self)
+        created.append(self)
 
     monkeypatch.setattr(Driver, "__init__", init)
-    return made
+    return created
 
 
 @pytest.mark.patches_inside
-def test_a_loop_that_lags_tells_the_module_and_says_when_it_is_over(monkeypatch: pytest.MonkeyPatch) -> None:
-    made = drivers(monkeypatch)
+def test_loop_lag_and_its_end_are_reported_to_the_module(monkeypatch: pytest.MonkeyPatch) -> None:
+    created = drivers(monkeypatch)
 
     async def scenario() -> None:
         async with running(World(Backend())):
-            (driver,) = made
-            told: list[float] = []
+            (driver,) = created
+            reported_lags: list[float] = []
             real = driver.gateway.handle
 
             def handle(now: float, event: api.Event) -> api.Actions:
                 if isinstance(event, api.LoopLagMeasured):
-                    told.append(event.lag)
+                    reported_lags.append(event.lag)
                 return real(now, event)
 
             driver.gateway.handle = handle  # type: ignore[method-assign]
-            time.sleep(0.2)  # the loop stands still
-            await until(lambda: told)
-            assert told[0] > 100
-            await until(lambda: told[-1] == 0.0 and not driver.was_lagging)
+            time.sleep(0.2)  # blocks the event loop
+            await until(lambda: reported_lags)
+            assert reported_lags[0] > 100
+            await until(lambda: reported_lags[-1] == 0.0 and not driver.was_lagging)
 
     in_loop(scenario)
 
 
-def test_under_strain_requests_are_refused_at_the_door_without_an_attempt(
+def test_shed_requests_are_refused_without_an_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    made = drivers(monkeypatch)
+    created = drivers(monkeypatch)
 
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             peer = await world.client()
             assert await world.ask(peer) == b"value"
-            (driver,) = made
+            (driver,) = created
             driver.gateway.loop_lag.shed_level, driver.is_shedding = 1.0, True  # nothing is worth that much
             peer.send(*request(b"r2"))
             assert str(await peer.receive()) == "BUSY 500"
             assert not driver.requests and len(world.backends[0].got) == 1
-            # What was never seen to be right is read in full: a wrong one is still told why.
+            # Unknown attributes are parsed completely, so an invalid request gets its specific error.
             peer.send(*request(b"r3", plan=b"golden"))
             assert str(await peer.receive()) == "ERR unknown plan"
             driver.gateway.loop_lag.shed_level, driver.is_shedding = 0.0, False
@@ -76,8 +76,8 @@
     in_loop(scenario)
 
 
-def test_a_counter_s_answer_that_lay_unread_in_a_stall_still_counts(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The time-out comes first after a stall, and would call a counter silent that had answered at once."""
+def test_a_counter_answer_that_waits_during_a_stall_is_not_a_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    """After a stall the timeout fires before the sockets are read, although the counter has answered."""
     monkeypatch.setattr(counter_module, "SILENCE_TIMEOUT_MS", 50.0)
 
     async def scenario() -> None:
@@ -91,7 +91,7 @@
         await until(lambda: got)
         counter.add("n", 1.0, 4_000.0, lambda name, outcome, total: got.append(outcome))
         await until(lambda: len(service.got) == 2)
-        time.sleep(0.25)  # the answer is there, and nobody reads it
+        time.sleep(0.25)  # the answer arrives while the loop is blocked
         await until(lambda: len(got) == 2)
         assert got == [Outcome.OK, Outcome.OK] and not counter.dropped
         counter.close()
@@ -100,7 +100,7 @@
     in_loop(scenario)
 
 
-def test_a_counter_that_is_silent_still_times_out_after_a_stall() -> None:
+def test_a_silent_counter_still_times_out_after_a_stall() -> None:
     async def silent(words: list[bytes]) -> Reply:
         return None
 
--- a/tests/core/test_outcomes.py
+++ b/tests/core/test_outcomes.py
@@ -1,8 +1,7 @@
-"""What an attempt is told: the table, and drawn orders of events on sockets against what backends really got.
+"""The outcomes of attempts: the table, and drawn orders of socket events against what backends received.
 
-A play draws steps; all between two turns of the loop happen to the gateway at once. Its backends are
-sockets of which the play says each byte. Mistakes that are planted in the pool have to be found by the
-same plays.
+A play draws steps. All steps between two loop iterations happen to the gateway at once. The backends are
+sockets that the play controls byte by byte. The same plays have to find bugs that are planted in the pools.
 """
 
 from __future__ import annotations
@@ -21,7 +20,7 @@
 from hypothesis import strategies as st
 from loopback import LOCAL, encode
 
-from mintford.guards import NOT_RUN_OUTCOMES as MODULES
+from mintford.guards import NOT_RUN_OUTCOMES as MODULE_NEVER_RAN
 from mintford.interface import BackendState, Outcome
 from roadpulley.core import outcomes
 from roadpulley.core.backends import REUSE_DELAY_MS, BackendPools
@@ -29,34 +28,34 @@
 from roadpulley.core.connection import Attempt, Connection
 from roadpulley.core.outcomes import NEVER_RAN, OUTCOMES, EndReason, Stage, resolve_outcome
 
-BIG = b"x" * 6_000_000  # more than the kernel takes at once
+BIG = b"x" * 6_000_000  # more than the kernel buffers
 
 
 # ---- the table ----
 
 
 @pytest.mark.parametrize("stage", Stage)
-@pytest.mark.parametrize("ending", EndReason)
-def test_what_may_have_run_is_never_told_as_what_did_not(stage: Stage, ending: EndReason) -> None:
-    told = resolve_outcome(stage, ending)
-    if stage is Stage.SENT and ending is not EndReason.FULL:
-        assert told not in NEVER_RAN
-    if ending is EndReason.ABANDONED:
-        assert told is Outcome.CANCELLED  # no backend is blamed for it
-    if stage is not Stage.SENT and ending in (EndReason.CONNECTION_ERROR, EndReason.ATTEMPT_TIMEOUT):
-        assert told is Outcome.CONNECT
+@pytest.mark.parametrize("reason", EndReason)
+def test_outcomes_of_attempts_that_may_have_run_are_not_in_never_ran(stage: Stage, reason: EndReason) -> None:
+    result = resolve_outcome(stage, reason)
+    if stage is Stage.SENT and reason is not EndReason.FULL:
+        assert result not in NEVER_RAN
+    if reason is EndReason.ABANDONED:
+        assert result is Outcome.CANCELLED  # not held against the backend
+    if stage is not Stage.SENT and reason in (EndReason.CONNECTION_ERROR, EndReason.ATTEMPT_TIMEOUT):
+        assert result is Outcome.CONNECT
 
 
-def test_the_module_and_the_table_mean_the_same_by_never_ran() -> None:
-    assert NEVER_RAN == MODULES
-    assert {told for row in OUTCOMES.values() for told in row.values()} >= NEVER_RAN
+def test_never_ran_equals_the_set_of_the_decision_module() -> None:
+    assert NEVER_RAN == MODULE_NEVER_RAN
+    assert {result for row in OUTCOMES.values() for result in row.values()} >= NEVER_RAN
 
 
 # ---- drawn orders ----
 
 
 class Server:
-    """One backend: reads when it is told, and knows of each connection what came and what was answered."""
+    """A backend that reads only when the play says so, and records the requests and answers."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server((LOCAL, 0))
@@ -80,9 +79,11 @@
 
 
 class Link:
+    """The backend's side of a connection."""
+
     def __init__(self, taken: socket.socket) -> None:
         self.socket, self.reader = taken, hiredis.Reader()
-        self.got: list[int] = []  # requests that came whole
+        self.got: list[int] = []  # complete requests
         self.answered = 0
         self.over = False
 
@@ -95,7 +96,7 @@
         except OSError:
             self.over = True
         while (command := self.reader.gets()) is not False:
-            # Answers come in order and giving up means closing: a second would share the first one's fate.
+            # A second request would be delayed by the first one, and be lost with it if that is cancelled.
             assert len(self.got) == self.answered, "two requests out on one connection"
             self.got.append(int(command[2]))
 
@@ -118,19 +119,23 @@
 
 
 @dataclass
-class Told:
+class AttemptResult:
+    """What an attempt reported at its end."""
+
     outcomes: list[Outcome] = field(default_factory=list)
     value: bytes = b""
 
 
 class Play:
+    """Performs steps on the pools and on two backends, and checks the result."""
+
     def __init__(self) -> None:
         loop = asyncio.get_running_loop()
         self.pool = BackendPools(loop, Timers(loop), 5_000, 15_000, 0, 64, 50_000_000)
         self.servers = [Server(), Server()]
         self.at, self.born, self.ready = 0, 1.0, True
-        self.tries: list[tuple[Attempt, Told]] = []
-        self.wrong: list[str] = []  # found where only the loop would hear of it
+        self.tries: list[tuple[Attempt, AttemptResult]] = []
+        self.wrong: list[str] = []  # errors found in callbacks
         self.list()
 
     def list(self) -> None:
@@ -140,13 +145,13 @@
     # ---- steps ----
 
     def send(self, big: bool = False, late: bool = False) -> None:
-        number, told = len(self.tries), Told()
+        number, result = len(self.tries), AttemptResult()
 
         def ended(attempt: Attempt, how: Outcome, value: bytes) -> None:
-            told.outcomes.append(how)
-            told.value = value
+            result.outcomes.append(how)
+            result.value = value
 
-        def written(wait: int) -> bytes:
+        def encode_command(wait: int) -> bytes:
             attempt = self.tries[number][0] if number < len(self.tries) else made
             connection = attempt.connection
             here = (LOCAL, self.servers[self.at].port), self.born
@@ -154,7 +159,7 @@
             self.wrong += [
                 f"{number} is written {what}"
                 for bad, what in (
-                    (bool(told.outcomes), "after its end"),
+                    (bool(result.outcomes), "after its end"),
                     (now_ms() >= attempt.latest_send_at, "too late"),
                     (not self.ready, "to a backend that drains"),
                     (leads != here, "to another process"),
@@ -163,16 +168,18 @@
             ]
             return encode(b"API.READ", b"0" * 16, b"%d" % number, b"d=%d" % wait, *([BIG] if big else []))
 
-        made = Attempt(1, written, now_ms() + 60_000, ended, latest_send_at=0.0 if late else float("inf"))
-        self.tries.append((made, told))
+        made = Attempt(
+            1, encode_command, now_ms() + 60_000, ended, latest_send_at=0.0 if late else float("inf")
+        )
+        self.tries.append((made, result))
         self.pool.send(made)
 
-    def out(self) -> list[tuple[Attempt, Told]]:
-        return [(attempt, told) for attempt, told in self.tries if not attempt.has_ended]
+    def out(self) -> list[tuple[Attempt, AttemptResult]]:
+        return [(attempt, result) for attempt, result in self.tries if not attempt.has_ended]
 
-    def end(self, ending: EndReason) -> None:
+    def end(self, reason: EndReason) -> None:
         for attempt, _ in self.out()[:1]:
-            self.pool.cancel_attempt(attempt, ending)
+            self.pool.cancel_attempt(attempt, reason)
 
     def connect_time(self) -> None:
         for attempt, _ in self.out():
@@ -213,13 +220,13 @@
             return
 
     def again(self) -> None:
-        """A second answer, on a connection where the first was taken."""
+        """Sends a second answer after the first one was consumed."""
         for link in self.links():
             if not link.over and link.got and len(link.got) == link.answered:
                 return link.say(served(link.got[-1]))
 
     def early(self, how: bytes) -> None:
-        """An answer to what has not come whole."""
+        """Sends an answer before the request is complete."""
         for link in self.links():
             if not link.over and len(link.got) == link.answered:
                 link.over = True
@@ -235,7 +242,7 @@
 
     # ---- the end ----
 
-    async def judge(self) -> None:
+    async def check(self) -> None:
         for attempt, _ in self.out():
             self.pool.cancel_attempt(attempt, EndReason.ABANDONED)
         self.pool.close()
@@ -244,13 +251,15 @@
         assert not self.wrong, self.wrong
         got = [number for link in self.links() for number in link.got]
         assert len(got) == len(set(got)), "an attempt came twice"
-        for number, (_, told) in enumerate(self.tries):
-            assert len(told.outcomes) == 1, f"{number} ended {len(told.outcomes)} times"
-            (how,) = told.outcomes
+        for number, (_, result) in enumerate(self.tries):
+            assert len(result.outcomes) == 1, f"{number} ended {len(result.outcomes)} times"
+            (how,) = result.outcomes
             if how in (Outcome.CONNECT, Outcome.IGNORED):
-                assert number not in got, f"{number} came whole and is told as {how.value}"
+                assert number not in got, f"{number} was received completely and ended as {how.value}"
             if how is Outcome.OK:
-                assert number in got and told.value == b"%d" % number, f"{number} was served {told.value!r}"
+                assert number in got and result.value == b"%d" % number, (
+                    f"{number} was served {result.value!r}"
+                )
 
     def close(self) -> None:
         for server in self.servers:
@@ -288,7 +297,7 @@
 ORDERS = st.lists(st.sampled_from([*STEPS, *OFTEN]), max_size=24)
 
 
-def played(steps: list[str]) -> None:
+def run_play(steps: list[str]) -> None:
     async def run() -> None:
         play = Play()
         try:
@@ -297,7 +306,7 @@
                     await asyncio.sleep(WAITS[step])
                 else:
                     STEPS[step](play)
-            await play.judge()
+            await play.check()
         finally:
             play.pool.close()
             play.close()
@@ -308,32 +317,61 @@
 @settings(max_examples=150, deadline=None, suppress_health_check=list(HealthCheck))
 @given(ORDERS)
 def test_drawn_orders_of_all_events(steps: list[str]) -> None:
-    played(steps)
-
-
-SURELY = ["send", "turn", "turn", "read", "turn"]  # one request that came whole
-KNOWN: dict[str, list[str]] = {
-    "end after the last byte": [*SURELY, "end", "turn"],
-    "reset after the last byte": [*SURELY, "reset", "turn"],
-    "time after the last byte": [*SURELY, "time"],
-    "idle end in the kernel": [*SURELY, "served", "rest", "end", "send", "turn", "read", "served", "turn"],
-    "second answer in the kernel": [*SURELY, "served", "rest", "again", "send", "turn", "read", "turn"],
+    run_play(steps)
+
+
+COMPLETE_REQUEST = ["send", "turn", "turn", "read", "turn"]  # one complete request
+KNOWN_ORDERS: dict[str, list[str]] = {
+    "end after the last byte": [*COMPLETE_REQUEST, "end", "turn"],
+    "reset after the last byte": [*COMPLETE_REQUEST, "reset", "turn"],
+    "time after the last byte": [*COMPLETE_REQUEST, "time"],
+    "idle end in the kernel": [
+        *COMPLETE_REQUEST,
+        "served",
+        "rest",
+        "end",
+        "send",
+        "turn",
+        "read",
+        "served",
+        "turn",
+    ],
+    "second answer in the kernel": [
+        *COMPLETE_REQUEST,
+        "served",
+        "rest",
+        "again",
+        "send",
+        "turn",
+        "read",
+        "turn",
+    ],
     "moved while connecting": ["send", "move", "turn", "turn", "read"],
     "restarted while connecting": ["send", "restart", "turn", "turn", "read"],
     "drained while connecting": ["send", "drain", "turn", "turn", "read"],
     "too late while connecting": ["send late", "turn", "turn", "read"],
-    "restarted while idle": [*SURELY, "served", "rest", "restart", "send", "turn", "read", "served", "turn"],
+    "restarted while idle": [
+        *COMPLETE_REQUEST,
+        "served",
+        "rest",
+        "restart",
+        "send",
+        "turn",
+        "read",
+        "served",
+        "turn",
+    ],
     "up as its time ends": ["send", "connect time", "turn", "read"],
     "up as it is called off": ["send", "call off", "turn", "read"],
     "busy before the last byte": ["send big", "turn", "turn", "read", "early busy", "turn", "turn"],
     "value before the last byte": ["send big", "turn", "turn", "early value", "turn", "turn"],
-    "cut in the middle": [*SURELY, "part", "turn", "end", "turn"],
+    "cut in the middle": [*COMPLETE_REQUEST, "part", "turn", "end", "turn"],
 }
 
 
-@pytest.mark.parametrize("name", KNOWN)
-def test_orders_that_are_known_to_be_bad(name: str) -> None:
-    played(KNOWN[name])
+@pytest.mark.parametrize("name", KNOWN_ORDERS)
+def test_known_difficult_orders(name: str) -> None:
+    run_play(KNOWN_ORDERS[name])
 
 
 def plant(monkeypatch: pytest.MonkeyPatch, where: Any, name: str, value: Any) -> None:
@@ -341,7 +379,7 @@
 
 
 def blind_write(self: Connection) -> None:
-    """As `write` was: nothing is judged again at the first byte."""
+    """`Connection.write` without the checks before the first byte."""
     attempt = self.attempt
     assert attempt is not None
     self.unsent = memoryview(attempt.encode(1))
@@ -349,29 +387,29 @@
     self._flush()
 
 
-def forgiving(ending: EndReason) -> dict[Stage, dict[EndReason, Outcome]]:
-    return {**OUTCOMES, Stage.SENT: {**OUTCOMES[Stage.SENT], ending: Outcome.CONNECT}}
+def table_with_connect_for(reason: EndReason) -> dict[Stage, dict[EndReason, Outcome]]:
+    return {**OUTCOMES, Stage.SENT: {**OUTCOMES[Stage.SENT], reason: Outcome.CONNECT}}
 
 
-PLANTED: dict[str, tuple[Any, str, Any]] = {
-    "a reset never ran": (outcomes, "OUTCOMES", forgiving(EndReason.CONNECTION_ERROR)),
-    "a time-out never ran": (outcomes, "OUTCOMES", forgiving(EndReason.ATTEMPT_TIMEOUT)),
+PLANTED_BUGS: dict[str, tuple[Any, str, Any]] = {
+    "a reset never ran": (outcomes, "OUTCOMES", table_with_connect_for(EndReason.CONNECTION_ERROR)),
+    "a time-out never ran": (outcomes, "OUTCOMES", table_with_connect_for(EndReason.ATTEMPT_TIMEOUT)),
     "idle connections are not looked at": (Connection, "is_alive", lambda self: True),
     "nothing is judged again at the first byte": (Connection, "write", blind_write),
     "a connection leads wherever the host is": (BackendPools, "is_current", lambda self, connection: True),
-    "an ended attempt stays on its connection": (Connection, "end", lambda self, ending: self.attempt and
-        self.attempt.end(resolve_outcome(self.get_stage(), ending))),
+    "an ended attempt stays on its connection": (Connection, "end", lambda self, reason: self.attempt and
+        self.attempt.end(resolve_outcome(self.get_stage(), reason))),
 }  # fmt: skip
 
 
 @pytest.mark.patches_inside
-@pytest.mark.parametrize("mistake", PLANTED)
-def test_planted_mistakes_are_found(mistake: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    plant(monkeypatch, *PLANTED[mistake])
+@pytest.mark.parametrize("mistake", PLANTED_BUGS)
+def test_planted_bugs_are_found(mistake: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    plant(monkeypatch, *PLANTED_BUGS[mistake])
     found = []
-    for name, steps in KNOWN.items():
+    for name, steps in KNOWN_ORDERS.items():
         try:
-            played(steps)
+            run_play(steps)
         except (AssertionError, AttributeError) as error:
             found.append(f"{name}: {error}")
     assert found, "no known order shows it"
--- a/tests/core/test_usage_figures.py
+++ b/tests/core/test_usage_figures.py
@@ -1,4 +1,4 @@
-"""Figures beside an answer come from a peer: of whatever comes, only plain numbers are taken."""
+"""The figures of an answer come from a peer: any bytes are possible, and only plain numbers are accepted."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         (b"", 0.0),
     ],
 )
-def test_the_cost_is_read_where_it_is_a_plain_number(text: bytes, cost: float) -> None:
+def test_cost_is_parsed_only_from_a_plain_number(text: bytes, cost: float) -> None:
     assert parse_cost(text) == cost
 
 
