--- a/tests/decisions/test_ceiling_rights.py
+++ b/tests/decisions/test_ceiling_rights.py
@@ -1,4 +1,4 @@
-"""Ceilings that are spent by rights: a part split evenly, the rest from an allocator that all ask."""
+"""Ceilings spent by escrow rights: one part is split evenly, an allocator gives out rights to the rest."""
 
 from __future__ import annotations
 
@@ -14,14 +14,16 @@
 from roadpulley.fleet.rights.holder import Holder
 from roadpulley.fleet.rights.messages import Limit, Times
 
-RATE, BURST, RIGHTS = 10.0, 40.0, 0.7
+RATE = 10.0
+BURST = 40.0
+RIGHTS_RATIO = 0.7
 PLAN = api.Plan("firm", rate=4, burst=20_000, overage_cost=1, ceiling_rate=RATE, ceiling_burst=BURST)
 KEY = "firm/c"
 MANY = [entry(n) for n in range(60)]
 TIMES = Times(drift=0.0)
 
 
-def gateway(size: int = 4, rights: float = RIGHTS, n: int = 0) -> World:
+def gateway(size: int = 4, rights: float = RIGHTS_RATIO, n: int = 0) -> World:
     return World(
         MANY, seed=n, plans=(PLAN,), max_request_units=4.0, gateways=size, index=n, rights_ratio=rights
     )
@@ -43,7 +45,7 @@
     world = gateway()
     world.pass_time(60_000)
     actions = flood(world)
-    even = BURST * (1 - RIGHTS) / 4
+    even = BURST * (1 - RIGHTS_RATIO) / 4
     assert len(sends(actions)) == int(even)
     assert len(spends(actions)) >= 20
     assert {(a.plan, a.customer, a.units) for a in spends(actions)} == {("firm", "c", 1.0)}
@@ -60,17 +62,17 @@
     assert world.give(api.RightsDecided(asked.request, True)) == []  # a second answer does nothing
 
 
-@pytest.mark.parametrize("answer", ["there is none", "none comes"])
+@pytest.mark.parametrize("answer", ["denied", "no answer"])
 def test_request_without_a_right_is_refused_once(answer: str) -> None:
     world = gateway()
     asked = spends(flood(world))[0]
-    if answer == "there is none":
+    if answer == "denied":
         actions = world.give(api.RightsDecided(asked.request, False))
     else:
         actions = world.pass_time(2 * world.gateway.settings.counter_timeout + 10)
     assert [a.request for a in actions if isinstance(a, api.Refuse)].count(asked.request) == 1
     assert not [a for a in spends(actions) if a.request == asked.request]
-    assert world.give(api.RightsDecided(asked.request, True)) == []  # it came late
+    assert world.give(api.RightsDecided(asked.request, True)) == []  # the answer is too late
 
 
 def test_no_rights_are_requested_if_the_settings_have_none() -> None:
@@ -80,7 +82,9 @@
 
 
 def test_ceiling_other_than_in_the_settings_is_enforced_by_the_even_part_alone() -> None:
-    """An allocator knows the ceilings of the settings: a lower one of a customer's own would be overdrawn."""
+    """An allocator knows only the ceilings in the settings. It would overdraw a customer's own lower
+    ceiling.
+    """
     world = gateway()
     own = api.Plan("firm", rate=4, burst=20_000, overage_cost=1, ceiling_rate=1.0, ceiling_burst=8.0)
     world.ask(plan="firm", spread=4)
@@ -91,13 +95,13 @@
 
 
 def test_counter_total_does_not_pay_for_a_ceiling_with_rights() -> None:
-    """Where rights are spent, nothing of a ceiling goes through the counter."""
+    """A ceiling with rights has no part that is shared through the counter."""
     world = World(
         MANY,
         plans=(PLAN,),
         max_request_units=4.0,
         gateways=4,
-        rights_ratio=RIGHTS,
+        rights_ratio=RIGHTS_RATIO,
         has_counter=True,
         counter_timeout=50.0,
     )
@@ -114,10 +118,10 @@
 
 
 class Fleet:
-    """Gateways that flood, an allocator that all reach at once, and the exact store behind them."""
+    """Gateways under a flood, an allocator without delay, and the exact store that must not be overdrawn."""
 
     def __init__(self, size: int) -> None:
-        limits = {"firm": Limit(RIGHTS * RATE, RIGHTS * BURST)}
+        limits = {"firm": Limit(RIGHTS_RATIO * RATE, RIGHTS_RATIO * BURST)}
         self.worlds = [gateway(size, n=n) for n in range(size)]
         self.began = self.now
         self.allocator = Allocator(1, self.now, limits, TIMES, random.Random(1))
@@ -134,17 +138,17 @@
 
     def ask(self, n: int) -> None:
         world = self.worlds[n]
-        todo = list(world.ask(plan="firm", spread=len(self.worlds)))
-        while todo:
-            action = todo.pop(0)
+        actions = list(world.ask(plan="firm", spread=len(self.worlds)))
+        while actions:
+            action = actions.pop(0)
             if isinstance(action, api.Send):
                 self.sent, self.level = self.sent + 1, self.level - 1
                 self.lowest = min(self.lowest, self.level)
                 world.give(api.AttemptEnded(action.request, 0, action.backend, api.Outcome.OK, 1.0, True))
             elif isinstance(action, api.SpendRights):
-                todo += world.give(api.RightsDecided(action.request, self.paid(n, action.units)))
+                actions += world.give(api.RightsDecided(action.request, self.is_paid(n, action.units)))
 
-    def paid(self, n: int, units: float) -> bool:
+    def is_paid(self, n: int, units: float) -> bool:
         holder = self.holders[n]
         if holder.try_spend(self.now, KEY, units):
             return True
@@ -172,7 +176,7 @@
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["flood", "pass", "silent", "heard"]),
+        st.sampled_from(["flood", "pass", "silent", "connected"]),
         st.integers(0, 3),
         st.sampled_from([1, 5, 60, 300, 900, 4_000]),
     ),
@@ -205,6 +209,6 @@
         for _ in range(2):
             fleet.ask(0)
         fleet.pass_time(100)
-    even_alone = (1 - RIGHTS) * (BURST + 30 * RATE) / 4
-    rights = RIGHTS * (BURST + 30 * RATE)
+    even_alone = (1 - RIGHTS_RATIO) * (BURST + 30 * RATE) / 4
+    rights = RIGHTS_RATIO * (BURST + 30 * RATE)
     assert fleet.sent > 0.95 * (even_alone + rights)
--- a/tests/decisions/test_ceilings.py
+++ b/tests/decisions/test_ceilings.py
@@ -1,4 +1,4 @@
-"""The ceiling holds over all gateways, in virtual time, whatever becomes of counter and gateways."""
+"""The ceiling holds over all gateways in virtual time, whatever faults the counter and gateways have."""
 
 from __future__ import annotations
 
@@ -12,15 +12,17 @@
 from mintford.ceilings import MAX_SHARED_RATIO, SPLIT_QUOTA_RATIO, Ceiling, compute_shared_ratio
 from mintford.quotas import EPOCH_MS, MIN_OUTAGE_MS
 
-RATE, BURST, MOST = 10.0, 40.0, 4.0
-# The quota's store is so large that the ceiling alone refuses.
+RATE = 10.0
+BURST = 40.0
+MAX_UNITS = 4.0
+# The quota's burst is so large that only the ceiling refuses requests.
 PLAN = api.Plan("firm", rate=4, burst=20_000, overage_cost=1, ceiling_rate=RATE, ceiling_burst=BURST)
 MANY = [entry(n) for n in range(60)]
 
 
 @dataclass
 class Installation:
-    """Gateways that flood, one counter, and the exact store that they must not overdraw."""
+    """Gateways under a flood, one counter, and the exact store that must not be overdrawn."""
 
     size: int
     seed: int
@@ -32,12 +34,12 @@
 
     def __post_init__(self) -> None:
         self.worlds = [self.gateway(n) for n in range(self.size)]
-        self.silent: set[int] = set()  # gateways whose calls are added and not answered
-        self.endless: set[int] = set()  # gateways that never learn how the last epoch ended
+        self.silent: set[int] = set()  # gateways whose calls are added but not answered
+        self.endless: set[int] = set()  # gateways that never read the last epoch's final total
         self.at = self.worlds[0].now
 
     def gateway(self, n: int) -> World:
-        terms = dict(plans=(PLAN,), max_request_units=MOST, gateways=self.size, index=n)
+        terms = dict(plans=(PLAN,), max_request_units=MAX_UNITS, gateways=self.size, index=n)
         return World(MANY, seed=self.seed * 10 + n, **terms)  # type: ignore[arg-type]
 
     def play(self, n: int, actions: list[api.Action]) -> None:
@@ -70,7 +72,7 @@
         self.level = min(BURST, self.level + ms / 1000 * RATE)
 
     def restart(self, n: int) -> None:
-        """It begins anew, with nothing but its settings."""
+        """Restart a gateway with nothing but its settings."""
         now, self.worlds[n] = self.worlds[n].now, self.gateway(n)
         self.worlds[n].now = now
         self.worlds[n].gateway = self.gateway(n).gateway
@@ -83,7 +85,7 @@
         st.tuples(st.just("ask"), st.integers(0, 3), st.integers(1, 4)),
         st.tuples(st.just("pass"), st.sampled_from([1, 60, 700, 4_000, 16_000, 31_000]), st.just(0)),
         st.tuples(st.just("silent"), st.integers(0, 3), st.just(0)),
-        st.tuples(st.just("heard"), st.integers(0, 3), st.just(0)),
+        st.tuples(st.just("connected"), st.integers(0, 3), st.just(0)),
         st.tuples(st.just("endless"), st.integers(0, 3), st.just(0)),
         st.tuples(st.just("restart"), st.integers(0, 3), st.just(0)),
     ),
@@ -94,10 +96,10 @@
 @settings(max_examples=120, deadline=None)
 @given(st.integers(2, 4), st.integers(0, 99), STEPS)
 def test_ceiling_is_never_overdrawn(size: int, seed: int, steps: list[tuple[str, int, int]]) -> None:
-    """Floods anywhere, gateways that don't hear the counter, that restart, epochs that end between."""
+    """Gateways are flooded, lose the counter and restart, and epochs end in between."""
     site = Installation(size, seed)
     for n in range(size):
-        site.ask(n, 1.0)  # so that all follow the number, and each has its part
+        site.ask(n, 1.0)  # all gateways follow the number and have their parts
     site.pass_time(6_000)
     for what, which, amount in steps:
         n = which % size
@@ -163,7 +165,7 @@
     other = Installation(2, 2)
     other.pass_time(10_000)
     other.counter.fails = api.Outcome.TIMED_OUT
-    for _ in range(2):  # the counter is gone for a while, and comes back empty
+    for _ in range(2):  # the counter is down for a while and restarts empty
         other.ask(0, 1.0)
         other.pass_time(MIN_OUTAGE_MS)
     other.counter.fails = None
--- a/tests/decisions/test_decision_cost.py
+++ b/tests/decisions/test_decision_cost.py
@@ -1,4 +1,4 @@
-"""What a decision costs does not grow with what is open or with the fleet, and says what it said before."""
+"""The cost of a decision does not grow with open requests or the fleet, and its results stay exact."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from mintford.shedding import LATENCY_PRIOR_ANSWERS
 
 
-def walked(gateway: Gateway, now: float) -> float:
-    """What is out over the rate of answers, told by looking at every attempt."""
+def scan_latency(gateway: Gateway, now: float) -> float:
+    """Compute the expected latency by scanning all attempts in flight."""
     limit = max(MAX_LATENCY_RATIO * max(gateway.fleet.typical_latency, gateway.fleet.recent_latency), 1.0)
     waiting = 1 + sum(now - a.sent_at < limit for a in gateway.attempts.in_flight.values())
     if waiting <= gateway.fleet.free_attempts:
@@ -34,26 +34,26 @@
 def test_count_of_waiting_attempts_equals_a_full_scan(steps: list[tuple[str, int]]) -> None:
     world = World([entry(n) for n in range(1, 4)], gateways=1)
     out: list[api.Send] = []
-    for _ in range(3):  # some answers, so that latencies are known
+    for _ in range(3):  # answers make the latencies known
         world.end(sends(world.ask("wipe", "none"))[0])
         world.now += 40
     for what, amount in steps:
         if what == "ask":
             out += sends(world.ask("wipe", "none", customer=f"c{amount}", life=60_000))
         elif what == "end" and out:
-            world.end(out.pop(amount % len(out)), api.Outcome.FAILED)  # tells nothing of latency
+            world.end(out.pop(amount % len(out)), api.Outcome.FAILED)  # a failure says nothing about latency
         else:
             world.now += amount
-        assert world.gateway.shedding.estimate_latency(world.now) == walked(world.gateway, world.now)
+        assert world.gateway.shedding.estimate_latency(world.now) == scan_latency(world.gateway, world.now)
 
 
 @pytest.mark.patches_inside
 def test_choice_examines_few_backends_of_a_large_fleet_and_over_time_all(monkeypatch: Any) -> None:
-    looked: list[list[Backend]] = []
+    examined: list[list[Backend]] = []
     real = Fleet.choose_cheapest
 
     def cheapest(self: Fleet, now: float, marks: Any, among: list[Backend]) -> Backend | None:
-        looked.append(among)
+        examined.append(among)
         return real(self, now, marks, among)
 
     monkeypatch.setattr(Fleet, "choose_cheapest", cheapest)
@@ -64,7 +64,7 @@
         chosen[send.backend] += 1
         world.end(send)
         world.now += 1
-    assert max(map(len, looked)) <= MAX_CANDIDATES
+    assert max(map(len, examined)) <= MAX_CANDIDATES
     assert len(chosen) == 200 and max(chosen.values()) < 60
 
 
@@ -131,5 +131,5 @@
         company.update((a, b) for a in few for b in few if a == 0 < b)
     mean = 8_000 * MAX_CANDIDATES / 200
     assert len(drawn) == 200 and max(abs(n - mean) for n in drawn.values()) < 0.25 * mean
-    # Danger: were neighbours always drawn together, a choice inside a failing zone would find nothing else.
+    # If neighbours were always drawn together, a choice within a failing zone would find no other backend.
     assert len({b for _, b in company}) > 100 and max(company.values()) < drawn[0] / 3
--- a/tests/decisions/test_decisions.py
+++ b/tests/decisions/test_decisions.py
@@ -1,4 +1,6 @@
-"""Backend choice, health, further attempts, overload and the guards of the five rules, without the bench."""
+"""Backend choice, health, further attempts, overload and the guards of the five rules, without a
+simulator.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +8,7 @@
 
 from mintford import interface as api
 
-WIDE = api.Plan("basic")  # no quota, so that only the back end decides
+WIDE = api.Plan("basic")  # no quota, so that only the backends decide
 OPEN = dict(plans=(WIDE,), has_counter=False)
 
 
@@ -78,7 +80,9 @@
                 hits += send.backend == bad
                 w.pass_time(20)
                 outcome = api.Outcome.FAILED if send.backend == bad else api.Outcome.OK
-                again = sends(w.end(send, outcome, attempt=0 if send.backend == bad else w_attempt(w, send)))
+                again = sends(
+                    w.end(send, outcome, attempt=0 if send.backend == bad else attempt_number(w, send))
+                )
                 if not again:
                     break
                 send = again[0]
@@ -88,7 +92,7 @@
     assert bad in served_by(w, 40)
 
 
-def w_attempt(w: World, send: api.Send) -> int:
+def attempt_number(w: World, send: api.Send) -> int:
     return sum(1 for _, a in w.log if isinstance(a, api.Send) and a.request == send.request) - 1
 
 
@@ -107,25 +111,27 @@
 
 
 def test_overload_is_refused_early_and_the_less_important_class_first() -> None:
-    """Danger: told by latency, overload is seen a whole queue too late, and so is its end."""
+    """Guards against judging overload by latency, which shows it and its end a whole queue too late."""
     w = world()
     warm_up(w)
     out = []
     while len(out) < 500 and (s := sends(w.ask("view"))):
         out += s
     assert len(out) < 100
-    assert (dearer := sends(w.ask("order"))), "the dearer class still goes through"
+    assert (important_sends := sends(w.ask("order"))), "the more important class is still admitted"
     while s := sends(w.ask("order")):
         out += s
-    out += dearer
+    out += important_sends
     for send in out:
         w.end(send)
     w.pass_time(100)
-    assert sends(w.ask("view")), "refusals end as soon as the load has gone"
+    assert sends(w.ask("view")), "refusals end as soon as the load ends"
 
 
 def test_less_important_class_with_a_longer_target_does_not_delay_others() -> None:
-    """Danger: judged by its own longer aim, the lesser class held out longest and filled every queue."""
+    """Guards against judging each class by its own target: the least important one then filled every
+    queue.
+    """
     quote = api.RequestClass(
         "quote", latency_target=1500, deadline=4000, importance=1, effect=api.Effect.SAFE
     )
@@ -142,11 +148,15 @@
             pass
         waits[name] = w.gateway.shedding.estimate_latency(w.now)
     assert waits["quote"] < 0.5 * waits["payout"] <= 0.5 * 0.7 * payout.latency_target
-    assert waits["slow"] == waits["payout"], "as much worth, but a longer aim: it may not delay the other"
+    assert waits["slow"] == waits["payout"], (
+        "equally important with a longer target: it may not delay the other"
+    )
 
 
 def test_gateway_without_answers_admits_requests() -> None:
-    """Danger: in a large fleet the floor fell under one request: no request, no answer, for ever."""
+    """Guards against a deadlock: in a large fleet less than one request was allowed, so no answer ever
+    came.
+    """
     w = world(gateways=1000)
     assert len(sends(w.ask()) + sends(w.ask())) == 2
 
@@ -208,7 +218,7 @@
 
 
 def test_overdue_attempt_is_moved_once() -> None:
-    """Danger: work done twice for every long request, or a silent backend that is waited for to the end."""
+    """Guards against duplicate work for every long request, and against waiting for a silent backend."""
     w = world()
     warm_up(w, lag=50)
     first = one(w.ask(life=60_000))
@@ -219,7 +229,7 @@
 
 
 def test_failures_of_one_class_at_a_backend_are_distinguished() -> None:
-    """Danger: a backend that fails one class alone looks half well, and keeps getting that class."""
+    """Guards against a backend that fails a single class, looks half healthy and keeps getting that class."""
     w = world(max_attempts=1)
     hits = {"view": 0, "order": 0}
     for i in range(400):
@@ -233,18 +243,20 @@
 
 
 def test_gateways_of_a_large_fleet_use_small_subsets_that_cover_evenly() -> None:
-    """Danger: met once a minute each, no backend can be judged."""
-    fleet, met = [entry(i) for i in range(70)], dict.fromkeys(range(70), 0)
+    """Guards against using each backend only once a minute, which is too rare to judge its health."""
+    fleet, uses = [entry(i) for i in range(70)], dict.fromkeys(range(70), 0)
     for index in range(300):
         w = World(fleet, **{**OPEN, "gateways": 300, "index": index})
         assert 8 <= len(w.gateway.fleet.subset) <= 16
         for b in w.gateway.fleet.subset:
-            met[b.id] += 1
-    assert min(met.values()) >= 0.6 * 300 * 8 / 70 and max(met.values()) <= 1.4 * 300 * 8 / 70
+            uses[b.id] += 1
+    assert min(uses.values()) >= 0.6 * 300 * 8 / 70 and max(uses.values()) <= 1.4 * 300 * 8 / 70
 
 
 def test_gateway_with_few_requests_sheds_by_recent_latency() -> None:
-    """Danger: three requests out at each of hundreds of gateways fill the servers for longer than the aim."""
+    """Guards against three open requests at each of hundreds of gateways, which delay all beyond the
+    target.
+    """
     w = world(gateways=300)
     for lag in (100, 1500, 100):
         sent = 0
@@ -252,7 +264,7 @@
             for send in sends(w.ask()):
                 sent += i >= 30
                 w.pass_time(lag)
-                w.end(send, attempt=w_attempt(w, send))
+                w.end(send, attempt=attempt_number(w, send))
             w.pass_time(400)
         assert sent < 36 if lag == 1500 else sent > 54
 
@@ -270,7 +282,7 @@
 
 
 def test_cold_backend_gets_less_than_its_least_capacity_from_many_gateways() -> None:
-    """Danger: many gateways, each with a little for a cold backend, push it over together."""
+    """Guards against many gateways that together overload a cold backend with small shares."""
     hits = 0
     for index in range(200):
         w = World(
@@ -317,7 +329,7 @@
 
 
 def test_cold_backend_gets_few_requests_until_it_is_warm() -> None:
-    """Danger: a cold backend sent a warm one's load by every gateway falls over and stays down."""
+    """Guards against every gateway sending a cold backend a warm one's load: it collapses and stays down."""
     w = world(entry(1), entry(2), entry(3))
     warm_up(w, 400)
     w.give(backends(entry(9, started=w.now - 100), scope=api.ListScope.CHANGES))
@@ -342,34 +354,36 @@
 
 
 def test_own_zone_is_preferred_in_proportion_to_the_crossing_price() -> None:
-    def away(price: float, load: int = 0) -> float:
+    def other_zone_ratio(price: float, load: int = 0) -> float:
         entries = [entry(n) for n in (1, 2)]
         entries += [api.BackendEntry(n, "b", 1, 0, api.BackendState.READY) for n in (3, 4)]
         w = world(*entries, capabilities=api.Capabilities(price_crossing=price), seed=3)
         for b in w.gateway.fleet.backends.values():
             b.open_attempts = load if b.id < 3 else 0
-        there = 0
+        other_zone = 0
         for _ in range(400):
             send = one(w.ask("view", "none"))
-            there += send.backend > 2
+            other_zone += send.backend > 2
             w.end(send)
-        return there / 400
+        return other_zone / 400
 
-    assert 0.42 < away(0) < 0.58
-    assert away(0.02) < 0.35 and away(0.05) < 0.2
-    assert away(0.02, load=2) > 0.9, "a busy zone is left all the same"
+    assert 0.42 < other_zone_ratio(0) < 0.58
+    assert other_zone_ratio(0.02) < 0.35 and other_zone_ratio(0.05) < 0.2
+    assert other_zone_ratio(0.02, load=2) > 0.9, "a busy zone is still avoided"
 
 
 def test_overage_requests_are_shed_by_their_net_earnings() -> None:
-    """Danger: tries that earn little fill the queue of those that earn all of their worth."""
+    """Guards against tries that earn little filling the queue of those that earn their full worth."""
     rich = api.Plan("rich", rate=0.001, burst=1, overage_earnings=0.6, overage_cost=0.2)
     poor = api.Plan("poor", rate=0.001, burst=1, overage_earnings=0.2, overage_cost=0.3)
     w = world(plans=(rich, poor), has_counter=False)
     warm_up(w)
-    assert sends(w.ask("order", "poor", "p")) and not sends(w.ask("order", "poor", "p")), "it costs more"
+    assert sends(w.ask("order", "poor", "p")) and not sends(w.ask("order", "poor", "p")), (
+        "it costs more than it earns"
+    )
     sent = [0, 0]
     for turn, plan in enumerate(("rich", "none")):
         while sends(w.ask("order", plan, plan)):
             sent[turn] += 1
-    assert sent[0] > 3, "while there is room, a try beyond the quota goes through"
-    assert sent[1] > 1, "and leaves room for those inside theirs"
+    assert sent[0] > 3, "with spare capacity a try beyond the quota is admitted"
+    assert sent[1] > 1, "and leaves capacity for those within their quota"
--- a/tests/decisions/test_fleet.py
+++ b/tests/decisions/test_fleet.py
@@ -1,6 +1,6 @@
-"""A fleet in virtual time, as `benchmarks/fleet.py` plays it: a small fixed part, with margins.
+"""A fleet in virtual time, by a small fixed part of `benchmarks/fleet.py`.
 
-Bounds lie under the least of six seeds; the module that knew no subsets served 0.05 to 0.15 less.
+The bounds are below the worst result of six seeds. The module without subsets served 0.05 to 0.15 less.
 """
 
 from __future__ import annotations
@@ -14,7 +14,9 @@
 
 from fleet import once  # noqa: E402
 
-GATEWAYS, SECONDS, SEED = 20, 18.0, 1
+GATEWAYS = 20
+DURATION_S = 18.0
+SEED = 1
 
 
 @pytest.mark.parametrize(
@@ -23,8 +25,8 @@
 )
 def test_fleet_keeps_serving_through_each_fault(trouble: str, served: float, worst: float) -> None:
     print("seed", SEED)
-    _, figures = once(((GATEWAYS, trouble), SEED, SECONDS))
+    _, figures = once(((GATEWAYS, trouble), SEED, DURATION_S))
     assert figures["served"] > served and figures["worst"] > worst, figures
     assert figures["opened"] < 0.2, figures
     assert figures["beyond"] < 0.1, figures
-    assert figures["cold"] < 1.6, "more than the longest request alone makes of the coldest backend's budget"
+    assert figures["cold"] < 1.6, "more of the coldest backend's budget than the longest request alone takes"
--- a/tests/decisions/test_reserved_units.py
+++ b/tests/decisions/test_reserved_units.py
@@ -1,4 +1,4 @@
-"""One call reads and adds: what a request will take is on the counter before another gateway can spend it."""
+"""A single call reads the counter and adds a request's units, so no other gateway can spend them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from mintford import interface as api
 from mintford.quotas import EPOCH_MS, MIN_CALL_BUDGET_RATIO, MIN_REFRESH_INTERVAL_MS
 
-# Many backends, so that quotas alone refuse. The even share of a store of eight requests is four.
+# With many backends only quotas refuse. The even share of a store of eight requests is four.
 MANY = [entry(n) for n in range(40)]
 TERMS = dict(gateways=2, capabilities=api.Capabilities(settles_units=True))
 
@@ -18,7 +18,7 @@
 
 
 def late_in_epoch(world: World) -> None:
-    """The last epoch's units are all paid back by then, so that its end need not be read."""
+    """Advance to a time when the last epoch's units are refilled, so that its total is not read."""
     world.pass_time(EPOCH_MS - 5_000 - world.now % EPOCH_MS)
 
 
@@ -32,13 +32,13 @@
 
 
 def test_two_simultaneous_gateways_do_not_both_spend_the_last_units() -> None:
-    """Both calls are on their way before either is answered; the later answer holds the other's units."""
+    """Both calls are in flight before either is answered. The later answer contains the other's units."""
     one, two, counter = World(MANY, index=0, **TERMS), World(MANY, seed=2, index=1, **TERMS), Counter()
     for world in (one, two):
         late_in_epoch(world)
     while any([sends(counter.play(world, world.ask())) for world in (one, two)]):
-        pass  # both know that nothing is left
-    for world in (one, two):  # time gives one unit back
+        pass  # both gateways know that the store is empty
+    for world in (one, two):  # one unit is refilled
         world.pass_time(600)
     tries = [(world, world.ask()) for world in (one, two)]
     through = sum(len(sends(counter.play(world, actions))) for world, actions in tries)
@@ -48,7 +48,7 @@
 def test_refused_request_returns_its_reserved_units_at_once() -> None:
     world, counter = World(MANY, max_request_units=4, **TERMS), Counter()
     late_in_epoch(world)
-    world.give(api.BackendsChanged(api.ListScope.FULL, ()))  # nowhere to send it
+    world.give(api.BackendsChanged(api.ListScope.FULL, ()))  # no backend is left
     actions = counter.play(world, world.ask())
     assert refusals(actions) and [call.amount for call in spent(actions)] == [1.0, -1.0]
     assert counter.spent("c") == 0.0
@@ -61,9 +61,9 @@
         (call,) = spent(world.ask())
         sent = world.give(api.CounterReplied(call.name, outcome, 0.0))
         c = world.gateway.quotas.customers["c"]
-        told = sum(call.amount for call in spent(sent))
-        assert len(sends(sent)) == 1 and c.unreported_units + told == 1.0, (
-            "charged once, and still to be told"
+        reported = sum(call.amount for call in spent(sent))
+        assert len(sends(sent)) == 1 and c.unreported_units + reported == 1.0, (
+            "charged once, and still to be reported"
         )
 
 
@@ -74,12 +74,12 @@
     c = world.gateway.quotas.customers["c"]
     world.pass_time(200)
     (call,) = spent(world.ask())
-    counter.reply(world.now, call)  # added, and the answer spoilt on its way
+    counter.reply(world.now, call)  # added, but its answer is lost
     counter.play(world, world.give(api.CounterReplied(call.name, api.Outcome.TIMED_OUT, 0.0)))
     world.pass_time(200)
     counter.play(world, world.ask())
     assert counter.spent("c") + c.unreported_units == 3.0
-    assert 8 - 3 - 0.01 <= c.store <= 8 - 3 + 2 * 0.4 + 0.01, "three requests, and what time has given back"
+    assert 8 - 3 - 0.01 <= c.store <= 8 - 3 + 2 * 0.4 + 0.01, "three requests, and the refill"
 
 
 @pytest.mark.parametrize("elsewhere", [0, 3])
@@ -98,7 +98,7 @@
         counter.play(other, other.ask())
     world.pass_time(200)
     counter.play(world, world.ask())
-    unseen = min(1, elsewhere)  # as much of the others' as the silent call could have been
+    unseen = min(1, elsewhere)  # as many peer units as the unanswered call might have added
     assert c.store <= 8 - 3 - elsewhere + unseen + 2 * 0.4 + 0.01
 
 
@@ -115,7 +115,7 @@
 
 
 def test_first_reading_gives_a_lower_bound_of_the_store() -> None:
-    """One of eight units is spent elsewhere: seven are surely there, not only the even share of four."""
+    """One of eight units is spent elsewhere. Seven certainly remain, not only the even share of four."""
     one, two, counter = World(MANY, index=0, **TERMS), World(MANY, seed=2, index=1, **TERMS), Counter()
     for world in (one, two):
         late_in_epoch(world)
@@ -129,10 +129,10 @@
     for world in (one, two):
         world.pass_time(EPOCH_MS - 200 - world.now % EPOCH_MS)
     while sends(counter.play(one, one.ask())):
-        pass  # all eight, in the old epoch
+        pass  # all eight units, in the old epoch
     two.pass_time(300)
     through = sum(len(sends(counter.play(two, two.ask()))) for _ in range(12))
-    assert through <= 4, "the even share, as it may have been long ago"
+    assert through <= 4, "the even share, as the spending may have been long ago"
 
 
 def test_counter_that_is_down_is_not_called_for_every_request() -> None:
@@ -149,7 +149,7 @@
         world.pass_time(20)
     c = world.gateway.quotas.customers["c"]
     assert c.failed_calls > 2 and calls <= 4 * (2000 / MIN_REFRESH_INTERVAL_MS + 2), (
-        "two seconds, and the last epoch's end too"
+        "two seconds, with reads of the last epoch"
     )
 
 
