--- a/roadpulley/core/outcomes.py
+++ b/roadpulley/core/outcomes.py
@@ -54,7 +54,7 @@
     ANSWERED = "said"
 
 
-NEVER_RAN = {Outcome.CONNECT, Outcome.IGNORED, Outcome.FULL}
+NOT_RUN_OUTCOMES = {Outcome.CONNECT, Outcome.IGNORED, Outcome.FULL}
 
 _BEFORE_SENT = {
     EndReason.CONNECTION_ERROR: Outcome.CONNECT,
--- a/tests/core/test_outcomes.py
+++ b/tests/core/test_outcomes.py
@@ -20,13 +20,13 @@
 from hypothesis import strategies as st
 from loopback import LOCAL, encode
 
-from mintford.guards import NOT_RUN_OUTCOMES as MODULE_NEVER_RAN
+from mintford.guards import NOT_RUN_OUTCOMES as MODULE_NOT_RUN_OUTCOMES
 from mintford.interface import BackendState, Outcome
 from roadpulley.core import outcomes
 from roadpulley.core.backends import REUSE_DELAY_MS, BackendPools
 from roadpulley.core.clock import Timers, now_ms
 from roadpulley.core.connection import Attempt, Connection
-from roadpulley.core.outcomes import NEVER_RAN, OUTCOMES, EndReason, Stage, resolve_outcome
+from roadpulley.core.outcomes import NOT_RUN_OUTCOMES, OUTCOMES, EndReason, Stage, resolve_outcome
 
 BIG = b"x" * 6_000_000  # more than the kernel buffers
 
@@ -39,7 +39,7 @@
 def test_outcomes_of_attempts_that_may_have_run_are_not_in_never_ran(stage: Stage, reason: EndReason) -> None:
     result = resolve_outcome(stage, reason)
     if stage is Stage.SENT and reason is not EndReason.FULL:
-        assert result not in NEVER_RAN
+        assert result not in NOT_RUN_OUTCOMES
     if reason is EndReason.ABANDONED:
         assert result is Outcome.CANCELLED  # not held against the backend
     if stage is not Stage.SENT and reason in (EndReason.CONNECTION_ERROR, EndReason.ATTEMPT_TIMEOUT):
@@ -47,8 +47,8 @@
 
 
 def test_never_ran_equals_the_set_of_the_decision_module() -> None:
-    assert NEVER_RAN == MODULE_NEVER_RAN
-    assert {result for row in OUTCOMES.values() for result in row.values()} >= NEVER_RAN
+    assert NOT_RUN_OUTCOMES == MODULE_NOT_RUN_OUTCOMES
+    assert {result for row in OUTCOMES.values() for result in row.values()} >= NOT_RUN_OUTCOMES
 
 
 # ---- drawn orders ----
