--- a/roadpulley/limits/__init__.py
+++ b/roadpulley/limits/__init__.py
@@ -1,1 +1,1 @@
-"""What limits of the whole fleet promise: bounds that follow from settings alone."""
+"""Bounds on the error of fleet-wide limits, computed from settings alone."""
--- a/roadpulley/limits/bounds.py
+++ b/roadpulley/limits/bounds.py
@@ -1,12 +1,13 @@
-"""How far quotas and ceilings can be off when links fail: bounds by event, from a plan's terms. Pure.
+"""Bounds on the error of quotas and ceilings under failures, by event, from the terms of a plan. No I/O.
 
-`over`: units that all gateways together can send on beyond what one exact store would have let in, from the
-event on. `less`: units of its due that a customer can be refused, if all its requests come to one gateway.
+The reference is one exact token bucket that all gateways share. The excess is the number of units that all
+gateways together can admit beyond it, from the event on. The shortfall is the number of units of its quota
+that a customer can be refused, if all its requests come to one gateway.
 
-Where the bounds come from (the module's rules: docs/design/fleet-limits.md). A gateway that has read a total
-may spend all that the store holds, if the others have sent on next to nothing lately; so `gateways` of them
-can each spend one whole store, and fill it at the whole rate, until their leases end unheard. After that each
-has an even part of rate and burst. Only what is beyond the one store counts as over.
+The bounds follow from the rules of the decision module (docs/design/fleet-limits.md). A gateway that has read
+a total may spend the whole bucket if the other gateways admitted next to nothing lately. So each of
+`gateways` can spend one whole bucket, refilled at the full rate, until its lease expires without an answer of
+the counter. After that each gateway has an even share of rate and burst.
 """
 
 from __future__ import annotations
@@ -22,8 +23,11 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """One plan and one event. `gateways`: that a customer's requests come to; `unit`: the largest request;
-    `seconds`: of the event; `parted`: gateways that it happens to; `lease`: seconds for which one lasts."""
+    """One plan and one event.
+
+    `gateways`: those that receive requests of the customer. `duration_s`: length of the event.
+    `affected_gateways`: how many gateways the event concerns. `lease_s`: validity of a counter reading.
+    """
 
     plan: api.Plan
     gateways: int
@@ -34,12 +38,15 @@
 
     @property
     def leased_s(self) -> float:
-        """Seconds of the event in which leases hold still."""
+        """Seconds of the event in which leases are still valid."""
         return min(self.duration_s, self.lease_s)
 
     @property
     def max_uncounted_units(self) -> float:
-        """Units that one gateway may have sent on and not told yet; where units are scarce, one request."""
+        """Units that one gateway may have admitted without having added them to the counter yet.
+
+        If units are scarce, one request.
+        """
         return (
             self.largest_request_units
             if self.is_sparse
@@ -48,101 +55,132 @@
 
     @property
     def is_sparse(self) -> bool:
+        """Whether a gateway's even share of the burst holds only a few requests."""
         return self.plan.burst / self.gateways < SPARSE_BURST_RATIO * self.largest_request_units
 
     @property
     def even_burst(self) -> float:
-        """Units that a gateway that knows of no total holds, whether they are there or not."""
+        """Units that a gateway may spend before it knows a total, whether or not the bucket holds them."""
         return max(self.largest_request_units, self.plan.burst / self.gateways)
 
 
 @dataclass(frozen=True)
 class Bound:
+    """The largest possible error of a limit in one event."""
+
     excess_units: float
     shortfall_units: float
 
 
-def bound_simultaneous_burst(case: Scenario) -> Bound:
-    """Nothing fails, and all gateways are asked for everything at once after a calm time: each has read that
-    all is there. Until it reads again it sends on what may stay untold, and as much while that is told."""
-    return Bound((case.gateways - 1) * 2 * case.max_uncounted_units, 0.0)
+def bound_simultaneous_burst(scenario: Scenario) -> Bound:
+    """Nothing fails; after an idle time, all gateways receive more requests than the quota at once.
+
+    Each has read that the bucket is full. Until its next reading, it admits what may stay uncounted, and as
+    much again while that is being added to the counter.
+    """
+    return Bound((scenario.gateways - 1) * 2 * scenario.max_uncounted_units, 0.0)
 
 
-def bound_silent_counter(case: Scenario) -> Bound:
-    """The counter answers nobody: each spends its lease, then its even part."""
-    plan, more = case.plan, case.gateways - 1
-    after = case.duration_s - case.leased_s
+def bound_silent_counter(scenario: Scenario) -> Bound:
+    """The counter answers no gateway: each spends under its lease, then its even share."""
+    plan, other_gateways = scenario.plan, scenario.gateways - 1
+    unleased_s = scenario.duration_s - scenario.leased_s
     return Bound(
-        more * (plan.burst + plan.rate * case.leased_s),
-        more / case.gateways * (plan.burst + plan.rate * after),
+        other_gateways * (plan.burst + plan.rate * scenario.leased_s),
+        other_gateways / scenario.gateways * (plan.burst + plan.rate * unleased_s),
     )
 
 
-def bound_partitioned_counter(case: Scenario) -> Bound:
-    """The counter answers only some: the rest spend their leases, then even parts that those don't miss."""
-    plan, cut = case.plan, min(case.affected_gateways, case.gateways)
-    if cut == case.gateways:
-        return bound_silent_counter(case)
-    after = case.duration_s - case.leased_s
-    over = cut * (plan.burst + plan.rate * case.leased_s) + cut / case.gateways * plan.rate * after
-    over += (
-        (case.gateways - cut - 1) * 2 * case.max_uncounted_units
-    )  # the others may be asked all at once: `surge`
-    return Bound(over, bound_silent_counter(case).shortfall_units)
+def bound_partitioned_counter(scenario: Scenario) -> Bound:
+    """The counter answers only some gateways.
+
+    The others spend under their leases, then their even shares, which those that it answers do not set aside.
+    """
+    plan, cut_off = scenario.plan, min(scenario.affected_gateways, scenario.gateways)
+    if cut_off == scenario.gateways:
+        return bound_silent_counter(scenario)
+    unleased_s = scenario.duration_s - scenario.leased_s
+    excess = (
+        cut_off * (plan.burst + plan.rate * scenario.leased_s)
+        + cut_off / scenario.gateways * plan.rate * unleased_s
+    )
+    # The connected gateways may receive requests all at once, as in `bound_simultaneous_burst`.
+    excess += (scenario.gateways - cut_off - 1) * 2 * scenario.max_uncounted_units
+    return Bound(excess, bound_silent_counter(scenario).shortfall_units)
 
 
-def bound_emptied_counter(case: Scenario) -> Bound:
-    """The counter comes back with nothing: what the others told before is not in its totals.
+def bound_emptied_counter(scenario: Scenario) -> Bound:
+    """The counter restarts empty: its totals lack what other gateways added before.
 
-    Right after a period's edge little was told under the new number. A total that falls by no more than
-    `GIVEN_BACK` requests looks like a settlement: so much that was spent before the event seems to be there.
+    Right after the start of a period, little was added to the new total. A total that falls by no more than
+    `MAX_SETTLEMENT_RATIO` requests looks like a settlement, so that many units spent before the event seem to
+    be available again.
     """
     return Bound(
-        (case.gateways - 1) * case.plan.burst + MAX_SETTLEMENT_RATIO * case.largest_request_units,
-        case.plan.burst,
+        (scenario.gateways - 1) * scenario.plan.burst + MAX_SETTLEMENT_RATIO * scenario.largest_request_units,
+        scenario.plan.burst,
     )
 
 
-def bound_old_copy(case: Scenario) -> Bound:
-    """It comes back with an old copy. Lower numbers are as none; higher ones look as if spent elsewhere."""
-    return Bound(bound_emptied_counter(case).excess_units, 2 * case.plan.burst)
+def bound_old_copy(scenario: Scenario) -> Bound:
+    """The counter restarts from an old copy.
 
+    Totals that are too low act like an empty counter; totals that are too high look like units spent
+    elsewhere.
+    """
+    return Bound(bound_emptied_counter(scenario).excess_units, 2 * scenario.plan.burst)
 
-def bound_late_answers(case: Scenario) -> Bound:
-    """It adds and answers too late: whoever asked knows no more than from a silent one, and its totals are
-    right when they are heard again."""
-    return bound_silent_counter(case)
 
+def bound_late_answers(scenario: Scenario) -> Bound:
+    """The counter adds, but answers too late.
 
-def bound_higher_totals(case: Scenario) -> Bound:
-    """An old copy whose numbers are higher than those of now: the difference looks spent elsewhere, until
-    nothing is left of the store. Time fills it again; the next period's number is not in the copy."""
-    return Bound(0.0, case.plan.burst)
+    The gateways learn no more than from a silent counter, and its totals are correct once they arrive again.
+    """
+    return bound_silent_counter(scenario)
 
 
-def bound_half_emptied_counter(case: Scenario) -> Bound:
-    """Half of its parts come back empty: of a customer whose number was there, as if all had."""
-    return bound_emptied_counter(case)
+def bound_higher_totals(scenario: Scenario) -> Bound:
+    """The counter restarts from a copy whose totals are higher than the current ones.
 
+    The difference looks like units spent elsewhere, down to an empty bucket. The bucket refills with time,
+    and the total of the next period is not in the copy.
+    """
+    return Bound(0.0, scenario.plan.burst)
+
+
+def bound_half_emptied_counter(scenario: Scenario) -> Bound:
+    """Half of the counter's partitions restart empty: for a customer on one of them, as if all had."""
+    return bound_emptied_counter(scenario)
+
+
+def bound_gateway_restarts(scenario: Scenario) -> Bound:
+    """Gateways restart while the counter answers.
 
-def bound_gateway_restarts(case: Scenario) -> Bound:
-    """Gateways restart while the counter answers: what they had not told is lost, and a total from before
-    their start tells when nothing of it was spent: they take their even part of the burst for there. At a
-    period's edge one request is let in by the first of two totals, before the other one is read."""
-    number = min(case.affected_gateways, case.gateways)
+    What they had not added to the counter is lost. A total does not say when its units were spent, so a
+    restarted gateway assumes that its even share of the burst is available. At the start of a period, one
+    request is admitted by the first of two totals before the second one is read.
+    """
+    restarted = min(scenario.affected_gateways, scenario.gateways)
     return Bound(
-        number * (case.max_uncounted_units + case.even_burst + case.largest_request_units), case.plan.burst
+        restarted * (scenario.max_uncounted_units + scenario.even_burst + scenario.largest_request_units),
+        scenario.plan.burst,
     )
 
 
-def bound_restarts_without_counter(case: Scenario) -> Bound:
-    """All gateways restart while the counter is away: each begins with its even part."""
-    plan = case.plan
-    begins = case.gateways * case.even_burst
-    less = (case.gateways - 1) / case.gateways * (plan.burst + plan.rate * case.duration_s)
-    return Bound(begins + (case.gateways - 1) * plan.burst + case.gateways * case.max_uncounted_units, less)
+def bound_restarts_without_counter(scenario: Scenario) -> Bound:
+    """All gateways restart while the counter does not answer: each begins with its even share."""
+    plan = scenario.plan
+    initial_units = scenario.gateways * scenario.even_burst
+    shortfall = (scenario.gateways - 1) / scenario.gateways * (plan.burst + plan.rate * scenario.duration_s)
+    return Bound(
+        initial_units
+        + (scenario.gateways - 1) * plan.burst
+        + scenario.gateways * scenario.max_uncounted_units,
+        shortfall,
+    )
 
 
+# Keys are printed by `roadpulley quota-error`.
 EVENTS: dict[str, Callable[[Scenario], Bound]] = {
     "nothing fails, all at once": bound_simultaneous_burst,
     "the counter is silent": bound_silent_counter,
@@ -158,17 +196,22 @@
 
 
 def add_bounds(bounds: list[Bound]) -> Bound:
-    """Of events one after the other: each can give what it gives alone, and no more."""
+    """The bound of several events in sequence: the sum of their bounds."""
     return Bound(sum(b.excess_units for b in bounds), sum(b.shortfall_units for b in bounds))
 
 
-def compute_lone_ceiling_ratio(case: Scenario, rights: float = 0.0) -> float:
-    """The part of a ceiling that one gateway can spend alone, whatever fails. Over it: never anything."""
-    even = 1 / max(1, case.gateways)
-    shared = (
-        compute_shared_ratio(case.plan, even, case.largest_request_units) if even < 1 and not rights else 0.0
+def compute_lone_ceiling_ratio(scenario: Scenario, rights: float = 0.0) -> float:
+    """The share of a hard ceiling that one gateway can spend alone, whatever fails.
+
+    `rights`: the share of the ceiling that is allocated as rights. A ceiling is never exceeded.
+    """
+    even_share = 1 / max(1, scenario.gateways)
+    shared_ratio = (
+        compute_shared_ratio(scenario.plan, even_share, scenario.largest_request_units)
+        if even_share < 1 and not rights
+        else 0.0
     )
-    return (1 - shared) * even * (1 - rights)
+    return (1 - shared_ratio) * even_share * (1 - rights)
 
 
 CHANGES: dict[str, Callable[[Scenario], Scenario]] = {
@@ -180,10 +223,10 @@
 }
 
 
-def compute_sensitivity(event: Callable[[Scenario], Bound], case: Scenario) -> dict[str, float]:
-    """By how much of itself each change moves what can be over; the lease is the module's own constant."""
-    whole = event(case).excess_units
+def compute_sensitivity(event: Callable[[Scenario], Bound], scenario: Scenario) -> dict[str, float]:
+    """The relative change of the excess under each of `CHANGES`."""
+    base = event(scenario).excess_units
     return {
-        name: round((event(change(case)).excess_units - whole) / whole, 3) if whole else 0.0
+        name: round((event(change(scenario)).excess_units - base) / base, 3) if base else 0.0
         for name, change in CHANGES.items()
     }
