--- a/tests/edges/test_resp_server.py
+++ b/tests/edges/test_resp_server.py
@@ -1,4 +1,4 @@
-"""The client side of a running gateway, over loopback sockets."""
+"""The RESP server of a running gateway, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 from roadpulley.edges.connection import FLUSHING, MAX_PENDING_COMMANDS, MAX_UNSENT_BYTES
 
 
-def array(value: bytes) -> bytes:
+def encode_reply(value: bytes) -> bytes:
     return b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(value), value)
 
 
-def failed(reply: object) -> bool:
+def is_error(reply: object) -> bool:
     return isinstance(reply, hiredis.ReplyError) and str(reply).startswith("ERR")
 
 
-def test_answers_come_in_the_order_of_the_commands() -> None:
+def test_replies_are_in_the_order_of_the_commands() -> None:
     async def scenario() -> None:
         second_served = asyncio.Event()
 
@@ -32,7 +32,7 @@
                 await second_served.wait()
             else:
                 second_served.set()
-            return array(command[2])
+            return encode_reply(command[2])
 
         async with running(World(Backend(script))) as world:
             peer = await world.client()
@@ -44,7 +44,7 @@
     in_loop(scenario)
 
 
-def test_commands_may_come_in_pieces_and_together() -> None:
+def test_commands_are_parsed_byte_by_byte_and_in_batches() -> None:
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             peer = await world.client()
@@ -60,34 +60,34 @@
     in_loop(scenario)
 
 
-def test_values_and_bodies_pass_untouched_and_backends_learn_the_time_left() -> None:
+def test_values_and_bodies_are_forwarded_unchanged_with_the_remaining_time() -> None:
     blob = bytes(range(256)) * 256  # 64 KiB, the largest
-    # Line ends inside values would show an answer or a command that is put together carelessly.
+    # The values contain CRLF, which would break replies or commands that are not framed by length.
 
     async def script(command: list[bytes]) -> Reply:
-        return array(blob)
+        return encode_reply(blob)
 
     async def scenario() -> None:
         async with running(World(Backend(script))) as world:
             peer = await world.client()
             assert await world.ask(peer, name=b"wipe", body=blob) == blob
-            verb, customer, id, listed, body = world.backends[0].got[0]
+            verb, customer, id, attributes, body = world.backends[0].got[0]
             assert (verb, customer, id, body) == (b"API.WRITE", *request()[1:3], blob)
-            before, given, after = listed.partition(b"d=")
+            before, wait_key, after = attributes.partition(b"d=")
             left, comma, rest = after.partition(b",")
-            assert before + given == b"c=wipe,t=free,d=" and rest == b"units=1,spread=1,first=0"
+            assert before + wait_key == b"c=wipe,t=free,d=" and rest == b"units=1,spread=1,first=0"
             assert 2000 < int(left) <= 3000
 
     in_loop(scenario)
 
 
-LISTED = b"c=view,t=free,d=480,units=1,spread=1,first=0"
+ATTRIBUTES = b"c=view,t=free,d=480,units=1,spread=1,first=0"
 CUSTOMER = b"00000000b4d65521"
 
 
-def changed(old: bytes, new: bytes, verb: bytes = b"API.READ") -> tuple[bytes, ...]:
-    assert old in LISTED
-    return verb, CUSTOMER, b"b", LISTED.replace(old, new)
+def replace_attribute(old: bytes, new: bytes, verb: bytes = b"API.READ") -> tuple[bytes, ...]:
+    assert old in ATTRIBUTES
+    return verb, CUSTOMER, b"b", ATTRIBUTES.replace(old, new)
 
 
 @pytest.mark.parametrize(
@@ -95,50 +95,53 @@
     [
         (b"API.READ",),
         (b"API.READ", CUSTOMER, b"b", b"nonsense"),
-        (b"API.READ", CUSTOMER, b"b", LISTED, b"body", b"more"),
-        (b"API.READ", b"a", b"b", LISTED),
-        (b"API.READ", b"0000000200000000", b"b", LISTED),  # 2^33
-        (b"API.READ", b"+0000000b4d65521", b"b", LISTED),
-        (b"API.READ", b"\xff" * 16, b"b", LISTED),
-        (b"API.READ", CUSTOMER, b"", LISTED),
-        (b"API.READ", CUSTOMER, b"a b", LISTED),
-        (b"API.READ", CUSTOMER, b"x" * 65, LISTED),
-        (b"API.WRITE", CUSTOMER, b"b", LISTED),
-        (b"API.READ", CUSTOMER, b"b", LISTED.replace(b"view", b"wipe")),
-        (b"API.WRITE", CUSTOMER, b"b", LISTED.replace(b"view", b"keyed")),  # without k
-        (b"API.READ", CUSTOMER, b"b", LISTED + b",d=3"),
-        changed(b",d=480", b""),
-        *(changed(b"480", new) for new in (b"", b"-3", b"0", b"1e3", b"1_0", b" 5")),
-        *(changed(b"480", new) for new in (b"999999999", b"nan", b"inf", b"soon")),
-        *(changed(b"view", new) for new in (b"", b"views", b"\xff")),
-        *(changed(b"free", new) for new in (b"", b"golden")),
-        *(changed(b"units=1", b"units=" + new) for new in (b"", b"0", b"-1", b"2", b"1_0", b"nan", b"x")),
-        *(changed(b"spread=1", b"spread=" + new) for new in (b"", b"0", b"2", b"-1", b"x", b"1.0")),
-        *(changed(b"first=0", b"first=" + new) for new in (b"", b"1", b"-1", b"x")),
+        (b"API.READ", CUSTOMER, b"b", ATTRIBUTES, b"body", b"more"),
+        (b"API.READ", b"a", b"b", ATTRIBUTES),
+        (b"API.READ", b"0000000200000000", b"b", ATTRIBUTES),  # 2^33
+        (b"API.READ", b"+0000000b4d65521", b"b", ATTRIBUTES),
+        (b"API.READ", b"\xff" * 16, b"b", ATTRIBUTES),
+        (b"API.READ", CUSTOMER, b"", ATTRIBUTES),
+        (b"API.READ", CUSTOMER, b"a b", ATTRIBUTES),
+        (b"API.READ", CUSTOMER, b"x" * 65, ATTRIBUTES),
+        (b"API.WRITE", CUSTOMER, b"b", ATTRIBUTES),
+        (b"API.READ", CUSTOMER, b"b", ATTRIBUTES.replace(b"view", b"wipe")),
+        (b"API.WRITE", CUSTOMER, b"b", ATTRIBUTES.replace(b"view", b"keyed")),  # without k
+        (b"API.READ", CUSTOMER, b"b", ATTRIBUTES + b",d=3"),
+        replace_attribute(b",d=480", b""),
+        *(replace_attribute(b"480", new) for new in (b"", b"-3", b"0", b"1e3", b"1_0", b" 5")),
+        *(replace_attribute(b"480", new) for new in (b"999999999", b"nan", b"inf", b"soon")),
+        *(replace_attribute(b"view", new) for new in (b"", b"views", b"\xff")),
+        *(replace_attribute(b"free", new) for new in (b"", b"golden")),
+        *(
+            replace_attribute(b"units=1", b"units=" + new)
+            for new in (b"", b"0", b"-1", b"2", b"1_0", b"nan", b"x")
+        ),
+        *(replace_attribute(b"spread=1", b"spread=" + new) for new in (b"", b"0", b"2", b"-1", b"x", b"1.0")),
+        *(replace_attribute(b"first=0", b"first=" + new) for new in (b"", b"1", b"-1", b"x")),
         (b"HELLO", b"3"),
         (b"",),
     ],
 )
-def test_a_malformed_command_fails_alone(command: tuple[bytes, ...]) -> None:
+def test_an_invalid_command_gets_an_error_and_the_next_one_succeeds(command: tuple[bytes, ...]) -> None:
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             peer = await world.client()
             peer.send(*command)
             peer.send(*request())
-            assert failed(await peer.receive())
+            assert is_error(await peer.receive())
             assert await peer.receive() == b"value"
             assert len(world.backends[0].got) == 1
 
     in_loop(scenario)
 
 
-def test_a_broken_protocol_ends_its_own_connection_only() -> None:
+def test_a_protocol_error_ends_only_its_own_connection() -> None:
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             good, bad = await world.client(), await world.client()
             bad.writer.write(encode(*request(b"early")) + b"?what\r\n" + encode(*request(b"late")))
-            assert await bad.receive() == b"value"  # what came before still gets its answer
-            assert failed(await bad.receive())
+            assert await bad.receive() == b"value"  # the earlier command still gets its reply
+            assert is_error(await bad.receive())
             assert await bad.receive() is None
             assert await world.ask(good) == b"value"
             assert [c[2] for c in world.backends[0].got] == [b"early", request()[2]]
@@ -146,7 +149,7 @@
     in_loop(scenario)
 
 
-def test_a_client_that_leaves_calls_off_what_is_out() -> None:
+def test_a_client_disconnect_cancels_its_attempt() -> None:
     async def silent(command: list[bytes]) -> Reply:
         return None
 
@@ -158,27 +161,27 @@
             await until(lambda: backend.got)
             peer.close()
             await until(lambda: backend.ended)
-            # The id is free again, so nothing of the request is left.
+            # The id is free again, so the request was removed.
             backend.script = backend.serve
             assert await world.ask(await world.client()) == b"value"
 
     in_loop(scenario)
 
 
-def test_an_id_in_use_is_not_taken_twice() -> None:
+def test_a_request_with_an_id_in_use_is_refused() -> None:
     async def scenario() -> None:
         go_on = asyncio.Event()
 
         async def script(command: list[bytes]) -> Reply:
             await go_on.wait()
-            return array(b"value")
+            return encode_reply(b"value")
 
         backend = Backend(script)
         async with running(World(backend)) as world:
             first, second = await world.client(), await world.client()
             first.send(*request())
             await until(lambda: backend.got)
-            assert failed(await world.ask(second))
+            assert is_error(await world.ask(second))
             second.close()
             go_on.set()
             assert await first.receive() == b"value"
@@ -186,8 +189,8 @@
     in_loop(scenario)
 
 
-def test_a_slow_reader_does_not_grow_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A client that asks and never reads is read no further, so that its answers stay few."""
+def test_a_client_that_does_not_read_is_not_read_either(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The server stops reading commands of a client that leaves replies unread, which bounds their memory."""
 
     async def scenario() -> None:
         with server_seen() as seen:
@@ -203,13 +206,13 @@
                     await asyncio.sleep(0)
                 held = len(connection.unsent) + sum(len(slot.reply or b"") for slot in connection.slots)
                 assert held <= MAX_UNSENT_BYTES + 2 * 66_000
-                for _ in range(written):  # once it reads, it gets all of them
+                for _ in range(written):  # when it reads again, it gets all replies
                     assert await peer.receive() == b"x" * 65536
 
     in_loop(scenario)
 
 
-def test_clients_that_leave_much_unread_together_are_given_up() -> None:
+def test_slowest_readers_are_closed_when_unread_replies_exceed_the_memory_limit() -> None:
     async def scenario() -> None:
         with server_seen() as seen:
             async with running(World(Backend(), memory_mb=5)) as world:
@@ -219,7 +222,7 @@
                 await until(lambda: len(seen[0].connections) == 40)
                 while len(seen[0].connections) > 30:
                     for peer in peers:
-                        if not peer.writer.transport.is_closing():  # that one was given up, and knows it
+                        if not peer.writer.transport.is_closing():  # the server closed that one
                             peer.send(b"PING", b"x" * 65536)
                     await asyncio.sleep(0)
                     assert seen[0].unsent_bytes <= seen[0].max_unsent_bytes + 70_000
@@ -251,7 +254,7 @@
 
 
 @pytest.mark.parametrize(
-    "said",
+    "data",
     [
         b"*",
         b"*3\r\n$8\r\nAPI",
@@ -259,22 +262,24 @@
         b"*1\r\n$65536\r\n" + b"x" * 60_000,
     ],
 )
-def test_what_is_not_whole_in_time_is_closed(monkeypatch: pytest.MonkeyPatch, said: bytes) -> None:
-    """Half a command would hold a descriptor for ever."""
+def test_an_incomplete_command_times_out(monkeypatch: pytest.MonkeyPatch, data: bytes) -> None:
+    """Without the timeout, an incomplete command would hold a descriptor for ever."""
     monkeypatch.setattr(connection, "COMMAND_TIMEOUT_MS", 500.0)
     monkeypatch.setattr(resp_server, "SWEEP_INTERVAL_MS", 10.0)
 
     async def scenario() -> None:
         async with running(World(Backend())) as world:
-            asked = await world.client()
-            assert await world.ask(asked) == b"value"
+            active = await world.client()
+            assert await world.ask(active) == b"value"
             peer = await world.client()
-            peer.writer.write(said)
-            if b"early" in said:
+            peer.writer.write(data)
+            if b"early" in data:
                 assert await peer.receive() == b"value"
-            assert failed(await peer.receive())
+            assert is_error(await peer.receive())
             assert await peer.receive() is None
-            assert await world.ask(asked, id=b"later") == b"value"  # idle between commands is no offence
+            assert (
+                await world.ask(active, id=b"later") == b"value"
+            )  # the timeout does not apply between commands
 
     in_loop(scenario)
 
@@ -298,37 +303,39 @@
         b"$" + b"1" * 50,
     ],
 )
-def test_what_can_become_no_command_is_refused_at_once(data: bytes) -> None:
-    """Not only at the end of a line that may never end, or once 60 MB have come."""
+def test_input_that_cannot_become_a_command_is_refused_at_once(data: bytes) -> None:
+    """The refusal does not wait for the end of a line, or for the announced 60 MB to arrive."""
 
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             peer = await world.client()
             peer.writer.write(data)
-            assert failed(await peer.receive())
+            assert is_error(await peer.receive())
             assert await peer.receive() is None
 
     in_loop(scenario)
 
 
-def test_silent_clients_by_hundreds_do_not_keep_others_out() -> None:
+def test_hundreds_of_unused_connections_do_not_block_new_clients() -> None:
     async def scenario() -> None:
         async with running(World(Backend(), sockets=60)) as world:
-            asked = await world.client()
-            assert await world.ask(asked) == b"value"
-            silent = [await world.client() for _ in range(100)]
+            active = await world.client()
+            assert await world.ask(active) == b"value"
+            unused = [await world.client() for _ in range(100)]
             late = await world.client()
             assert await world.ask(late, id=b"late") == b"value"
-            assert await world.ask(asked, id=b"again") == b"value"  # one that asked is not given up for them
-            for peer in silent[:50]:
+            assert (
+                await world.ask(active, id=b"again") == b"value"
+            )  # a connection that sent a request is not evicted for them
+            for peer in unused[:50]:
                 assert await peer.receive() is None
 
     in_loop(scenario)
 
 
-def test_running_out_of_descriptors_is_survived(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_accepting_resumes_after_running_out_of_descriptors(monkeypatch: pytest.MonkeyPatch) -> None:
     class Short:
-        """A listener that finds no descriptor left for a while."""
+        """A listener whose first calls of `accept` fail for lack of descriptors."""
 
         def __init__(self, listener: socket.socket) -> None:
             self.listener, self.short = listener, 3
@@ -352,13 +359,13 @@
     in_loop(scenario)
 
 
-def test_too_many_pipelined_commands_wait_unread() -> None:
+def test_pipelined_commands_beyond_the_limit_are_not_read() -> None:
     async def scenario() -> None:
         go_on = asyncio.Event()
 
         async def script(command: list[bytes]) -> Reply:
             await go_on.wait()
-            return array(command[2])
+            return encode_reply(command[2])
 
         backend = Backend(script)
         async with running(World(backend)) as world:
@@ -369,14 +376,16 @@
             await until(lambda: backend.got)
             go_on.set()
             answers = [await peer.receive() for _ in ids]
-            refused = [str(a) for a in answers if not isinstance(a, bytes)]  # the rest: each its own value
+            refused = [str(a) for a in answers if not isinstance(a, bytes)]  # all others are values
             assert all(a == id for id, a in zip(ids, answers, strict=True) if isinstance(a, bytes))
             assert answers[0] == ids[0] and all(text.startswith("BUSY") for text in refused)
 
     in_loop(scenario)
 
 
-def test_at_the_bound_an_unused_connection_makes_room(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_at_the_connection_limit_the_least_recently_used_connection_is_evicted(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(resp_server, "MIN_EVICTABLE_IDLE_MS", 0.0)
 
     async def scenario() -> None:
@@ -392,7 +401,7 @@
     in_loop(scenario)
 
 
-def test_set_up_commands_of_client_libraries() -> None:
+def test_setup_commands_of_client_libraries_are_answered_with_ok() -> None:
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             peer = await world.client()
@@ -404,8 +413,8 @@
     in_loop(scenario)
 
 
-def test_many_small_commands_in_one_read_are_all_answered() -> None:
-    """Taken by calls within calls, each round of waiting commands would deepen the stack."""
+def test_many_small_commands_in_one_read_do_not_exhaust_the_stack() -> None:
+    """If commands were handled recursively, each batch of pending commands would deepen the stack."""
 
     async def scenario() -> None:
         async with running(World(Backend())) as world:
@@ -413,34 +422,34 @@
             count = 60_000
             peer.writer.write(encode(b"") * count)
             for _ in range(count):
-                assert failed(await peer.receive())
+                assert is_error(await peer.receive())
             assert await world.ask(peer) == b"value"
 
     in_loop(scenario)
 
 
 @pytest.mark.parametrize("data", [b"*5\r\n$999999\r\n" + b"x" * 200_000, b"*4294967294\r\n$1\r\na\r\n"])
-def test_a_command_beyond_all_bounds_ends_its_connection(data: bytes) -> None:
+def test_an_oversized_command_ends_its_connection(data: bytes) -> None:
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             good, bad = await world.client(), await world.client()
             bad.writer.write(data)
-            assert failed(await bad.receive())
+            assert is_error(await bad.receive())
             assert await bad.receive() is None
             assert await world.ask(good) == b"value"
 
     in_loop(scenario)
 
 
-def test_what_follows_a_broken_protocol_does_not_pile_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The connection stays for its earlier answers, and a client may go on writing to it."""
+def test_input_after_a_protocol_error_is_not_buffered(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The connection stays open for its earlier replies, while the client may go on writing to it."""
 
     async def scenario() -> None:
         go_on = asyncio.Event()
 
         async def script(command: list[bytes]) -> Reply:
             await go_on.wait()
-            return array(b"value")
+            return encode_reply(b"value")
 
         backend = Backend(script)
         with server_seen() as seen:
@@ -454,26 +463,26 @@
                 assert connection.reader.buffered_bytes <= resp_server.READ_BUFFER_BYTES
                 go_on.set()
                 assert await peer.receive() == b"value"
-                assert failed(await peer.receive())
+                assert is_error(await peer.receive())
 
     in_loop(scenario)
 
 
-def test_a_connection_just_taken_in_has_its_first_command_answered_in_a_drain(
+def test_a_new_connection_has_its_first_command_answered_in_a_drain(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def scenario() -> None:
         with server_seen() as seen:
             async with running(World(Backend())) as world:
-                used, young, quiet = await world.client(), await world.client(), await world.client()
+                used, new, quiet = await world.client(), await world.client(), await world.client()
                 assert await world.ask(used) == b"value"
                 await until(lambda: len(seen[0].connections) == 3)
                 for connection in seen[0].without_request:
-                    connection.last_used_at = now_ms()  # however slowly this test got here
+                    connection.last_used_at = now_ms()  # the grace starts now, however slow the test is
                 seen[0].set_admission(answers_ping=True, accepts=False, keeps_idle=False)
                 assert await used.receive() is None
-                assert await world.ask(young) == b"value"
-                assert await young.receive() is None
-                assert await quiet.receive() is None  # not for ever
+                assert await world.ask(new) == b"value"
+                assert await new.receive() is None
+                assert await quiet.receive() is None  # the grace ends
 
     in_loop(scenario)
