--- a/tests/decisions/test_leases.py
+++ b/tests/decisions/test_leases.py
@@ -7,11 +7,11 @@
 from mintford.guards import LEASE_MS
 from mintford.quotas import EPOCH_MS, SLOW_START_DOUBLING_MS, WANTS_PERIOD_MS, Customer
 
-SLOW_START_MS = 8 * SLOW_START_DOUBLING_MS  # surely over by then
+SLOW_START_MS = 8 * SLOW_START_DOUBLING_MS  # the slow start is over by then
 
 
 def drain(world: World, tries: int, gap: float = 0.0, **ask: object) -> int:
-    """How many of so many tries were sent on, each answered at once."""
+    """Count how many of these tries are sent. Each is answered at once."""
     sent = 0
     for _ in range(tries):
         for send in sends(world.ask(**ask)):  # type: ignore[arg-type]
@@ -57,7 +57,7 @@
 
 
 def test_ceiling_is_split_evenly_and_starts_empty() -> None:
-    """Danger: a restarted gateway that starts with a full store spends the ceiling twice."""
+    """Guards against a restarted gateway that starts with a full store and spends the ceiling twice."""
     world = World(has_counter=False)
     assert not sends(world.ask(plan="firm"))
     world.pass_time(1000)  # half of twenty a second
@@ -92,11 +92,11 @@
 
 
 def sent(counter: Counter, world: World, **ask: object) -> list[api.Send]:
-    """What such a request brings; what is sent on is answered at once."""
-    done = sends(counter.play(world, world.ask(**ask)))  # type: ignore[arg-type]
-    for send in done:
+    """Return the attempts that a request starts. Each is answered at once."""
+    attempts = sends(counter.play(world, world.ask(**ask)))  # type: ignore[arg-type]
+    for send in attempts:
         counter.play(world, world.end(send))
-    return done
+    return attempts
 
 
 def test_request_beyond_the_bucket_is_refused_at_once_with_a_retry_after() -> None:
@@ -124,7 +124,7 @@
 
 
 def test_two_gateways_share_one_store() -> None:
-    """Danger: a burst through one gateway, paid back by time, then through the other: twice the burst."""
+    """Guards against a burst through one gateway and, after a refill, a second one through the other."""
     worlds, counter = [World(seed=n, index=n) for n in range(2)], Counter()
     for turn in range(6):
         world, through = worlds[turn % 2], 0
@@ -132,8 +132,8 @@
             other.pass_time(1000)
         for _ in range(30):
             through += len(sent(counter, world))
-        most = {0: 8, 1: 4}.get(turn, 3)  # one that is new to it takes half of a used store for there
-        assert through <= most, "two units came back in the second, and one is rounding"
+        most = {0: 8, 1: 4}.get(turn, 3)  # a gateway new to it assumes half of a used store
+        assert through <= most, "two units are refilled in the second, and one is rounding"
 
 
 def test_expired_lease_falls_back_to_the_even_share() -> None:
@@ -151,7 +151,7 @@
 
 
 def test_counter_that_lost_its_numbers_gives_no_second_burst() -> None:
-    """Danger: an empty counter looks as if all that was spent had been given back."""
+    """Guards against an empty counter that looks as if all spent units had been returned."""
     world, counter = World(), Counter()
     assert sum(len(sent(counter, world, name="order")) for _ in range(20)) == 8
     counter.numbers.clear()
@@ -164,14 +164,14 @@
     before = EPOCH_MS - worlds[0].now % EPOCH_MS - 300
     for world in worlds:
         world.pass_time(before - 1000)
-        sent(counter, world)  # both follow the store
+        sent(counter, world)  # both gateways follow the store
         world.pass_time(1000)
     while sent(counter, worlds[0]):
         pass
-    worlds[1].pass_time(600)  # the epoch has ended between
+    worlds[1].pass_time(600)  # the epoch has ended in between
     assert int(worlds[0].now // EPOCH_MS) < int(worlds[1].now // EPOCH_MS)
     through = sum(len(sent(counter, worlds[1])) for _ in range(20))
-    assert through <= 3, "what the other spent in the old epoch is spent"
+    assert through <= 3, "what the other gateway spent in the old epoch still counts"
 
 
 def test_restarted_gateway_does_not_assume_a_full_store() -> None:
@@ -196,10 +196,10 @@
     shares = [customer(world).compute_share() for world in worlds]
     assert abs(sum(shares) - 1) < 0.05 and 0.7 < shares[0] < 0.9
     assert 0.9 * 200 < sum(through) < 1.15 * 220
-    told = [
+    reports = [
         c for _, c in worlds[0].log if isinstance(c, api.AddToCounter) and c.name.startswith("w") and c.amount
     ]
-    assert len(told) <= 800 * 25 / WANTS_PERIOD_MS + 1
+    assert len(reports) <= 800 * 25 / WANTS_PERIOD_MS + 1
 
 
 def test_timed_out_report_is_not_repeated_and_a_rejected_one_is() -> None:
@@ -213,7 +213,7 @@
 
 
 def test_call_budget_shrinks_while_calls_fail_and_recovers() -> None:
-    """Danger: a crowded counter fails everybody's calls, and their number keeps it crowded."""
+    """Guards against a crowded counter that fails all calls and is kept crowded by their number."""
 
     def calls(world: World, counter: Counter) -> int:
         before = counter.calls
@@ -223,17 +223,19 @@
         return counter.calls - before
 
     world, counter = World(), Counter()
-    well = calls(world, counter)
+    usual = calls(world, counter)
     counter.fails = api.Outcome.FULL
-    assert 0 < calls(world, counter) < 0.25 * 1200, "without thinning, one a request"
+    assert 0 < calls(world, counter) < 0.25 * 1200, "without a call budget there is one a request"
     counter.fails = None
     calls(world, counter)
     calls(world, counter)
-    assert calls(world, counter) >= well * 0.8
+    assert calls(world, counter) >= usual * 0.8
 
 
 def test_simultaneous_starts_increase_counter_calls_gradually() -> None:
-    """Danger: all of them would call for each of their new customers, and fail each other's calls."""
+    """Guards against gateways that all call for each new customer at the start and fail each other's
+    calls.
+    """
     worlds, called = [World(seed=i, gateways=40, index=i) for i in range(40)], [0] * 12
     counter = Counter()
     for step in range(120):
@@ -245,11 +247,12 @@
 
 
 def test_slow_start_ends_within_seconds_if_no_call_fails() -> None:
-    """What callers saw: on a calm day of 200 gateways a fifth of the units sent on was beyond quotas.
+    """Guards against a slow start of calls that takes too long.
 
-    The slow start of calls took 30 s. Traced on calm+mass: none of 13,526 calls failed, and yet 30 were made
-    for 1,108 requests in the first second, 927 for 2,503 in the tenth and 814 for 908 in the eighteenth. Of
-    the 1,451 units that were sent on beyond the thinnest plan's quota, 1,088 had been let in unread.
+    With one of 30 s, 200 gateways under normal load spent a fifth of their units beyond the quotas. None of
+    13,526 calls failed, yet only 30 were made for 1,108 requests in the first second, 927 for 2,503 in the
+    tenth and 814 for 908 in the eighteenth. Of 1,451 units beyond the quota of the smallest plan, 1,088 were
+    admitted without a reading.
     """
     worlds, counter, called = [World(seed=i, gateways=200, index=i) for i in range(200)], Counter(), 0
     for number, world in enumerate(worlds):
@@ -261,12 +264,12 @@
 
 
 def test_report_backlog_is_sent_once_the_call_budget_allows_it() -> None:
-    """What callers saw: a sixth of the units that were let in on a reading were beyond their quota.
+    """Guards against spent units that are reported only when their customer returns to the gateway.
 
-    Traced on calm+mass with a slow start of 5 s: summed over the readings of the thinnest plan the totals
-    held 46,022 of 62,222 units, and of 483 units beyond it that were let in on a reading 397 had others'
-    units missing from it. What a gateway sent on without room for a call it told only when that customer
-    came to it again.
+    This happened to units for which the call budget had no room. A sixth of the units admitted with a reading
+    were then beyond their quota. With a slow start of 5 s, the totals read for the smallest plan contained
+    46,022 of 62,222 units, and of 483 units admitted with a reading beyond that plan's quota, 397 were
+    admitted because the reading lacked units of others.
     """
     world = World(plans=(BASIC,), gateways=200)
     world.gateway.quotas.slow_start_ratio, world.gateway.quotas.call_budget = 1.0, 0.0
@@ -274,43 +277,45 @@
         world.ask(customer="late", spread=200)
     )
     world.gateway.quotas.call_budget = 1.0
-    told = [
+    reports = [
         *counts(world.ask(customer="other", spread=200)),
         *counts(world.ask(customer="third", spread=200)),
     ]
     digests = {c.digest for name, c in world.gateway.quotas.customers.items() if name in ("early", "late")}
-    assert {call.name.partition(":")[2] for call in told if call.amount == 1.0} >= digests
+    assert {call.name.partition(":")[2] for call in reports if call.amount == 1.0} >= digests
 
 
 def test_wants_of_a_sparse_customer_are_not_reported() -> None:
-    """They would size leases that can pay for nothing: a sixth of all calls to the counter were such."""
-    for spread, told in ((200, False), (2, True)):
+    """Their leases are too small for a request. Such reports were a sixth of all calls to the counter."""
+    for spread, reported in ((200, False), (2, True)):
         world, counter, names = World(plans=(BASIC,), gateways=200), Counter(), list[str]()
         world.gateway.quotas.slow_start_ratio, world.gateway.quotas.call_budget = 1.0, 1.0
         for _ in range(40):
             calls = counts(counter.play(world, world.ask(spread=spread)))
             names += [call.name for call in calls]
             world.pass_time(200)
-        assert any(name.startswith("w") for name in names) == told, spread
+        assert any(name.startswith("w") for name in names) == reported, spread
 
 
 def test_epochs_of_customers_end_at_different_times() -> None:
-    """Danger: the calls that the end of an epoch takes would all come at once, from all gateways."""
+    """Guards against the calls at the end of an epoch coming from all gateways at once."""
     now, seconds = 7 * EPOCH_MS, 30
-    made = [Customer(f"c{n}", BASIC, 4, now, now, World().gateway.settings) for n in range(600)]
-    seen = [[c.get_epoch(now + s * 1000)[0] > c.get_epoch(now)[0] for s in range(seconds + 1)] for c in made]
-    turns = [one.index(True) for one in seen]
+    customers = [Customer(f"c{n}", BASIC, 4, now, now, World().gateway.settings) for n in range(600)]
+    has_new_epoch = [
+        [c.get_epoch(now + s * 1000)[0] > c.get_epoch(now)[0] for s in range(seconds + 1)] for c in customers
+    ]
+    turns = [one.index(True) for one in has_new_epoch]
     assert max(turns.count(s) for s in range(1, seconds + 1)) < 3 * 600 / seconds
 
 
 def test_crowded_counter_is_called_for_the_most_important_requests() -> None:
-    """Of new customers, those whose requests would surely be refused unread or are worth most come first."""
+    """Calls for requests that would be refused without a reading, or are worth most, are preferred."""
     called = {"order": 0, "view": 0}
     for seed in range(40):
         world = World(seed=seed, plans=(BASIC,), gateways=40)
         world.gateway.quotas.slow_start_ratio = 1.0
         for turn in range(40):
-            world.gateway.quotas.call_budget = 0.2  # most calls have failed
+            world.gateway.quotas.call_budget = 0.2  # as after many failed calls
             name = ("order", "view")[turn % 2]
             called[name] += any(a.amount for a in counts(world.ask(name, "basic", f"c{turn}", 30)))
             world.pass_time(100)
@@ -318,10 +323,10 @@
 
 
 def test_many_gateways_limit_a_flooding_customer_and_admit_a_calm_one() -> None:
-    """Danger: at hundreds of gateways the even share is under one request each."""
+    """Guards against even shares below one request, as at hundreds of gateways."""
     worlds, counter = [World(seed=i, gateways=120, index=i) for i in range(120)], Counter()
     for world in worlds:
-        world.pass_time(SLOW_START_MS)  # many that start at once begin slowly
+        world.pass_time(SLOW_START_MS)  # the slow start of many gateways is over
     through = {"calm": 0, "flood": 0}
 
     def play(world: World, name: str) -> None:
@@ -347,10 +352,10 @@
 
 
 def test_rest_of_an_epoch_is_not_subtracted_again_after_the_lease_expired() -> None:
-    """Danger: a lapsed lease is sized from the whole numbers, which hold that rest already."""
+    """Guards against subtracting it twice: the next lease is sized by whole totals, which contain it."""
     world, counter = World(), Counter()
     sent(counter, world)
-    customer(world).late_peer_units = 5.0  # its reading never came
+    customer(world).late_peer_units = 5.0  # the reading that would apply it is missing
     c = customer(world)
     world.gateway.quotas.refill(world.now + LEASE_MS - 100, c)
     assert c.has_reading and c.late_peer_units == 5.0
--- a/tests/decisions/test_limits.py
+++ b/tests/decisions/test_limits.py
@@ -5,8 +5,8 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parents[2]
-HOSTS = {"__init__.py", "interface.py", "reading.py", "records.py", "wirehost.py"}  # these decide nothing
-MAX_MODULE_LINES = 600  # a longer one holds two jobs
+HOSTS = {"__init__.py", "interface.py", "reading.py", "records.py", "wirehost.py"}  # they make no decisions
+MAX_MODULE_LINES = 600  # a longer module has more than one purpose
 
 
 def test_deploy_file_names_every_deciding_module_and_each_is_short() -> None:
--- a/tests/decisions/test_loop_lag.py
+++ b/tests/decisions/test_loop_lag.py
@@ -1,4 +1,4 @@
-"""The gateway's own lag: who is turned away at the door, and who is not blamed for it."""
+"""Lag of the gateway's own loop: early refusals, and backends that are not blamed for it."""
 
 from __future__ import annotations
 
@@ -13,49 +13,53 @@
 from mintford.shedding import MAX_SHED_LEVEL, TARGET_LAG_MS
 
 
-def lagged(world: World, lag: float, looks: int) -> None:
-    for _ in range(looks):
+def measure_lag(world: World, lag: float, count: int) -> None:
+    for _ in range(count):
         world.give(api.LoopLagMeasured(lag))
         world.now += 20
 
 
-def let_in(world: World, name: str, of: int = 400) -> float:
+def admitted_ratio(world: World, name: str, of: int = 400) -> float:
     return sum(world.gateway.get_early_refusal(name) is None for _ in range(of)) / of
 
 
 def test_no_request_is_refused_early_without_lag() -> None:
     world = World()
-    lagged(world, TARGET_LAG_MS * 0.8, 500)
-    assert world.gateway.shed_level == 0 and let_in(world, SAFE.name) == 1.0
+    measure_lag(world, TARGET_LAG_MS * 0.8, 500)
+    assert world.gateway.shed_level == 0 and admitted_ratio(world, SAFE.name) == 1.0
 
 
 def test_least_important_classes_are_refused_first_with_a_retry_after() -> None:
     world = World()
     while world.gateway.shed_level < 0.55:
-        lagged(world, TARGET_LAG_MS * 2, 1)
-    shares = [let_in(world, kind.name) for kind in (SAFE, UNSAFE, KEYED)]  # worth 1, 2, 4
+        measure_lag(world, TARGET_LAG_MS * 2, 1)
+    shares = [admitted_ratio(world, kind.name) for kind in (SAFE, UNSAFE, KEYED)]  # worth 1, 2, 4
     assert shares[0] < 0.6 and shares == sorted(shares) and shares[2] > shares[0] + 0.2
-    lagged(world, 200.0, 60)
-    assert world.gateway.get_early_refusal(SAFE.name) == 400.0  # a part of its aim, within what clients heed
-    assert let_in(world, KEYED.name) > 0  # never all: else nothing would show that the strain is over
+    measure_lag(world, 200.0, 60)
+    assert (
+        world.gateway.get_early_refusal(SAFE.name) == 400.0
+    )  # a part of its latency target, below the longest retry-after
+    assert (
+        admitted_ratio(world, KEYED.name) > 0
+    )  # some are admitted, or the end of the overload would go unnoticed
 
 
 def test_unknown_class_is_not_refused_early() -> None:
     world = World()
-    lagged(world, 200.0, 100)
+    measure_lag(world, 200.0, 100)
     assert world.gateway.get_early_refusal("nothing") is None
 
 
 def test_shed_level_falls_gradually_after_the_lag_ends() -> None:
     world = World()
-    lagged(world, 200.0, 100)
+    measure_lag(world, 200.0, 100)
     assert world.gateway.shed_level == MAX_SHED_LEVEL
     levels = []
     for _ in range(200):
-        lagged(world, 0.0, 1)
+        measure_lag(world, 0.0, 1)
         levels.append(world.gateway.shed_level)
-    assert levels[-1] == 0.0 and let_in(world, SAFE.name) == 1.0
-    late = levels[20:]  # once the lag itself has faded
+    assert levels[-1] == 0.0 and admitted_ratio(world, SAFE.name) == 1.0
+    late = levels[20:]  # after the smoothed lag has decayed
     assert all(a >= b for a, b in zip(late, late[1:], strict=False)) and late[0] > 0.3
 
 
@@ -63,21 +67,21 @@
 def test_shed_level_stays_in_its_bounds(lags: list[float]) -> None:
     world = World()
     for lag in lags:
-        lagged(world, lag, 1)
+        measure_lag(world, lag, 1)
         assert 0 <= world.gateway.shed_level <= MAX_SHED_LEVEL
 
 
-@pytest.mark.parametrize(("lag", "called_off"), [(0.0, True), (400.0, False)])
-def test_attempt_whose_answer_is_delayed_by_own_lag_is_not_cancelled(lag: float, called_off: bool) -> None:
+@pytest.mark.parametrize(("lag", "is_cancelled"), [(0.0, True), (400.0, False)])
+def test_attempt_whose_answer_is_delayed_by_own_lag_is_not_cancelled(lag: float, is_cancelled: bool) -> None:
     world = World([entry(n) for n in range(1, 4)], gateways=1)
     for number in range(30):
         (send,) = sends(world.ask(plan="none", customer=f"c{number}"))
         world.pass_time(20)
         world.end(send)
-    lagged(world, lag, 30)
+    measure_lag(world, lag, 30)
     assert sends(world.ask(plan="none", customer="late"))
     actions = world.pass_time(500)
-    assert any(isinstance(a, api.Cancel) for a in actions) == called_off
+    assert any(isinstance(a, api.Cancel) for a in actions) == is_cancelled
 
 
 def test_own_lag_does_not_mark_a_backend_slow() -> None:
@@ -88,7 +92,7 @@
             (send,) = sends(world.ask(plan="none", customer=f"c{number}"))
             world.now += 20
             world.end(send)
-        lagged(world, lag, 40)
+        measure_lag(world, lag, 40)
         (send,) = sends(world.ask(plan="none", customer="late"))
         world.now += 320
         world.end(send)
@@ -98,9 +102,11 @@
 
 @pytest.mark.parametrize("seed", range(5))
 def test_gateway_with_few_answers_does_not_mistake_chance_for_overload(seed: int) -> None:
-    """Twelve requests a second by chance, each answered in 300 ms: nothing is too late at an aim of 1 s."""
+    """Twelve random requests a second, each answered in 300 ms, are in time for a latency target of 1 s."""
     chance = random.Random(seed)
-    world = World([entry(n) for n in range(12)], seed, gateways=8, plans=())  # 4.5 are always allowed out
+    world = World(
+        [entry(n) for n in range(12)], seed, gateways=8, plans=()
+    )  # 4.5 attempts are always allowed
     out: list[tuple[float, api.Send]] = []
     refused = asked = 0
     due = world.now
--- a/tests/decisions/test_operator_orders.py
+++ b/tests/decisions/test_operator_orders.py
@@ -1,4 +1,4 @@
-"""What the module does with operators' orders: whom it refuses, whom it lets pay, where it does not send."""
+"""Orders of operators: blocked customers, shed classes, limits that need rights, and excluded backends."""
 
 from __future__ import annotations
 
@@ -33,15 +33,15 @@
     assert (asked.plan, set(asked.limits)) == ("", {"views", "basics", "basics open"})
     assert len(sends(world.give(api.RightsDecided(asked.request, True)))) == 1
     assert world.give(api.RightsDecided(asked.request, True)) == []
-    assert sends(world.ask("order", plan="bonus", customer="d"))  # under none
+    assert sends(world.ask("order", plan="bonus", customer="d"))  # no limit applies to it
 
 
-@pytest.mark.parametrize("answer", ["none", "silence"])
+@pytest.mark.parametrize("answer", ["denied", "no answer"])
 def test_request_without_rights_to_its_limits_is_refused_once(answer: str) -> None:
     world = World(has_counter=False)
     ordered(world, LIMITS)
     (asked,) = spends(world.ask())
-    if answer == "none":
+    if answer == "denied":
         actions = world.give(api.RightsDecided(asked.request, False))
     else:
         actions = world.pass_time(2 * world.gateway.settings.counter_timeout + 10)
@@ -57,7 +57,9 @@
     assert (asked.plan, asked.customer, asked.limits) == ("firm", "c", ("views",))
     own = world.gateway.quotas.customers["c"].ceiling.own_tokens
     assert sends(world.give(api.RightsDecided(asked.request, True)))
-    assert world.gateway.quotas.customers["c"].ceiling.own_tokens == own  # the right paid, not the even part
+    assert (
+        world.gateway.quotas.customers["c"].ceiling.own_tokens == own
+    )  # paid by the right, not by the even part
 
 
 def test_request_denied_by_one_pool_goes_to_another() -> None:
@@ -84,7 +86,7 @@
 
 
 def test_further_attempt_never_goes_to_a_pool_with_a_limit() -> None:
-    """It would be one more than the limit was asked for."""
+    """It would exceed the one request that rights were spent for."""
     world = World([zoned(1, "a"), zoned(2, "a"), zoned(3, "b")], has_counter=False)
     sent = next(s for _ in range(40) for s in sends(world.ask()) if s.backend != 3)
     ordered(world, POOL)
@@ -111,4 +113,7 @@
     assert {s.backend for _ in range(40) for s in sends(world.ask())} == {2}
     assert world.end(out) == []
     ordered(world, {}, excluded_backends=frozenset({1, 2}))
-    assert {s.backend for _ in range(40) for s in sends(world.ask(customer="d"))} == {1, 2}  # all is as none
+    assert {s.backend for _ in range(40) for s in sends(world.ask(customer="d"))} == {
+        1,
+        2,
+    }  # excluding all has no effect
--- a/tests/decisions/test_plan_changes.py
+++ b/tests/decisions/test_plan_changes.py
@@ -1,4 +1,4 @@
-"""Plans that change in service: what is let out beside an exact store that follows the stated rule."""
+"""Plans that change in service, compared with an exact store that follows the stated rule."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def served(world: World, counter: Counter, times: int, **given: object) -> int:
-    """How many of so many requests at once are sent on; each is answered at once."""
+    """Count how many of these simultaneous requests are sent. Each is answered at once."""
     sent = 0
     for _ in range(times):
         for action in counter.play(world, world.ask(**given)):  # type: ignore[arg-type]
@@ -31,7 +31,7 @@
 
 
 def alone(plan: api.Plan = SMALL) -> World:
-    return World(MANY, plans=(plan,), gateways=1, classes=(SAFE,))  # nothing is kept for others
+    return World(MANY, plans=(plan,), gateways=1, classes=(SAFE,))  # nothing is reserved for other classes
 
 
 def store(gateway: Gateway) -> float:
@@ -42,7 +42,7 @@
     world, counter = alone(), Counter()
     assert served(world, counter, 20, spread=1) == 8
     world.give(api.PlanChanged(LARGE))
-    assert served(world, counter, 60, spread=1) == 32  # 40, of which 8 are owed
+    assert served(world, counter, 60, spread=1) == 32  # a burst of 40 with a debt of 8
     world.pass_time(1_000.0)
     assert served(world, counter, 60, spread=1) == 10
 
@@ -51,7 +51,7 @@
     world, counter = alone(LARGE), Counter()
     assert served(world, counter, 20, spread=1) == 20
     world.give(api.PlanChanged(SMALL))
-    assert served(world, counter, 20, spread=1) == 0  # 20 owed, 8 may be
+    assert served(world, counter, 20, spread=1) == 0  # the debt is 20, the burst 8
     world.pass_time(5_900.0)
     assert served(world, counter, 20, spread=1) == 0
     world.pass_time(1_200.0)
@@ -93,7 +93,7 @@
 @given(steps=STEPS)
 @settings(max_examples=150, deadline=None)
 def test_single_gateway_matches_an_exact_store_of_debts(steps: list[tuple[str, object]]) -> None:
-    """Whatever the order: all that the rule gives and no unit more, a free plan's use apart."""
+    """In any order it sends all units that the rule allows and no more, apart from use under a free plan."""
     world, counter, plan, owed = alone(), Counter(), SMALL, 0.0
     for what, given_ in steps:
         if what == "plan":
@@ -126,12 +126,12 @@
 def test_ceiling_that_changes_at_different_times_is_never_overdrawn(
     changes: list[tuple[str, int, int]], size: int, seed: int
 ) -> None:
-    """The gateways hear up to a second apart. The exact store has the larger terms meanwhile."""
+    """The gateways apply a change up to a second apart. The exact store has the larger terms in between."""
     world, rate = Installation(size, seed), 10.0
     most = 40.0
 
     def flood(ms: float) -> None:
-        """Below nothing only by what was owed when the ceiling came down; nothing goes out meanwhile."""
+        """The store is negative only by the debt when the ceiling was lowered, and then nothing is sent."""
         least = min(0.0, world.level) - 1e-6
         for _ in range(int(ms // 100) + 1):
             for n in range(size):
@@ -171,7 +171,7 @@
     old.refill(0.0)
     old.estimate_shared_tokens(0.0, 0.0, 0.0)
     old.take(3.0, False)
-    old.own_tokens -= old.own_tokens  # the rest of its own part, so that the next comes from the shared one
+    old.own_tokens -= old.own_tokens  # empty the own part, so that the next units come from the shared part
     old.take(2.0, True)
     wide.carry_over_debt(old)
     assert wide.own_burst - wide.own_tokens == pytest.approx(old.own_burst - old.own_tokens)
--- a/tests/decisions/test_repeat_deadlines.py
+++ b/tests/decisions/test_repeat_deadlines.py
@@ -1,4 +1,4 @@
-"""Until when a repeat may go out is told with it: it may wait for its connection past its window."""
+"""A repeat carries the deadline to start it, because it may wait for a connection beyond its window."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 FIRST, OTHER = entry(1), entry(2)
 
 
-def again(kind: api.RequestClass, outcome: api.Outcome) -> api.Send | None:
+def repeat(kind: api.RequestClass, outcome: api.Outcome) -> api.Send | None:
     world = World((entry(1), entry(2), entry(3)), classes=(kind,), rules=RULES, has_counter=False)
     (first,) = sends(world.ask(kind.name))
     assert (first.attempt, first.latest_start) == (0, math.inf)
-    began = world.now
+    started_at = world.now
     world.pass_time(100)
     found = sends(world.end(first, outcome, finished=False))
-    assert began == world.now - 100
+    assert started_at == world.now - 100
     return found[0] if found else None
 
 
 def test_repeat_of_a_keyed_request_carries_the_end_of_its_window() -> None:
-    second = again(KEYED, api.Outcome.RESET)
+    second = repeat(KEYED, api.Outcome.RESET)
     assert second is not None and second.attempt == 1
     assert second.latest_start == 10_000 + KEYED.repeat_window - EXPIRY_MARGIN_MS
 
@@ -35,13 +35,13 @@
 def test_request_that_did_not_run_is_repeated_without_a_window(
     kind: api.RequestClass, outcome: api.Outcome
 ) -> None:
-    second = again(kind, outcome)
+    second = repeat(kind, outcome)
     assert second is not None and second.latest_start == math.inf
 
 
 @pytest.mark.parametrize("outcome", [api.Outcome.RESET, api.Outcome.FAILED, api.Outcome.TIMED_OUT])
 def test_unsafe_request_that_may_have_run_is_never_repeated(outcome: api.Outcome) -> None:
-    assert again(UNSAFE, outcome) is None
+    assert repeat(UNSAFE, outcome) is None
 
 
 @pytest.mark.parametrize("window", [0.0, 40.0, 60.0, 500.0])
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -1,4 +1,4 @@
-"""A client's further tries join the chances of its first, and units go to those worth most."""
+"""Further tries of a client are judged by its first try, and units go to the most important requests."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from mintford.reading import read_worst_class
 from mintford.shedding import MAX_RESERVED_BURST_RATIO
 
-MANY = [entry(n) for n in range(40)]  # so that quotas alone refuse
+MANY = [entry(n) for n in range(40)]  # so many that only quotas refuse
 
 
 def ask(world: World, life: float, repeat: bool, customer: str = "c") -> list[api.Action]:
-    """A request of the class worth most, so that no units are kept for another."""
+    """Send a request of the most important class, so that no units are reserved for another class."""
     world.serial += 1
     event = api.RequestArrived(
         f"r{world.serial}", KEYED.name, "basic", customer, world.now + life, 1.0, 2, 0, repeat
@@ -28,11 +28,11 @@
     assert attempts.estimate_elapsed(kind, 1800, True) == 0, "no first try is known yet"
     assert attempts.estimate_elapsed(kind, 1800, False) == 0
     assert attempts.estimate_elapsed(kind, 1800 - MAX_TRANSIT_DIFFERENCE_MS + 1, True) == 0, (
-        "as long as a first one: it does not tell"
+        "as long as a first try, so nothing can be concluded"
     )
     assert attempts.estimate_elapsed(kind, 1000, True) == 2000, "the rest of the deadline"
-    assert attempts.estimate_elapsed(kind, 2500, True) == 500, "a last try is given all that is left"
-    assert attempts.estimate_elapsed(kind, 1000, False) == 0, "a client of little patience"
+    assert attempts.estimate_elapsed(kind, 2500, True) == 500, "a last try gets the rest of the deadline"
+    assert attempts.estimate_elapsed(kind, 1000, False) == 0, "a client that waits only a short time"
     other = World().gateway.classes["order"]
     assert attempts.estimate_elapsed(other, 900, True) == 0, "by class"
 
@@ -43,7 +43,7 @@
     assert sends(ask(world, 2000, False))
     c = world.gateway.quotas.customers["c"]
     c.store = LOW_STORE_RATIO * c.plan.burst - 1
-    late = ask(world, 1500, True)  # 1.5 s after its first try began; the aim was 1 s
+    late = ask(world, 1500, True)  # 1.5 s after its first try, with a latency target of 1 s
     assert refusals(late) and not sends(late)
     assert sends(ask(world, 2600, True)), "a retry that can be in time gets the unit"
 
@@ -56,7 +56,7 @@
 
 def test_late_try_is_refused_while_the_backends_are_busy() -> None:
     world = World()
-    for n in range(4):  # out, with nothing answered: nearly what three backends always may hold
+    for n in range(4):  # open and unanswered: almost the free attempts of three backends
         assert sends(ask(world, 2000, False, customer=f"c{n}"))
     late = ask(world, 1500, True, customer="idle")
     assert refusals(late) and not sends(late)
@@ -66,22 +66,22 @@
 def test_less_important_class_leaves_units_to_more_important_ones(
     goal: dict[str, float], part: float
 ) -> None:
-    """The safe class is worth a quarter of the keyed one: it leaves three quarters of what is kept.
+    """The safe class is worth a quarter of the keyed one and leaves three quarters of the reserved units.
 
-    Where the class that fares worst counts by itself, less is kept from it.
+    Less is reserved where the class with the worst result counts on its own.
     """
     world, counter = (
         World(MANY, capabilities=api.Capabilities(worst_class_weight=read_worst_class(goal))),
         Counter(),
     )
     world.pass_time(10_000)
-    kept = part * MAX_RESERVED_BURST_RATIO * (1 - SAFE.importance / KEYED.importance) * BASIC.burst
+    reserved = part * MAX_RESERVED_BURST_RATIO * (1 - SAFE.importance / KEYED.importance) * BASIC.burst
 
     def through(name: str) -> int:
         return sum(len(sends(counter.play(world, world.ask(name, spread=1)))) for _ in range(40))
 
     through(SAFE.name)
     c = world.gateway.quotas.customers["c"]
-    assert c.is_store_known() and kept <= c.store < kept + 1
-    left = int(c.store)
-    assert left >= 1 and through(KEYED.name) == left
+    assert c.is_store_known() and reserved <= c.store < reserved + 1
+    remaining = int(c.store)
+    assert remaining >= 1 and through(KEYED.name) == remaining
--- a/tests/decisions/test_rules_hold.py
+++ b/tests/decisions/test_rules_hold.py
@@ -14,7 +14,7 @@
 from mintford import interface as api
 from mintford.ceilings import MAX_SHARED_RATIO
 
-NEVER_RAN = {api.Outcome.FULL, api.Outcome.CONNECT, api.Outcome.IGNORED}
+NOT_RUN_OUTCOMES = {api.Outcome.FULL, api.Outcome.CONNECT, api.Outcome.IGNORED}
 OUTCOMES = list(api.Outcome)
 STEPS = st.lists(
     st.tuples(st.sampled_from("rrrrroootlcx"), st.integers(0, 7), st.integers(0, 400)),
@@ -23,8 +23,8 @@
 )
 
 
-class Referee:
-    """Keeps the rules' books from outside while a random history is played."""
+class RuleChecker:
+    """Checks the rules from outside while a random history is played."""
 
     def __init__(self, seed: int, may_duplicate: bool, started: bool) -> None:
         self.world = World([entry(i, cell=i % 2) for i in range(5)], seed=seed, may_duplicate=may_duplicate)
@@ -34,7 +34,7 @@
         self.sent: dict[str, list[tuple[int, float, api.Outcome | None]]] = {}
         self.calls: list[api.AddToCounter] = []
         self.states = {i: api.BackendState.READY for i in range(5)}
-        self.told_at = {i: -1e9 for i in range(5)}
+        self.drained_at = {i: -1e9 for i in range(5)}
         self.ceiling, self.ceiling_at = MAX_SHARED_RATIO * 40, self.world.now
         if started:
             self.step("t", 0, 400)
@@ -48,14 +48,14 @@
                 assert action.request not in self.final and now <= expires
                 assert len(tries) < 3
                 assert self.may_duplicate or all(o is not None for _, _, o in tries)
-                ran = [(b, t) for b, t, o in tries if o not in NEVER_RAN]
+                ran = [(b, t) for b, t, o in tries if o not in NOT_RUN_OUTCOMES]
                 assert name != "wipe" or not ran
                 if name == "order":
                     assert all(b % 2 == action.backend % 2 and now - t <= KEYED.repeat_window for b, t in ran)
                 ready = self.states[action.backend] is api.BackendState.READY
-                assert ready or now - self.told_at[action.backend] <= 1000
+                assert ready or now - self.drained_at[action.backend] <= 1000
                 if not tries:
-                    # Its even part of what is split, which starts empty, and all of what is shared.
+                    # The even part of the split ceiling, which starts empty, and the whole shared part.
                     part = MAX_SHARED_RATIO + (1 - MAX_SHARED_RATIO) / 2
                     more = (now - self.ceiling_at) / 1000 * 20 * part
                     self.ceiling = min(40 * part, self.ceiling + more) - 1
@@ -66,7 +66,7 @@
                 assert action.request not in self.final
                 name, expires = self.asked[action.request]
                 assert now <= expires + 8
-                ran = [b for b, _, o in self.sent.get(action.request, []) if o not in NEVER_RAN]
+                ran = [b for b, _, o in self.sent.get(action.request, []) if o not in NOT_RUN_OUTCOMES]
                 assert isinstance(action, api.Fail) or name == "view" or not ran
                 self.final.add(action.request)
             elif isinstance(action, api.Cancel):
@@ -99,7 +99,7 @@
             state = (api.BackendState.READY, api.BackendState.DRAINING, api.BackendState.GONE)[which % 3]
             backend = amount % 5
             if self.states[backend] is api.BackendState.READY:
-                self.told_at[backend] = world.now
+                self.drained_at[backend] = world.now
             self.states[backend] = state
             started = world.now - 100 if which > 4 else 0.0
             self.check(
@@ -125,12 +125,12 @@
 def test_five_rules_hold_for_random_histories(
     steps: list[tuple[str, int, int]], seed: int, double: bool, started: bool
 ) -> None:
-    referee = Referee(seed, double, started)
+    checker = RuleChecker(seed, double, started)
     for step in steps:
-        referee.step(*step)
-    referee.pass_time(4000)
-    assert set(referee.asked) == referee.final, "every request has its one final answer"
-    assert not referee.world.gateway.attempts.requests
+        checker.step(*step)
+    checker.pass_time(4000)
+    assert set(checker.asked) == checker.final, "every request has its one final answer"
+    assert not checker.world.gateway.attempts.requests
 
 
 def history(seed: int) -> list[tuple[float, api.Action]]:
--- a/tests/decisions/test_settlement.py
+++ b/tests/decisions/test_settlement.py
@@ -1,4 +1,4 @@
-"""Settlement against an exact ledger, in virtual time: many gateways, one counter, answers in any order."""
+"""Settlement compared with an exact ledger, in virtual time, with many gateways and answers in any order."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from mintford import interface as api
 from mintford.quotas import Customer
 
-MOST = 8.0
+MAX_UNITS = 8.0
 PLAN = api.Plan("firm", rate=20, burst=60, overage_cost=1, ceiling_rate=60, ceiling_burst=400)
 
 
 @dataclass
 class Installation:
-    """Gateways before one counter, and beside them what each has really charged and settled."""
+    """Gateways, one counter, and a ledger of the units that each gateway has really charged and settled."""
 
     size: int
     seed: int
@@ -32,10 +32,10 @@
         terms = dict(
             plans=(PLAN,),
             capabilities=api.Capabilities(settles_units=True),
-            max_request_units=MOST,
+            max_request_units=MAX_UNITS,
             gateways=self.size,
         )
-        many = [entry(n) for n in range(80)]  # so that quotas alone refuse
+        many = [entry(n) for n in range(80)]  # so many that only quotas refuse
         self.worlds = [World(many, seed=self.seed + n, index=n, **terms) for n in range(self.size)]
 
     def ask(self, place: int, name: str, units: float) -> None:
@@ -45,7 +45,8 @@
         event = api.RequestArrived(request, name, "firm", "c", world.now + 3000, units, self.size, 0)
         before = self.charged(place)
         for send in sends(self.counter.play(world, world.give(event))):
-            # Nothing is beyond quota here, as that earns nothing: what was sent on was charged for its guess.
+            # Requests beyond the quota earn nothing and are not sent, so each sent one was charged its
+            # estimate.
             assert abs(self.charged(place) - before - units) < 1e-6
             self.ledger += units
             self.out.append((world, send, units))
@@ -55,7 +56,7 @@
         place = self.worlds.index(world)
         before = self.charged(place)
         if outcome is api.Outcome.OK and cost > 0:
-            self.ledger += min(cost, MOST) - guess
+            self.ledger += min(cost, MAX_UNITS) - guess
         attempt = world.gateway.attempts.in_flight.get((send.request, 0)) and 0
         event = api.AttemptEnded(send.request, attempt or 0, send.backend, outcome, 20.0, True, cost)
         self.counter.play(world, world.give(event))
@@ -64,7 +65,7 @@
         assert self.charged(place) == before + settled
 
     def charged(self, place: int) -> float:
-        """Units that this gateway has charged: those that it has added, and those that it has yet to add."""
+        """Return the units that this gateway has charged, both reported and unreported ones."""
         c = self.worlds[place].gateway.quotas.customers.get("c")
         calls = (a for _, a in self.worlds[place].log if isinstance(a, api.AddToCounter))
         return sum(a.amount for a in calls if a.name.startswith("s")) + (c.unreported_units if c else 0.0)
@@ -97,7 +98,7 @@
     seed: int,
     steps: list[tuple],  # type: ignore[type-arg]
 ) -> None:
-    """Answers after the end, after the lease moved, twice, never, of nothing or of fifty times the guess."""
+    """Answers come late, after a lease changed, twice or never, with no units or fifty times the estimate."""
     site = Installation(size, seed)
     for step in steps:
         if step[0] == "ask":
@@ -111,7 +112,7 @@
 
 
 def run(size: int, seed: int, seconds: int, asked: float) -> tuple[float, float, list[float]]:
-    """A busy customer: units sent on beyond the true store, units sent on, and gateways' errors of it."""
+    """Play a busy customer. Return its units beyond the true store, all its units, and the store's errors."""
     site, store = Installation(size, seed), PLAN.burst
     beyond, errors, rng = 0.0, [], random.Random(seed)
     charged: dict[str, bool] = {}
@@ -128,7 +129,7 @@
                 charged[site.out[-1][1].request] = inside
         while site.out and rng.random() < 0.3:
             _, send, guess = site.out[0]
-            cost = min(MOST, max(1.0, float(round(guess * rng.uniform(0.4, 1.6)))))
+            cost = min(MAX_UNITS, max(1.0, float(round(guess * rng.uniform(0.4, 1.6)))))
             store -= cost - guess if charged[send.request] else 0.0
             site.end(0, api.Outcome.OK, cost)
         now = site.worlds[0].now
@@ -144,13 +145,13 @@
 
 
 def test_gateways_follow_the_true_store_within_the_stated_error() -> None:
-    """The stated error: two of the largest requests, for nine readings in ten that are under 0.5 s old."""
+    """The error is below two of the largest requests for nine in ten readings that are under 0.5 s old."""
     for seed, size in ((1, 2), (2, 3), (3, 4)):
         beyond, total, errors = run(size, seed, 60, asked=40.0)  # twice the quota
         errors.sort()
         assert total > 0.85 * (60 * PLAN.rate), "nearly all of the quota is given out"
         assert beyond < 0.06 * total, (seed, beyond, total)
-        assert errors[len(errors) // 20] > -2 * MOST and errors[-len(errors) // 20] < 2 * MOST
+        assert errors[len(errors) // 20] > -2 * MAX_UNITS and errors[-len(errors) // 20] < 2 * MAX_UNITS
 
 
 def test_settlement_may_make_the_store_negative_and_the_refill_restores_it() -> None:
@@ -166,7 +167,7 @@
     site.pass_time(20_000)
     site.ask(0, KEYED.name, 1.0)
     site.ask(0, KEYED.name, 1.0)
-    assert site.ledger == 480, "twenty seconds pay back 400 units, not 420"
+    assert site.ledger == 480, "twenty seconds refill 400 units, not 420"
     site.pass_time(2_000)
     site.ask(0, KEYED.name, 1.0)
     assert site.ledger == 481
@@ -185,11 +186,13 @@
 def test_try_beyond_the_quota_is_neither_charged_nor_settled() -> None:
     free = api.Plan("bonus", rate=1, burst=2, overage_earnings=0.5)
     world, counter = (
-        World(plans=(free,), capabilities=api.Capabilities(settles_units=True), max_request_units=MOST),
+        World(plans=(free,), capabilities=api.Capabilities(settles_units=True), max_request_units=MAX_UNITS),
         Counter(),
     )
     for _ in range(6):
         for send in sends(counter.play(world, world.ask(plan="bonus"))):
             world.give(api.AttemptEnded(send.request, 0, send.backend, api.Outcome.OK, 20.0, True, 5.0))
     c = world.gateway.quotas.customers["c"]
-    assert counter.spent("c") + c.unreported_units == 5.0, "only the first was inside, and is settled"
+    assert counter.spent("c") + c.unreported_units == 5.0, (
+        "only the first is within the quota, and is settled"
+    )
--- a/tests/decisions/test_subsets.py
+++ b/tests/decisions/test_subsets.py
@@ -1,4 +1,4 @@
-"""The backends that each gateway of a large fleet uses: few, evenly covered, of every zone."""
+"""Subsets of backends in a large fleet: small, evenly covering, and with a part of every zone."""
 
 from __future__ import annotations
 
@@ -33,18 +33,19 @@
     chosen = [subset(n, gateways, listed) for n in range(gateways)]
     covered = Counter(e.backend for one in chosen for e in one)
     assert set(covered) == {e.backend for e in listed}
-    assert max(covered.values()) - min(covered.values()) <= 1  # the last round may be a part of one
+    assert max(covered.values()) - min(covered.values()) <= 1  # the last round may be incomplete
     assert max(map(len, chosen)) - min(map(len, chosen)) <= 1
     wanted = max(MIN_SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * len(listed) / gateways)
-    assert max(map(len, chosen)) <= 1.5 * wanted + 1 < len(listed), "few of them"
+    assert max(map(len, chosen)) <= 1.5 * wanted + 1 < len(listed), "a small part of the backends"
 
 
 @pytest.mark.parametrize("gateways", [20, 200])
 def test_subset_grows_little_with_sixteen_times_the_backends(gateways: int) -> None:
-    """STANDING bounds what a gateway needs with 3,200 backends in place of 200: descriptors twice and 40.
+    """With 3,200 backends instead of 200, a gateway may use at most twice the descriptors plus 40.
 
-    Each backend that is used holds a connection. The subset grows with backends over gateways: a process told
-    of 20 gateways held 209 descriptors before 200 backends and 1,512 before 3,200, told of 200 58 and 262.
+    STANDING states this bound. Each used backend holds a connection, and the subset grows with the backends
+    per gateway. A process in a fleet of 20 gateways held 209 descriptors with 200 backends and 1,512 with
+    3,200. In a fleet of 200 gateways it held 58 and 262.
     """
     usual, many = (len(subset(0, gateways, entries({"a": count}))) for count in (200, 3_200))
     assert many <= 2 * usual + 40
@@ -65,17 +66,19 @@
 
 
 def test_failures_of_one_class_count_for_classes_without_recent_answers() -> None:
-    """Danger: each class and plan of a gateway with few requests would find out by itself."""
+    """Guards against each class and plan of a gateway with few requests having to fail by itself first."""
     world = World(plans=())
     marks = "all", "class view", "plan none"
     b = world.gateway.fleet.backends[1]
     for _ in range(3):
         world.gateway.fleet.record_outcome(world.now, b, marks, api.Outcome.FULL, 1.0, 500.0)
-    unmet = "all", "class order", "plan other"
-    assert world.gateway.fleet.estimate_failure_ratio(world.now, b, unmet) > 0.5
+    other_marks = "all", "class order", "plan other"
+    assert world.gateway.fleet.estimate_failure_ratio(world.now, b, other_marks) > 0.5
     for _ in range(9):
-        world.gateway.fleet.record_outcome(world.now, b, unmet, api.Outcome.OK, 50.0, 500.0)
+        world.gateway.fleet.record_outcome(world.now, b, other_marks, api.Outcome.OK, 50.0, 500.0)
         world.gateway.fleet.record_outcome(world.now, b, marks, api.Outcome.FULL, 1.0, 500.0)
     world.now += 100
-    assert world.gateway.fleet.estimate_failure_ratio(world.now, b, unmet) < 0.1, "it was met, and is served"
+    assert world.gateway.fleet.estimate_failure_ratio(world.now, b, other_marks) < 0.1, (
+        "the other class has recent answers"
+    )
     assert world.gateway.fleet.estimate_failure_ratio(world.now, b, marks) > 0.5
--- a/tests/decisions/test_wirehost.py
+++ b/tests/decisions/test_wirehost.py
@@ -96,9 +96,9 @@
     line: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     code, replies = play(line)
-    said = capsys.readouterr()
+    printed = capsys.readouterr()
     assert code != 0 and replies == []
-    assert said.err.count("\n") == 1 and said.err.startswith("mintford.wirehost: bad input: ")
+    assert printed.err.count("\n") == 1 and printed.err.startswith("mintford.wirehost: bad input: ")
 
 
 def test_adapter_runs_as_a_command() -> None:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A small bench-free world for one gateway: settings, a clock and the answers it asks for."""
+"""A small world for one gateway without a simulator: settings, a clock, backends and a counter."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 class World:
-    """Feeds events to one gateway and remembers its actions, each with the time it came."""
+    """Feeds events to one gateway and records its actions with their times."""
 
     def __init__(self, entries: Iterable[api.BackendEntry] = (), seed: int = 1, **changes: object) -> None:
         self.gateway = Gateway(settings(**changes), seed)
@@ -92,11 +92,11 @@
         attempt: int = 0,
         finished: bool | None = None,
     ) -> list[api.Action]:
-        done = outcome is api.Outcome.OK if finished is None else finished
-        return self.give(api.AttemptEnded(send.request, attempt, send.backend, outcome, 1.0, done))
+        is_finished = outcome is api.Outcome.OK if finished is None else finished
+        return self.give(api.AttemptEnded(send.request, attempt, send.backend, outcome, 1.0, is_finished))
 
     def pass_time(self, milliseconds: float) -> list[api.Action]:
-        """Let time pass, with the timers firing as the gateway asked."""
+        """Let time pass, and fire the timers that the gateway has set."""
         actions: list[api.Action] = []
         end = self.now + milliseconds
         while self.timers and self.timers[0][0] <= end:
@@ -108,24 +108,24 @@
 
 
 class Counter:
-    """An exact counter for worlds, at once or with what it is told to fail with."""
+    """An exact counter that answers at once, or fails every call with the outcome `fails`."""
 
     def __init__(self) -> None:
-        self.numbers: dict[str, tuple[float, float]] = {}  # total, forgotten at
-        self.added: dict[str, float] = {}  # over all time, by the part of a name that tells the customer
+        self.numbers: dict[str, tuple[float, float]] = {}  # the total, and the time when it expires
+        self.added: dict[str, float] = {}  # over all time, by the customer's digest in the name
         self.fails: api.Outcome | None = None
         self.calls = 0
 
     def play(self, world: World, actions: list[api.Action]) -> list[api.Action]:
-        """Answer all calls among the actions, and those that the answers bring; gives all the actions."""
-        done: list[api.Action] = []
-        todo = list(actions)
-        while todo:
-            action = todo.pop(0)
-            done.append(action)
+        """Answer all calls among the actions and those that follow. Return all actions."""
+        played: list[api.Action] = []
+        pending = list(actions)
+        while pending:
+            action = pending.pop(0)
+            played.append(action)
             if isinstance(action, api.AddToCounter):
-                todo += world.give(self.reply(world.now, action))
-        return done
+                pending += world.give(self.reply(world.now, action))
+        return played
 
     def reply(self, now: float, call: api.AddToCounter) -> api.CounterReplied:
         self.calls += 1
@@ -141,7 +141,7 @@
         return api.CounterReplied(call.name, api.Outcome.OK, total + call.amount)
 
     def spent(self, customer: str) -> float:
-        """Units that all gateways have added for a customer."""
+        """Return the units that all gateways have added for a customer."""
         digest = hashlib.blake2b(customer.encode(), digest_size=16).hexdigest()
         return round(self.added.get(digest, 0.0), 6)
 
