--- a/roadpulley/fleet/counts/service.py
+++ b/roadpulley/fleet/counts/service.py
@@ -102,9 +102,8 @@
         if now >= self.next_sweep:
             self.next_sweep = now + SWEEP_INTERVAL_S
             self.machine.remove_expired(now)
-        wait = self.settings.compare_interval_s * self.rng.uniform(
-            0.5, 1.5
-        )  # jitter, so that the instances do not send at the same time
+        # The jitter keeps the instances from sending at the same time.
+        wait = self.settings.compare_interval_s * self.rng.uniform(0.5, 1.5)
         self.compare_timer = asyncio.get_running_loop().call_later(wait, self._run_periodic_work)
 
     def _send_changes(self) -> None:
--- a/tests/edges/test_resp_server.py
+++ b/tests/edges/test_resp_server.py
@@ -277,9 +277,8 @@
                 assert await peer.receive() == b"value"
             assert is_error(await peer.receive())
             assert await peer.receive() is None
-            assert (
-                await world.ask(active, id=b"later") == b"value"
-            )  # the timeout does not apply between commands
+            # The timeout does not apply between commands.
+            assert await world.ask(active, id=b"later") == b"value"
 
     in_loop(scenario)
 
@@ -324,9 +323,8 @@
             unused = [await world.client() for _ in range(100)]
             late = await world.client()
             assert await world.ask(late, id=b"late") == b"value"
-            assert (
-                await world.ask(active, id=b"again") == b"value"
-            )  # a connection that sent a request is not evicted for them
+            # A connection that sent a request is not evicted for them.
+            assert await world.ask(active, id=b"again") == b"value"
             for peer in unused[:50]:
                 assert await peer.receive() is None
 
--- a/tests/fleet/test_gateway_agent.py
+++ b/tests/fleet/test_gateway_agent.py
@@ -22,20 +22,20 @@
     path = folder / "config.json"
     raw = {
         "listen": f"{LOCAL}:{port}",
-        "discovery": f"{LOCAL}:{free_port()}",  # nobody answers: no worker serves, and the fleet goes on
+        "discovery": f"{LOCAL}:{free_port()}",  # unavailable: no worker becomes ready; the agent runs
         "settings": terms.settings(0, 1),
     }
     path.write_text(json.dumps(raw))
     return path
 
 
-def test_a_gateway_holds_duties_and_hands_them_over_when_it_ends(tmp_path: Path) -> None:
+def test_a_gateway_holds_a_duty_and_hands_it_over_at_its_end(tmp_path: Path) -> None:
     async def run() -> None:
         plan = FleetPlan(duties=1, lease=2.5, settle=0.5)
         async with Fleet(plan, tmp_path) as fleet:
             for member in fleet.members.values():
                 with member.settings.open("a") as file:
-                    file.write('prefer = ["v0"]\n')  # of the one duty, which stands last
+                    file.write('prefer = ["v0"]\n')  # belongs to the only duty, the last table of the file
             port = Port()
             config = configuration(tmp_path, port.number)
             await fleet.start("v1", "v2")
@@ -45,7 +45,7 @@
                 gateway.process = await asyncio.create_subprocess_exec(
                     sys.executable, *command, "--fleet", str(gateway.settings), stderr=log
                 )
-            # Whoever took it first: it goes to the one that is preferred, once that has stood for a while.
+            # Another instance may hold the duty first. It moves to the preferred one once that has settled.
             await fleet.until(lambda: fleet.holder("duty-0") == "v0", "the gateway as holder")
             gateway.signal(signal.SIGTERM)
             assert await asyncio.wait_for(gateway.process.wait(), 20) == 0
@@ -66,14 +66,14 @@
         (["--fleet", "FLEET", "--name", "No"], "--name: is 'No'"),
     ],
 )
-def test_what_is_asked_wrongly_is_one_line_before_anything_starts(
+def test_wrong_arguments_give_one_line_of_error_before_anything_starts(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], args: list[str], words: str
 ) -> None:
     fleet = tmp_path / "fleet.toml"
     rows = "".join(f'v{n} = "{LOCAL}:{7000 + n}"\n' for n in range(3))
     fleet.write_text(f'installation = "x"\ncontrol = "run"\n[voters]\n{rows}')
     config = configuration(tmp_path, 6379)
-    given = [str(fleet) if a == "FLEET" else a for a in args]
-    assert main(["serve", "--config", str(config), *given]) == 2
-    said = capsys.readouterr().err
-    assert words in said and said.count("\n") == 1
+    arguments = [str(fleet) if a == "FLEET" else a for a in args]
+    assert main(["serve", "--config", str(config), *arguments]) == 2
+    errors = capsys.readouterr().err
+    assert words in errors and errors.count("\n") == 1
