--- a/tests/fleet/test_orders_gateways.py
+++ b/tests/fleet/test_orders_gateways.py
@@ -32,9 +32,9 @@
     discovery=DiscoveryKind(notice_ms=0.0),
     load=Load(rate=150.0, spread=GATEWAYS),
 )
-AT = 4.0  # seconds after the first request, at which the orders are given
-FOLLOWED_MS = 1_000.0  # time in which every connected gateway follows an order
-WAY = 5.0  # requests that may be between a gateway's decision and a node
+ORDERS_AT_S = 4.0  # seconds after the first request, at which the orders are given
+FOLLOW_DELAY_MS = 1_000.0  # time in which every connected gateway follows an order
+MAX_IN_FLIGHT = 5.0  # requests that may be between a gateway's decision and a node
 
 
 def order_fields(order: Order) -> list[Any]:
@@ -57,69 +57,118 @@
 ) -> tuple[Outcome, Installation, list[Order], float]:
     """Returns the outcome, the installation, the orders, and when all were acknowledged."""
 
-    async def work() -> tuple[Outcome, Installation, list[Order], float]:
+    async def run() -> tuple[Outcome, Installation, list[Order], float]:
         async with asyncio.timeout(90), Installation(scenario) as world:
             running = asyncio.create_task(world.run())
-            await asyncio.sleep(AT)
+            await asyncio.sleep(ORDERS_AT_S)
             orders = list(choose(world))
             for number, order in enumerate(orders):
-                at = await give_order(world, f"n{number % GATEWAYS}", order)
-            return await running, world, orders, at
+                acknowledged_at = await give_order(world, f"n{number % GATEWAYS}", order)
+            return await running, world, orders, acknowledged_at
 
-    found = uvloop.run(work())
-    assert found[0].verdict.ok, "\n".join(found[0].verdict.lines())
-    return found
+    result = uvloop.run(run())
+    assert result[0].verdict.ok, "\n".join(result[0].verdict.lines())
+    return result
 
 
 def test_orders_hold_while_allocator_gateways_are_killed() -> None:
     """The orders are a rate limit, a block, a shed and a keep-off."""
-    rate = Order("rate", "class", "tile-view", rate=20.0, burst=10.0, why="a rush")
+    rate_order = Order("rate", "class", "tile-view", rate=20.0, burst=10.0, why="a rush")
 
     def choose(world: Installation) -> list[Order]:
-        customers = [a.customer for a in world.ledger.attempts]
-        most = max(sorted(set(customers)), key=customers.count)
-        others = [Order("shed", "class", "tile-order"), Order("keep-off", "backend", "t3")]
-        return [Order("block", "customer", most), *others, rate]
+        customers = [attempt.customer for attempt in world.ledger.attempts]
+        busiest_customer = max(sorted(set(customers)), key=customers.count)
+        other_orders = [Order("shed", "class", "tile-order"), Order("keep-off", "backend", "t3")]
+        return [Order("block", "customer", busiest_customer), *other_orders, rate_order]
 
     faults = tuple(Fault(at, "kill", name, seconds=1.0) for at, name in ((6.0, "n0"), (8.0, "n1")))
-    _, world, orders, at = run_scenario(SCENARIO.with_(faults=faults, seconds=12.0), choose)
-    rows = world.ledger.attempts
-    late = [a for a in rows if a.first_at >= at + FOLLOWED_MS]
-    spent = [Spent(a.first_at / 1000, "it", 1.0, a.gateway) for a in late if a.kind == rate.subject]
-    found = use(spent, [Holds((at + FOLLOWED_MS) / 1000, rate.rate, rate.burst + WAY)])
-    assert found.over == 0
-    assert sum(at - 2_000 <= a.first_at < at for a in rows if a.kind == rate.subject) > 2 * 1.5 * rate.rate
-    assert found.units > 2 * rate.rate  # but requests are still admitted
-    for order, of in zip(orders, ("customer", "kind", "node"), strict=False):
-        assert any(getattr(a, of) == order.subject for a in rows if a.first_at < at)
-        assert not any(getattr(a, of) == order.subject for a in late), order
-
-
-def max_open(rows: list[Attempt]) -> int:
+    _, world, orders, acknowledged_at = run_scenario(SCENARIO.with_(faults=faults, seconds=12.0), choose)
+    attempts = world.ledger.attempts
+    late_attempts = [attempt for attempt in attempts if attempt.first_at >= acknowledged_at + FOLLOW_DELAY_MS]
+    spent = [
+        Spent(attempt.first_at / 1000, "it", 1.0, attempt.gateway)
+        for attempt in late_attempts
+        if attempt.kind == rate_order.subject
+    ]
+    usage = use(
+        spent,
+        [
+            Holds(
+                (acknowledged_at + FOLLOW_DELAY_MS) / 1000, rate_order.rate, rate_order.burst + MAX_IN_FLIGHT
+            )
+        ],
+    )
+    assert usage.over == 0
+    assert (
+        sum(
+            acknowledged_at - 2_000 <= attempt.first_at < acknowledged_at
+            for attempt in attempts
+            if attempt.kind == rate_order.subject
+        )
+        > 2 * 1.5 * rate_order.rate
+    )
+    assert usage.units > 2 * rate_order.rate  # but requests are still admitted
+    for order, attribute in zip(orders, ("customer", "kind", "node"), strict=False):
+        assert any(
+            getattr(attempt, attribute) == order.subject
+            for attempt in attempts
+            if attempt.first_at < acknowledged_at
+        )
+        assert not any(getattr(attempt, attribute) == order.subject for attempt in late_attempts), order
+
+
+def max_open(attempts: list[Attempt]) -> int:
     """The largest number of requests that were open at nodes at the same time."""
-    steps = [(a.first_at, 1) for a in rows]
-    steps += [(a.ended_at or a.gone_at or math.inf, -1) for a in rows]
-    now = most = 0
-    for _, step in sorted(steps):
-        now += step
-        most = max(most, now)
-    return most
+    changes = [(attempt.first_at, 1) for attempt in attempts]
+    changes += [(attempt.ended_at or attempt.gone_at or math.inf, -1) for attempt in attempts]
+    open_count = maximum = 0
+    for _, change in sorted(changes):
+        open_count += change
+        maximum = max(maximum, open_count)
+    return maximum
 
 
 def test_concurrency_order_and_pool_rate_order_are_observed() -> None:
     """Two of the nodes hang, so that some requests stay open for long."""
     faults = tuple(Fault(2.0, "node-hang", name, seconds=15.0) for name in ("t0", "t1"))
-    most = Order("open", "class", "tile-order", most=4)
-    pool = Order("rate", "pool", "zone-a", rate=10.0, burst=5.0)
-    _, world, _, at = run_scenario(SCENARIO.with_(faults=faults, seconds=18.0), lambda _: [most, pool])
-    rows = world.ledger.attempts
-    late = [a for a in rows if a.first_at >= at + FOLLOWED_MS]
-    searches = [a for a in late if a.kind == most.subject]
-    assert max_open([a for a in rows if a.kind == most.subject and a.first_at < at]) > 2 * most.most
-    assert len(searches) > 40
-    assert max_open(searches) <= most.most
-    here = {name for name, node in world.nodes.items() if node.zone == pool.subject}
-    spent = [Spent(a.first_at / 1000, "it", 1.0, a.gateway) for a in late if a.node in here]
-    assert use(spent, [Holds((at + FOLLOWED_MS) / 1000, pool.rate, pool.burst + WAY)]).over == 0
+    open_order = Order("open", "class", "tile-order", most=4)
+    pool_order = Order("rate", "pool", "zone-a", rate=10.0, burst=5.0)
+    _, world, _, acknowledged_at = run_scenario(
+        SCENARIO.with_(faults=faults, seconds=18.0), lambda _: [open_order, pool_order]
+    )
+    attempts = world.ledger.attempts
+    late_attempts = [attempt for attempt in attempts if attempt.first_at >= acknowledged_at + FOLLOW_DELAY_MS]
+    limited_attempts = [attempt for attempt in late_attempts if attempt.kind == open_order.subject]
+    assert (
+        max_open(
+            [
+                attempt
+                for attempt in attempts
+                if attempt.kind == open_order.subject and attempt.first_at < acknowledged_at
+            ]
+        )
+        > 2 * open_order.most
+    )
+    assert len(limited_attempts) > 40
+    assert max_open(limited_attempts) <= open_order.most
+    pool_nodes = {name for name, node in world.nodes.items() if node.zone == pool_order.subject}
+    spent = [
+        Spent(attempt.first_at / 1000, "it", 1.0, attempt.gateway)
+        for attempt in late_attempts
+        if attempt.node in pool_nodes
+    ]
+    assert (
+        use(
+            spent,
+            [
+                Holds(
+                    (acknowledged_at + FOLLOW_DELAY_MS) / 1000,
+                    pool_order.rate,
+                    pool_order.burst + MAX_IN_FLIGHT,
+                )
+            ],
+        ).over
+        == 0
+    )
     assert len(spent) > 20
-    assert len(late) > 5 * len(spent)  # other requests go to the other pool
+    assert len(late_attempts) > 5 * len(spent)  # other requests go to the other pool
--- a/tests/fleet/test_rights_processes.py
+++ b/tests/fleet/test_rights_processes.py
@@ -32,20 +32,22 @@
             await play(fleet)
             return find_use(fleet), fleet.wishes()
 
-    found, wishes = asyncio.run(run())
-    assert found.units > 0
-    assert found.over == 0
-    return found, wishes
+    usage, wishes = asyncio.run(run())
+    assert usage.units > 0
+    assert usage.over == 0
+    return usage, wishes
 
 
 def find_use(fleet: Fleet, limit: Limit = LIMIT) -> Use:
     return use(fleet.spends(KEY), [Holds(0.0, limit.rate, limit.burst)])
 
 
-def has_paid(fleet: Fleet, by: int | None = None, least: int = 1, since: float = 0.0) -> bool:
-    name = fleet.spenders[by].log.name if by is not None else ""
-    rows = [w for w in fleet.wishes() if w.paid and w.by.startswith(name) and w.at > since]
-    return len(rows) >= least
+def has_paid(fleet: Fleet, spender_index: int | None = None, min_count: int = 1, since: float = 0.0) -> bool:
+    name = fleet.spenders[spender_index].log.name if spender_index is not None else ""
+    paid_spends = [
+        spend for spend in fleet.wishes() if spend.paid and spend.by.startswith(name) and spend.at > since
+    ]
+    return len(paid_spends) >= min_count
 
 
 async def start_spenders(fleet: Fleet, *loads: float) -> None:
@@ -53,7 +55,7 @@
     for name, rate in zip(fleet.plan.names, loads, strict=False):
         await fleet.spend(name, Load(rate))
     await fleet.until(
-        lambda: all(has_paid(fleet, n) for n in range(len(fleet.spenders))), "everybody has spent something"
+        lambda: all(has_paid(fleet, n) for n in range(len(fleet.spenders))), "all spenders have spent units"
     )
 
 
@@ -64,7 +66,9 @@
         await start_spenders(fleet, 20.0, 1.0, 1.0)
         await asyncio.sleep(2.0)  # until the limit has refilled
         since = fleet.wishes()[-1].at
-        await fleet.until(lambda: has_paid(fleet, 0, 40, since), "forty more at the busy one")
+        await fleet.until(
+            lambda: has_paid(fleet, 0, 40, since), "forty more spends are paid at the busy instance"
+        )
         late = [w for w in fleet.wishes() if w.at > since]
         assert sum(w.paid for w in late) > 0.95 * len(late)
 
@@ -73,12 +77,12 @@
 
 def current_allocator(fleet: Fleet) -> str | None:
     """The instance that last logged the start of an allocator."""
-    last: tuple[float, str] | None = None
+    latest: tuple[float, str] | None = None
     for name, member in fleet.members.items():
         for line in read_lines(member.log.read_bytes().splitlines()) if member.log.exists() else []:
             if line["event"] == "gives out rights":
-                last = max(last or (0.0, ""), (float(line["true_s"]), name))
-    return last[1] if last else None
+                latest = max(latest or (0.0, ""), (float(line["true_s"]), name))
+    return latest[1] if latest else None
 
 
 async def wait_for_successor(fleet: Fleet, first: str | None) -> None:
@@ -87,7 +91,7 @@
 
 async def wait_for_payments(fleet: Fleet, least: int = 30) -> None:
     since = fleet.wishes()[-1].at
-    await fleet.until(lambda: has_paid(fleet, None, least, since), f"{least} wishes more are paid")
+    await fleet.until(lambda: has_paid(fleet, None, least, since), f"{least} more spends are paid")
 
 
 def test_successor_of_a_killed_allocator_grants_no_units_twice(tmp_path: Path) -> None:
@@ -126,16 +130,16 @@
 
     async def play(fleet: Fleet) -> None:
         await start_spenders(fleet, 30.0, 30.0, 30.0)
-        away = next(n for n in fleet.plan.names[:3] if n != current_allocator(fleet))
-        place = fleet.plan.names.index(away)
-        fleet.links.part((away,), [n for n in fleet.plan.names if n != away])
+        isolated = next(n for n in fleet.plan.names[:3] if n != current_allocator(fleet))
+        index = fleet.plan.names.index(isolated)
+        fleet.links.part((isolated,), [n for n in fleet.plan.names if n != isolated])
         await asyncio.sleep(2.5)
-        cut_off = [w for w in fleet.wishes() if w.by == fleet.spenders[place].log.name]
+        cut_off = [w for w in fleet.wishes() if w.by == fleet.spenders[index].log.name]
         assert not any(w.paid for w in cut_off[-20:])
         await wait_for_payments(fleet)
         fleet.links.heal()
         since = fleet.wishes()[-1].at
-        await fleet.until(lambda: has_paid(fleet, place, 5, since), "it is paid again")
+        await fleet.until(lambda: has_paid(fleet, index, 5, since), "it is paid again")
 
     run_scenario(tmp_path, play)
 
@@ -177,7 +181,7 @@
         for name in fleet.plan.names:
             await fleet.spend(name, Load(20.0), rate=1 - drift)
         fleet.links.disturb(loss=0.2, delay_ms=5, jitter_ms=120, repeats=0.3)
-        await fleet.until(lambda: has_paid(fleet, None, 60), "sixty are paid over bad links")
+        await fleet.until(lambda: has_paid(fleet, None, 60), "sixty spends are paid over bad links")
         fleet.links.disturb()
         await wait_for_payments(fleet)
 
@@ -189,10 +193,10 @@
             await play(fleet)
             return find_use(fleet)
 
-    found = asyncio.run(run())
-    assert found.units > 0
-    assert found.over == 0
-    assert found.tight > 0.1
+    usage = asyncio.run(run())
+    assert usage.units > 0
+    assert usage.over == 0
+    assert usage.tight > 0.1
 
 
 def test_local_spender_is_paid_during_an_upgrade_of_its_instance(tmp_path: Path) -> None:
@@ -201,22 +205,22 @@
     async def play(fleet: Fleet) -> None:
         await start_spenders(fleet, 30.0, 30.0)
         name = fleet.plan.names[0]
-        old = fleet.members[name].process
-        newer = await fleet.start_beside(name)
+        old_process = fleet.members[name].process
+        new_member = await fleet.start_beside(name)
         await wait_for_payments(fleet)
-        assert old is not None
-        old.terminate()
-        await old.wait()
+        assert old_process is not None
+        old_process.terminate()
+        await old_process.wait()
         since = fleet.wishes()[-1].at
         await fleet.until(lambda: has_paid(fleet, 0, 10, since), "the local spender is still paid")
-        assert newer.runs
+        assert new_member.runs
 
     run_scenario(tmp_path, play)
 
 
 async def wait_for_full_limit(fleet: Fleet) -> str:
     """Waits until the limit is full; returns the allocator."""
-    await fleet.until(lambda: current_allocator(fleet) is not None, "somebody who gives out")
+    await fleet.until(lambda: current_allocator(fleet) is not None, "an allocator")
     await asyncio.sleep(fleet.plan.rights_lease + LIMIT.burst / LIMIT.rate + 0.3)
     name = current_allocator(fleet)
     assert name is not None
@@ -226,21 +230,21 @@
 async def wait_until_held(fleet: Fleet, spender: Spender) -> None:
     """Makes the spender request units without spending them; waits until they are granted."""
 
-    def out() -> float:
+    def outstanding_units() -> float:
         name = current_allocator(fleet)
         assert name is not None
-        found = call_agent(fleet.folder / f"run-{name}", name, "limits")
-        return sum(float(row["out"]) for row in found["limits"])
+        limits = call_agent(fleet.folder / f"run-{name}", name, "limits")
+        return sum(float(row["out"]) for row in limits["limits"])
 
     spender.signal(signal.SIGUSR2)
-    end = asyncio.get_running_loop().time() + 1.0
-    while await asyncio.to_thread(out) < spender.load.units - 0.01:
-        assert asyncio.get_running_loop().time() < end, "it was given nothing"
+    deadline = asyncio.get_running_loop().time() + 1.0
+    while await asyncio.to_thread(outstanding_units) < spender.load.units - 0.01:
+        assert asyncio.get_running_loop().time() < deadline, "it was given nothing"
         await asyncio.sleep(0.01)
 
 
 def is_paid(fleet: Fleet, spender: Spender) -> bool:
-    return any(w.paid for w in fleet.wishes() if w.by == spender.log.name)
+    return any(spend.paid for spend in fleet.wishes() if spend.by == spender.log.name)
 
 
 def test_planned_handover_accounts_for_held_rights(tmp_path: Path) -> None:
@@ -249,26 +253,26 @@
     async def play(fleet: Fleet) -> None:
         for _ in range(5):  # on a slow machine the held right may expire before it is spent
             first = await wait_for_full_limit(fleet)
-            beside = [n for n in fleet.plan.names if n != first][:2]
-            keeps, asks = [
-                await fleet.spend(n, Load(0.0, units)) for n, units in zip(beside, (18.0, 15.0), strict=True)
+            others = [n for n in fleet.plan.names if n != first][:2]
+            holder, requester = [
+                await fleet.spend(n, Load(0.0, units)) for n, units in zip(others, (18.0, 15.0), strict=True)
             ]
             await asyncio.sleep(0.6)  # until both know the allocator
             loop = asyncio.get_running_loop()
-            await wait_until_held(fleet, keeps)
-            began = loop.time()
+            await wait_until_held(fleet, holder)
+            held_at = loop.time()
             await fleet.end(first)
             await wait_for_successor(fleet, first)
-            await asyncio.sleep(max(0.0, began + 1.0 - loop.time()))
-            asks.signal(signal.SIGUSR1)
+            await asyncio.sleep(max(0.0, held_at + 1.0 - loop.time()))
+            requester.signal(signal.SIGUSR1)
             await asyncio.sleep(0.1)
-            keeps.signal(signal.SIGUSR1)
+            holder.signal(signal.SIGUSR1)
             await asyncio.sleep(0.3)
-            assert not is_paid(fleet, asks)
+            assert not is_paid(fleet, requester)
             await fleet.start(first)
-            if is_paid(fleet, keeps):
+            if is_paid(fleet, holder):
                 return
-        pytest.fail("what was held was never spent: nothing was shown")
+        pytest.fail("the held right was never spent, so the test shows nothing")
 
     run_scenario(tmp_path, play, replace(PLAN, rights_lease=2.0))
 
@@ -278,9 +282,9 @@
 
     async def play(fleet: Fleet) -> None:
         first = await wait_for_full_limit(fleet)
-        beside = [n for n in fleet.plan.names if n != first][:2]
+        others = [n for n in fleet.plan.names if n != first][:2]
         small, large = [
-            await fleet.spend(n, Load(0.0, units, 0.5)) for n, units in zip(beside, (1.0, 15.0), strict=True)
+            await fleet.spend(n, Load(0.0, units, 0.5)) for n, units in zip(others, (1.0, 15.0), strict=True)
         ]
         await asyncio.sleep(0.6)  # until both know the allocator
         small.signal(signal.SIGUSR1)
@@ -289,7 +293,7 @@
         await wait_for_successor(fleet, first)
         await asyncio.sleep(0.3)  # until the successor's announcement has arrived
         large.signal(signal.SIGUSR1)
-        await fleet.until(lambda: len(fleet.wishes()) == 2, "the other has wished")
+        await fleet.until(lambda: len(fleet.wishes()) == 2, "the other spend has ended")
         assert is_paid(fleet, large)
 
     # Without the handover 15 units would be available only after the lease and a refill of several seconds.
@@ -301,23 +305,22 @@
 
     async def play(fleet: Fleet) -> None:
         first = await wait_for_full_limit(fleet)
-        beside = [n for n in fleet.plan.names if n != first][:2]
-        sleepers = [await fleet.spend(name, Load(0.0, 18.0)) for name in beside]
+        others = [n for n in fleet.plan.names if n != first][:2]
+        suspended = [await fleet.spend(name, Load(0.0, 18.0)) for name in others]
         await asyncio.sleep(0.6)
-        for sleeper in sleepers:
-            await wait_until_held(fleet, sleeper)
-            sleeper.signal(signal.SIGSTOP)
-            await asyncio.sleep(
-                fleet.plan.rights_lease * 1.6
-            )  # the right has expired, and the limit is full again
-        for sleeper in sleepers:
-            sleeper.signal(signal.SIGUSR1)
-            sleeper.signal(signal.SIGCONT)
-        await fleet.until(lambda: len(fleet.wishes()) >= 2, "both have wished")
+        for spender in suspended:
+            await wait_until_held(fleet, spender)
+            spender.signal(signal.SIGSTOP)
+            # The right then has expired, and the limit is full again.
+            await asyncio.sleep(fleet.plan.rights_lease * 1.6)
+        for spender in suspended:
+            spender.signal(signal.SIGUSR1)
+            spender.signal(signal.SIGCONT)
+        await fleet.until(lambda: len(fleet.wishes()) >= 2, "both spends have ended")
         await fleet.spend(fleet.plan.names[0], Load(20.0))
-        await fleet.until(lambda: has_paid(fleet, 2, 10), "the rest go on")
+        await fleet.until(lambda: has_paid(fleet, 2, 10), "the other spender is paid")
 
-    found, wishes = run_scenario(tmp_path, play)
+    usage, wishes = run_scenario(tmp_path, play)
     assert sum(w.paid for w in wishes if w.units == 18.0) <= 1  # one may have requested and got a new right
 
 
@@ -330,19 +333,19 @@
         await start_spenders(fleet, *[30.0] * len(fleet.plan.names))
         first = current_allocator(fleet)
         assert first is not None
-        beside = next(n for n in fleet.plan.names[3:] if n != first)
-        away = (first, beside)
-        fleet.links.part(away, [n for n in fleet.plan.names if n not in away])
+        companion = next(n for n in fleet.plan.names[3:] if n != first)
+        isolated = (first, companion)
+        fleet.links.part(isolated, [n for n in fleet.plan.names if n not in isolated])
         fleet.stop(first)
         await wait_for_successor(fleet, first)
         await asyncio.sleep(1.5 * fleet.plan.rights_lease)
         since = fleet.wishes()[-1].at
         fleet.go_on(first)
         await asyncio.sleep(2.0)
-        spender = fleet.spenders[fleet.plan.names.index(beside)]
-        wished = [w for w in fleet.wishes() if w.by == spender.log.name and w.at > since]
-        assert len(wished) > 20
-        assert not any(w.paid for w in wished)
+        spender = fleet.spenders[fleet.plan.names.index(companion)]
+        late_spends = [w for w in fleet.wishes() if w.by == spender.log.name and w.at > since]
+        assert len(late_spends) > 20
+        assert not any(w.paid for w in late_spends)
         fleet.links.heal()
         await wait_for_payments(fleet)
 
@@ -358,8 +361,8 @@
             first = current_allocator(fleet)
             assert first is not None
             folder = fleet.folder / f"run-{first}"
-            done = await asyncio.to_thread(call_agent, folder, first, "hand-over", duty="fleet.rights.0")
-            assert done["done"]
+            answer = await asyncio.to_thread(call_agent, folder, first, "hand-over", duty="fleet.rights.0")
+            assert answer["done"]
             await wait_for_successor(fleet, first)
         await wait_for_payments(fleet)
 
--- a/tests/fleet/test_verdicts_gateways.py
+++ b/tests/fleet/test_verdicts_gateways.py
@@ -20,7 +20,10 @@
 pytestmark = [pytest.mark.timeout(120), pytest.mark.alone]
 
 GATEWAYS = 5
-FAILS_AT, FAILS_S, CARD_AT, CARD_S = 3.0, 3.0, 9.5, 4.0
+FAILURE_AT_S = 3.0
+FAILURE_DURATION_S = 3.0
+CUT_AT_S = 9.5
+CUT_DURATION_S = 4.0
 SCENARIO = Scenario(
     name="verdicts",
     seconds=14.0,
@@ -31,56 +34,75 @@
     discovery=DiscoveryKind(notice_ms=0.0),
     load=Load(rate=200.0, spread=GATEWAYS),
     faults=(
-        Fault(FAILS_AT, "node-fail", "t3", seconds=FAILS_S),
-        Fault(CARD_AT, "cut", "n0>t*", seconds=CARD_S),
+        Fault(FAILURE_AT_S, "node-fail", "t3", seconds=FAILURE_DURATION_S),
+        Fault(CUT_AT_S, "cut", "n0>t*", seconds=CUT_DURATION_S),
     ),
 )
 # After the first failure all gateways avoid the node by then; most of the time is for a machine under load.
-LATEST_MS = 2_500.0
-OVER_MS = 1_000 * FAILS_S + 4_000.0  # after the first failure all reports on it have expired
+AVOIDED_WITHIN_MS = 2_500.0
+EXPIRED_AFTER_MS = (
+    1_000 * FAILURE_DURATION_S + 4_000.0
+)  # after the first failure all reports on it have expired
 
 
-class Watch:
+class VerdictSampler:
     """Samples the verdicts of each gateway's instance while a scenario runs."""
 
     def __init__(self, world: Installation) -> None:
         self.world = world
-        self.seen: list[tuple[float, str, set[int]]] = []  # ms by the ledger's clock, gateway, backends
+        self.samples: list[tuple[float, str, set[int]]] = []  # ms by the ledger's clock, gateway, backends
 
     async def run(self) -> None:
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        while loop.time() < began + SCENARIO.seconds - 0.5:
+        started_at = loop.time()
+        while loop.time() < started_at + SCENARIO.seconds - 0.5:
             for name in self.world.gateways:
                 with suppress(ValidationError):
-                    found: dict[str, Any] = await asyncio.to_thread(
+                    report: dict[str, Any] = await asyncio.to_thread(
                         call_agent, self.world.folder / "fleet", name, "verdicts"
                     )
-                    held = {row["backend"] for row in found["verdicts"] if row["level"] != "none"}
-                    self.seen.append((now_ms(), name, held))
+                    backends = {row["backend"] for row in report["verdicts"] if row["level"] != "none"}
+                    self.samples.append((now_ms(), name, backends))
             await asyncio.sleep(0.05)
 
-    def between(self, since: float, until: float, but: str = "") -> list[set[int]]:
-        return [held for at, name, held in self.seen if since <= at < until and name != but]
+    def between(self, start: float, end: float, except_gateway: str = "") -> list[set[int]]:
+        return [
+            backends
+            for sampled_at, name, backends in self.samples
+            if start <= sampled_at < end and name != except_gateway
+        ]
 
 
 def test_all_avoid_a_failing_node_and_none_that_only_a_broken_gateway_reports() -> None:
-    async def work() -> tuple[Watch, Installation]:
+    async def work() -> tuple[VerdictSampler, Installation]:
         async with asyncio.timeout(90), Installation(SCENARIO) as world:
-            watch = Watch(world)
+            sampler = VerdictSampler(world)
             running = asyncio.create_task(world.run())
-            await watch.run()
+            await sampler.run()
             outcome = await running
             assert outcome.verdict.ok, "\n".join(outcome.verdict.lines())
-            return watch, world
+            return sampler, world
 
-    watch, world = uvloop.run(work())
+    sampler, world = uvloop.run(work())
     failing = hash_host_name("t3")
-    first = min(a.first_at for a in world.ledger.attempts if a.node == "t3" and a.how == "failed")
-    in_time = [(name, held) for at, name, held in watch.seen if first < at < first + LATEST_MS]
-    assert {name for name, held in in_time if failing in held} == set(world.gateways)
-    assert not any(watch.between(0.0, first))
-    assert not any(held - {failing} for held in watch.between(first, first + OVER_MS, but="n0"))
+    first_failure_at = min(
+        attempt.first_at
+        for attempt in world.ledger.attempts
+        if attempt.node == "t3" and attempt.how == "failed"
+    )
+    early_samples = [
+        (name, backends)
+        for sampled_at, name, backends in sampler.samples
+        if first_failure_at < sampled_at < first_failure_at + AVOIDED_WITHIN_MS
+    ]
+    assert {name for name, backends in early_samples if failing in backends} == set(world.gateways)
+    assert not any(sampler.between(0.0, first_failure_at))
+    assert not any(
+        backends - {failing}
+        for backends in sampler.between(
+            first_failure_at, first_failure_at + EXPIRED_AFTER_MS, except_gateway="n0"
+        )
+    )
     # While one gateway reaches no node, and after that.
-    later = watch.between(first + OVER_MS, math.inf, but="n0")
-    assert len(later) > 20 and not any(later)
+    late_samples = sampler.between(first_failure_at + EXPIRED_AFTER_MS, math.inf, except_gateway="n0")
+    assert len(late_samples) > 20 and not any(late_samples)
