--- a/tests/fleet/test_orders_gateways.py
+++ b/tests/fleet/test_orders_gateways.py
@@ -57,7 +57,7 @@
 ) -> tuple[Outcome, Installation, list[Order], float]:
     """Returns the outcome, the installation, the orders, and when all were acknowledged."""
 
-    async def run() -> tuple[Outcome, Installation, list[Order], float]:
+    async def execute() -> tuple[Outcome, Installation, list[Order], float]:
         async with asyncio.timeout(90), Installation(scenario) as world:
             running = asyncio.create_task(world.run())
             await asyncio.sleep(ORDERS_AT_S)
@@ -66,7 +66,7 @@
                 acknowledged_at = await give_order(world, f"n{number % GATEWAYS}", order)
             return await running, world, orders, acknowledged_at
 
-    result = uvloop.run(run())
+    result = uvloop.run(execute())
     assert result[0].verdict.ok, "\n".join(result[0].verdict.lines())
     return result
 
@@ -83,8 +83,10 @@
 
     faults = tuple(Fault(at, "kill", name, seconds=1.0) for at, name in ((6.0, "n0"), (8.0, "n1")))
     _, world, orders, acknowledged_at = run_scenario(SCENARIO.with_(faults=faults, seconds=12.0), choose)
-    attempts = world.ledger.attempts
-    late_attempts = [attempt for attempt in attempts if attempt.first_at >= acknowledged_at + FOLLOW_DELAY_MS]
+    all_attempts = world.ledger.attempts
+    late_attempts = [
+        attempt for attempt in all_attempts if attempt.first_at >= acknowledged_at + FOLLOW_DELAY_MS
+    ]
     spent = [
         Spent(attempt.first_at / 1000, "it", 1.0, attempt.gateway)
         for attempt in late_attempts
@@ -102,7 +104,7 @@
     assert (
         sum(
             acknowledged_at - 2_000 <= attempt.first_at < acknowledged_at
-            for attempt in attempts
+            for attempt in all_attempts
             if attempt.kind == rate_order.subject
         )
         > 2 * 1.5 * rate_order.rate
@@ -111,16 +113,16 @@
     for order, attribute in zip(orders, ("customer", "kind", "node"), strict=False):
         assert any(
             getattr(attempt, attribute) == order.subject
-            for attempt in attempts
+            for attempt in all_attempts
             if attempt.first_at < acknowledged_at
         )
         assert not any(getattr(attempt, attribute) == order.subject for attempt in late_attempts), order
 
 
-def max_open(attempts: list[Attempt]) -> int:
+def max_open(all_attempts: list[Attempt]) -> int:
     """The largest number of requests that were open at nodes at the same time."""
-    changes = [(attempt.first_at, 1) for attempt in attempts]
-    changes += [(attempt.ended_at or attempt.gone_at or math.inf, -1) for attempt in attempts]
+    changes = [(attempt.first_at, 1) for attempt in all_attempts]
+    changes += [(attempt.ended_at or attempt.gone_at or math.inf, -1) for attempt in all_attempts]
     open_count = maximum = 0
     for _, change in sorted(changes):
         open_count += change
@@ -136,14 +138,16 @@
     _, world, _, acknowledged_at = run_scenario(
         SCENARIO.with_(faults=faults, seconds=18.0), lambda _: [open_order, pool_order]
     )
-    attempts = world.ledger.attempts
-    late_attempts = [attempt for attempt in attempts if attempt.first_at >= acknowledged_at + FOLLOW_DELAY_MS]
+    all_attempts = world.ledger.attempts
+    late_attempts = [
+        attempt for attempt in all_attempts if attempt.first_at >= acknowledged_at + FOLLOW_DELAY_MS
+    ]
     limited_attempts = [attempt for attempt in late_attempts if attempt.kind == open_order.subject]
     assert (
         max_open(
             [
                 attempt
-                for attempt in attempts
+                for attempt in all_attempts
                 if attempt.kind == open_order.subject and attempt.first_at < acknowledged_at
             ]
         )
--- a/tests/fleet/test_orders_processes.py
+++ b/tests/fleet/test_orders_processes.py
@@ -221,10 +221,10 @@
         fast_instance = next(n for n in ("o0", "o1") if n != current_publisher(fleet))
         await fleet.end(fast_instance)
         await fleet.start(fast_instance, offset_ms=2_000)
-        ends_ms = int(time.time() * 1000) + 5_000
-        await order(fleet, "v0", block("b", ends_ms=ends_ms))
+        end_time_ms = int(time.time() * 1000) + 5_000
+        await order(fleet, "v0", block("b", ends_ms=end_time_ms))
         await wait_for_subjects(fleet, PLAN.names, {"a", "b"})
-        while time.time() * 1000 < ends_ms - 100:
+        while time.time() * 1000 < end_time_ms - 100:
             reports = [await call(fleet, n, "orders") for n in PLAN.names]
             assert [len(report["orders"]) for report in reports] == [2] * 5
             assert {report["known"] for report in reports} == {"newest"}  # by repeated polls
--- a/tests/fleet/test_rights_processes.py
+++ b/tests/fleet/test_rights_processes.py
@@ -131,15 +131,15 @@
     async def play(fleet: Fleet) -> None:
         await start_spenders(fleet, 30.0, 30.0, 30.0)
         isolated = next(n for n in fleet.plan.names[:3] if n != current_allocator(fleet))
-        index = fleet.plan.names.index(isolated)
+        position = fleet.plan.names.index(isolated)
         fleet.links.part((isolated,), [n for n in fleet.plan.names if n != isolated])
         await asyncio.sleep(2.5)
-        cut_off = [w for w in fleet.wishes() if w.by == fleet.spenders[index].log.name]
+        cut_off = [w for w in fleet.wishes() if w.by == fleet.spenders[position].log.name]
         assert not any(w.paid for w in cut_off[-20:])
         await wait_for_payments(fleet)
         fleet.links.heal()
         since = fleet.wishes()[-1].at
-        await fleet.until(lambda: has_paid(fleet, index, 5, since), "it is paid again")
+        await fleet.until(lambda: has_paid(fleet, position, 5, since), "it is paid again")
 
     run_scenario(tmp_path, play)
 
--- a/tests/fleet/test_verdicts_gateways.py
+++ b/tests/fleet/test_verdicts_gateways.py
@@ -40,9 +40,8 @@
 )
 # After the first failure all gateways avoid the node by then; most of the time is for a machine under load.
 AVOIDED_WITHIN_MS = 2_500.0
-EXPIRED_AFTER_MS = (
-    1_000 * FAILURE_DURATION_S + 4_000.0
-)  # after the first failure all reports on it have expired
+# All reports on the failure have expired this long after the first one.
+EXPIRED_AFTER_MS = 1_000 * FAILURE_DURATION_S + 4_000.0
 
 
 class VerdictSampler:
