--- a/roadpulley/fleet/orders/voter.py
+++ b/roadpulley/fleet/orders/voter.py
@@ -35,8 +35,8 @@
         # A publisher that was suspended would undo orders given under a higher fence in the meantime.
         if book.version.fence < self.promised or (self.whole and book.version <= self.book.version):
             return self
-        # A voter that has lost its memory accepts any version of a publisher, as a majority of voters with
-        # memory confirmed it.
+        # A voter that has lost its memory accepts any version, as the publisher has read a majority of voters
+        # with memory before. It stores the newer one of both books.
         return VoterState(max(book, self.book, key=lambda b: b.version), book.version.fence, True)
 
     def make_reply(self) -> VoterReply:
--- a/roadpulley/fleet/rights/allocator.py
+++ b/roadpulley/fleet/rights/allocator.py
@@ -25,7 +25,7 @@
 )
 
 MAX_SNAPSHOTS = 2_000  # in one handover
-MAX_OUTSTANDING_PER_SNAPSHOT = 40  # rights; so that a snapshot fits a datagram
+MAX_OUTSTANDING_PER_SNAPSHOT = 40  # a snapshot has to fit into a datagram
 MAX_LIMITS = 100_000  # ledgers in memory; requests for further limits get no reply
 SWEEP_INTERVAL_S = 5.0
 MAX_CONTENDED_RATIO = 0.5  # part of the level for one request while other holders want units
@@ -114,9 +114,9 @@
         self.ledgers: dict[str, LimitLedger] = {}
         self.inherited = dict(inherited or {})
         self.sealed = False
-        self.granted_count = 0  # rights; the last one has this number
+        self.granted_count = 0  # also the number of the newest right
         self.next_sweep_at = started_at + SWEEP_INTERVAL_S
-        self.granted_units = self.refused_units = self.expired_units = 0.0  # units
+        self.granted_units = self.refused_units = self.expired_units = 0.0
 
     @property
     def ready_at(self) -> MonotonicTime:
--- a/roadpulley/fleet/rights/holder.py
+++ b/roadpulley/fleet/rights/holder.py
@@ -112,7 +112,7 @@
         # Heap of check times and limits; may contain outdated entries.
         self.check_heap: list[tuple[MonotonicTime, str]] = []
         self.request_count = 0
-        self.spent_units = self.unpaid_units = self.returned_units = 0.0  # units
+        self.spent_units = self.unpaid_units = self.returned_units = 0.0
 
     # ---- spending ----
 
--- a/roadpulley/fleet/rights/work.py
+++ b/roadpulley/fleet/rights/work.py
@@ -16,9 +16,8 @@
 
     def __init__(self, partition: int) -> None:
         self.partition = partition
-        self.on_start: StartCallback | None = (
-            None  # callback of the instance; called in the thread of the work
-        )
+        # Callback of the instance; called in the thread of the work.
+        self.on_start: StartCallback | None = None
         self.duty: HeldDuty | None = None
 
     def claim(self, fence: int, owner: str) -> int | None:
--- a/roadpulley/fleet/verdicts/state_machine.py
+++ b/roadpulley/fleet/verdicts/state_machine.py
@@ -21,13 +21,14 @@
 LEAVE_RATIO = 0.25  # ratio of failed tries below which a verdict ends
 # Ratio of failed tries at which an observer finds a backend failing even if its last try succeeded.
 FAILING_RATIO = 0.5
-MIN_FAILURES_ALONE = 2.5  # failures for a verdict by a single observer, if there are at most two
+MIN_FAILURES_ALONE = 2.5  # for a verdict by a single observer, if there are at most two instances
 # If a larger ratio of the backends that an observer uses seems to fail, the fault is likely its own.
 MAX_OWN_FAILING_RATIO = 0.5
 MIN_OWN_BACKENDS = 3  # backends that an observer must use for that check
 SERVED_BEFORE_MARGIN_MS = 200.0  # a success this long before a failure of other observers is ignored
 PANIC_RATIO = 0.5  # if more than this ratio of the backends seems to fail, there are no verdicts
-RETENTION_LIFETIMES = 10.0  # a report is stored for longer, so that no older one replaces it
+# An expired report is stored for this many lifetimes, so that no older one that arrives late replaces it.
+RETENTION_LIFETIMES = 10.0
 MAX_REPORTS = 20_000  # at this number, reports of further backends are rejected
 
 
