--- a/roadpulley/fleet/duties/probe.py
+++ b/roadpulley/fleet/duties/probe.py
@@ -14,9 +14,8 @@
 
 REGISTER_TIMEOUT_S = 2.0
 MAX_LINE_BYTES = 256
-PAUSE_ENV = (
-    "ROADPULLEY_PROBE_PAUSE_S"  # set by tests: a pause between check and act, to stop the process there
-)
+# Set by tests: seconds between the check and the act, so that the process can be stopped in between.
+PAUSE_ENV = "ROADPULLEY_PROBE_PAUSE_S"
 
 
 class Probe:
--- a/roadpulley/fleet/settings.py
+++ b/roadpulley/fleet/settings.py
@@ -67,9 +67,7 @@
     counts: ReplicationSettings | None = None  # replicated counters, in place of a counter server
     rights: RightsSettings | None = None  # rights to spend of the limits that hold over all gateways
     orders: OrderSettings | None = None  # operators' orders, which all instances follow
-    verdicts: VerdictSettings | None = (
-        None  # verdicts on the health of backends, from the observations of all instances
-    )
+    verdicts: VerdictSettings | None = None  # health of backends, from the observations of all instances
 
     @property
     def known_addresses(self) -> dict[str, str]:
--- a/tests/fleet/test_billing.py
+++ b/tests/fleet/test_billing.py
@@ -1,4 +1,4 @@
-"""Billing files pushed by a fleet of real processes: each is applied once, whoever is killed or stopped."""
+"""Billing files pushed by a fleet of real processes are applied exactly once, despite kills and pauses."""
 
 from __future__ import annotations
 
@@ -17,31 +17,34 @@
 
 pytestmark = pytest.mark.timeout(90)
 
-FILES = 16
+FILE_COUNT = 16
 
 
-def books(folder: Path) -> None:
+def fill_books(folder: Path) -> None:
     with Store.open(folder) as store:
         periods = Periods(Books(store))
-        for n in range(FILES):
+        for n in range(FILE_COUNT):
             row = Row("00000000000000aa", "basic", 1, 0, "view", n)
             periods.books.take(Batch("n0", "a", n + 1, 0, {row: Sum(1, 5_000, 0)}))
             periods.close(f"p{n:02}", n, n + 1, 1000, 1)
 
 
-def test_machines_with_books_of_their_own_push_each_file_once(tmp_path: Path) -> None:
-    """Each instance has its own copy of the books, as machines do. The holder is killed, then stopped, while
-    the sink loses answers; what woke up late is refused by the sink."""
+def test_each_file_is_pushed_once_from_machines_with_separate_books(tmp_path: Path) -> None:
+    """Each instance has its own copy of the books, like separate machines.
+
+    One holder is killed and the next one paused, while the sink loses responses. The sink must reject the
+    pushes of the paused holder after it resumes.
+    """
 
     async def run() -> None:
         with Sink() as sink:
             plan = FleetPlan(duties=0)
             async with Fleet(plan, tmp_path) as fleet:
-                first = tmp_path / "books-v0"
-                books(first)
+                first_books = tmp_path / "books-v0"
+                fill_books(first_books)
                 for name in plan.names:
                     if name != "v0":
-                        shutil.copytree(first, tmp_path / f"books-{name}")
+                        shutil.copytree(first_books, tmp_path / f"books-{name}")
                     text = f'store = "books-{name}"\nspool = "spool-{name}"\n[sink]\nurl = "{sink.url}"\n'
                     (tmp_path / f"usage-{name}.toml").write_text(text + "timeout_s = 1.0\n")
                     with fleet.members[name].settings.open("a") as file:
@@ -50,24 +53,24 @@
                 sink.moods.extend(["late", "well", "lost", "late", "half", "500", "late"] * 2)
                 await fleet.start()
                 await fleet.until(lambda: len(sink.applied) >= 2, "the first files")
-                killed = holder(fleet)
+                killed = latest_holder(fleet)
                 fleet.kill(killed)
                 await fleet.until(lambda: len(sink.applied) >= 5, "files of the second holder")
-                await fleet.start(killed)  # a majority has to be left when the next is stopped
-                stopped = holder(fleet, killed)
+                await fleet.start(killed)  # a majority has to remain when the next holder is paused
+                stopped = latest_holder(fleet, killed)
                 fleet.stop(stopped)
                 await fleet.until(lambda: len(set(sink.fences)) >= 3, "a third holder")
                 fleet.go_on(stopped)
-                await fleet.until(lambda: len(sink.applied) == FILES, "all files")
+                await fleet.until(lambda: len(sink.applied) == FILE_COUNT, "all files")
                 assert fleet.judge().broken == []
         names = [path for path, _ in sink.applied.values()]
-        assert sorted(names) == [f"/p{n:02}.csv" for n in range(FILES)]
+        assert sorted(names) == [f"/p{n:02}.csv" for n in range(FILE_COUNT)]
         assert sink.fences == sorted(sink.fences)
 
     asyncio.run(run())
 
 
-def holder(fleet: Fleet, *gone: str) -> str:
-    """Whose holding began last, by the logs."""
-    held = [b for b in fleet.beliefs() if b.process.partition(".")[0] not in gone]
-    return max(held, key=lambda b: b.fence).process.partition(".")[0]
+def latest_holder(fleet: Fleet, *excluded: str) -> str:
+    """The instance whose holding began last, by the logs."""
+    counted_beliefs = [b for b in fleet.beliefs() if b.process.partition(".")[0] not in excluded]
+    return max(counted_beliefs, key=lambda b: b.fence).process.partition(".")[0]
--- a/tests/fleet/test_machines.py
+++ b/tests/fleet/test_machines.py
@@ -38,8 +38,8 @@
     return Voter(TIMES, now, floor, lost_state=False)
 
 
-def make_accept(number: int, who: ProcessId, held: bool = False, lease: float = 4.0) -> Accept:
-    return Accept("d", Ballot(number, who), 1, INITIAL_CONFIG_ID, int(lease * 1000), held)
+def make_accept(number: int, process: ProcessId, is_renewal: bool = False, lease: float = 4.0) -> Accept:
+    return Accept("d", Ballot(number, process), 1, INITIAL_CONFIG_ID, int(lease * 1000), is_renewal)
 
 
 def make_candidate() -> Candidate:
@@ -78,15 +78,15 @@
         and refused.holder == A
         and 3_000 < refused.retry_after_ms <= 3_101
     )
-    assert isinstance(v.handle_request(2.0, make_accept(5, A, held=True)), LeaseGrant)  # the renewal succeeds
+    assert isinstance(v.handle_request(2.0, make_accept(5, A, is_renewal=True)), LeaseGrant)
     assert isinstance(v.handle_request(5.9, make_accept(9, B)), LeaseRejection)
     assert isinstance(v.handle_request(6.0, Prepare("d", Ballot(9, B), INITIAL_CONFIG_ID)), Promise)
 
 
 def test_voter_with_higher_floor_grants_renewals_but_no_late_accept() -> None:
     v = make_voter(floor=1_000)
-    assert isinstance(v.handle_request(0.0, make_accept(5, A, held=False)), LeaseRejection)
-    assert isinstance(v.handle_request(0.0, make_accept(5, A, held=True)), LeaseGrant)
+    assert isinstance(v.handle_request(0.0, make_accept(5, A, is_renewal=False)), LeaseRejection)
+    assert isinstance(v.handle_request(0.0, make_accept(5, A, is_renewal=True)), LeaseGrant)
     assert isinstance(v.handle_request(5.0, Prepare("d", Ballot(999, B), INITIAL_CONFIG_ID)), LeaseRejection)
     assert isinstance(v.handle_request(5.0, Prepare("d", Ballot(1_001, B), INITIAL_CONFIG_ID)), Promise)
 
@@ -125,7 +125,7 @@
         now += cooldown_s
     v.handle_request(now, Prepare("d", Ballot(9, A), INITIAL_CONFIG_ID))
     for step in range(6):
-        v.handle_request(now + step * 3, make_accept(9, A, held=True))
+        v.handle_request(now + step * 3, make_accept(9, A, is_renewal=True))
     v.handle_request(now + 16, Release("d", Ballot(9, A), True))
     assert isinstance(
         v.handle_request(now + 16 + MIN_COOLDOWN_S, Prepare("d", Ballot(10, B), INITIAL_CONFIG_ID)), Promise
@@ -262,14 +262,14 @@
 
 
 def test_duties_are_assigned_evenly_and_to_preferred_instances() -> None:
-    who = [ProcessId(f"i{n}", n + 1) for n in range(5)]
-    duties = {f"d{n:02}": who for n in range(64)}
+    processes = [ProcessId(f"i{n}", n + 1) for n in range(5)]
+    duties = {f"d{n:02}": processes for n in range(64)}
     found = assign_candidates(duties, {"d00": ["i3"], "d01": ["i3", "i1"]})
-    load = [sum(order[0] == w for order in found.values()) for w in who]
+    load = [sum(order[0] == w for order in found.values()) for w in processes]
     assert max(load) <= 13 and sum(load) == 64
-    assert found["d00"][0] == who[3] and found["d01"][0] == who[3]
+    assert found["d00"][0] == processes[3] and found["d01"][0] == processes[3]
     # One process leaves: the others keep their duties, except those that its duties push over the bound.
-    remaining = assign_candidates({d: who[:4] for d in duties}, {})
+    remaining = assign_candidates({d: processes[:4] for d in duties}, {})
     unchanged = sum(1 for d in duties if remaining[d][0] == assign_candidates(duties, {})[d][0])
     assert unchanged >= 40
     assert assign_candidates({"d": []}, {}) == {"d": []}
