--- a/mintford/attempts.py
+++ b/mintford/attempts.py
@@ -22,20 +22,20 @@
     """One request that needs a final answer, and the backends its next attempt may go to."""
 
     def __init__(
-        self, event: api.RequestArrived, kind: api.RequestClass, c: Customer, now: float, elapsed: float
+        self, event: api.RequestArrived, kind: api.RequestClass, record: Customer, now: float, elapsed: float
     ) -> None:
         """`elapsed`: estimated milliseconds since the client's first try of this request."""
-        super().__init__(event, kind, c.plan.name)
-        self.customer, self.target_at = c, min(event.expires, now + kind.latency_target)
+        super().__init__(event, kind, record.plan.name)
+        self.customer, self.target_at = record, min(event.expires, now + kind.latency_target)
         self.first_target_at = self.target_at - elapsed  # counted from the client's first try
         self.possibly_run: list[Attempt] = []  # attempts that may have run or are in flight, earliest first
 
-    def can_send_to(self, now: float, b: Backend) -> bool:
+    def can_send_to(self, now: float, target: Backend) -> bool:
         """Whether the next attempt may go to this backend, given the attempts that may have run."""
-        if b.entry.zone in self.excluded_pools or b.id in self.tried_backends:
+        if target.entry.zone in self.excluded_pools or target.id in self.tried_backends:
             return False
         first = next(iter(self.possibly_run), None)
-        return first is None or can_repeat(self.kind, first.backend.entry, first.sent_at, b.entry, now)
+        return first is None or can_repeat(self.kind, first.backend.entry, first.sent_at, target.entry, now)
 
 
 class Attempts:
--- a/mintford/changes.py
+++ b/mintford/changes.py
@@ -24,12 +24,12 @@
     elif event.plan is not None:
         quotas.plans[event.plan.name] = event.plan
     changed_customer = quotas.customers.get(event.customer)
-    for c in (
+    for record in (
         [changed_customer] if changed_customer else [] if event.customer else list(quotas.customers.values())
     ):
-        plan = quotas.get_plan(c.key, c.plan_name)
-        if plan is not c.plan:
-            change_plan(quotas, now, c, plan)
+        plan = quotas.get_plan(record.key, record.plan_name)
+        if plan is not record.plan:
+            change_plan(quotas, now, record, plan)
 
 
 def apply_settings(quotas: Quotas, now: float, old: api.Settings, new: api.Settings) -> None:
@@ -46,24 +46,26 @@
         quotas.plans.pop(name, None)
 
 
-def change_plan(quotas: Quotas, now: float, c: Customer, plan: api.Plan) -> None:
+def change_plan(quotas: Quotas, now: float, customer: Customer, plan: api.Plan) -> None:
     """Move a customer to other terms. Its debts stay as they are."""
-    quotas.refill(now, c)  # up to now at the old rate
-    added_burst, old, old_ceiling = plan.burst - c.plan.burst, c.plan, c.ceiling
+    quotas.refill(now, customer)  # up to now at the old rate
+    added_burst, old, old_ceiling = plan.burst - customer.plan.burst, customer.plan, customer.ceiling
     has_counted_quota = quotas.settings.has_counter and plan.rate > 0
-    c.apply_plan(plan)
-    c.store += added_burst
+    customer.apply_plan(plan)
+    customer.store += added_burst
     # Over all gateways this adds up to the difference, however uneven their leases are.
-    c.tokens += added_burst * c.even_share
-    c.fresh_until = now  # the lease was sized for the old plan, so the next call sizes it again
+    customer.tokens += added_burst * customer.even_share
+    customer.fresh_until = now  # the lease was sized for the old plan, so the next call sizes it again
     if not old.rate:
         # No gateway charges anything under a plan without a quota, so its wants and totals mean nothing. This
         # gateway follows the store from its next reading on, and keeps to the even share until then.
-        c.has_reading = False
-        c.tokens = min(c.tokens, plan.burst * c.even_share)
+        customer.has_reading = False
+        customer.tokens = min(customer.tokens, plan.burst * customer.even_share)
     # Units spent without a ceiling were not counted. So a new ceiling starts empty, as after a restart,
     # otherwise it could be exceeded.
-    c.ceiling = Ceiling(plan, c.even_share, has_counted_quota, 0.0, c.max_units, quotas.settings.rights_ratio)
-    c.ceiling.set_gateway_share(quotas.gateway_share, 1.0)
+    customer.ceiling = Ceiling(
+        plan, customer.even_share, has_counted_quota, 0.0, customer.max_units, quotas.settings.rights_ratio
+    )
+    customer.ceiling.set_gateway_share(quotas.gateway_share, 1.0)
     if old.ceiling_rate:
-        c.ceiling.carry_over_debt(old_ceiling)
+        customer.ceiling.carry_over_debt(old_ceiling)
--- a/mintford/handover.py
+++ b/mintford/handover.py
@@ -51,21 +51,21 @@
     # then, and for no longer. Otherwise the ceiling could be exceeded.
     quotas.started_at = state.complete_since
     for snapshot in state.customers:
-        c = quotas.customers.get(snapshot.customer)
-        if c is None:
-            c = quotas.add_customer(snapshot.customer, snapshot.plan, snapshot.spread, now, now, 0.0)
+        record = quotas.customers.get(snapshot.customer)
+        if record is None:
+            record = quotas.add_customer(snapshot.customer, snapshot.plan, snapshot.spread, now, now, 0.0)
             for name, value in snapshot.lease.items():
-                setattr(c, api.LEASE_FIELDS[name], value)
-            c.tokens = 0.0
-        c.tokens += snapshot.tokens
-        quotas.charge(c, snapshot.unsaid)
-        c.ceiling.own_tokens, c.ceiling.shared_allowance = (
-            c.ceiling.own_tokens + snapshot.own,
-            c.ceiling.shared_allowance + snapshot.unused,
+                setattr(record, api.LEASE_FIELDS[name], value)
+            record.tokens = 0.0
+        record.tokens += snapshot.tokens
+        quotas.charge(record, snapshot.unsaid)
+        record.ceiling.own_tokens, record.ceiling.shared_allowance = (
+            record.ceiling.own_tokens + snapshot.own,
+            record.ceiling.shared_allowance + snapshot.unused,
         )
     for saved in state.backends:
-        if (b := fleet.backends.get(saved.backend)) and b.started == saved.started:
-            b.marks.update(saved.marks)
+        if (backend_record := fleet.backends.get(saved.backend)) and backend_record.started == saved.started:
+            backend_record.marks.update(saved.marks)
     if state.typical and not fleet.latency_samples:
         fleet.typical_latency, fleet.latency_samples, fleet.recent_latency, fleet.recent_latency_at = (
             state.typical,
--- a/mintford/orders.py
+++ b/mintford/orders.py
@@ -32,8 +32,8 @@
         """
         if not (limits := self.current.limit_names):
             return ()
-        c, kind, pool = request.customer, request.kind.name, backend.entry.zone
-        scopes = ("class", kind), ("plan", c.plan.name), ("customer", c.key)
+        record, kind, pool = request.customer, request.kind.name, backend.entry.zone
+        scopes = ("class", kind), ("plan", record.plan.name), ("customer", record.key)
         names = tuple(n for scope in scopes for n in limits.get(scope, ()) if n not in request.granted_limits)
         request.pending_pool = "" if names else pool
         return names or tuple(n for n in limits.get(("pool", pool), ()) if n not in request.granted_limits)
--- a/mintford/rules.py
+++ b/mintford/rules.py
@@ -96,19 +96,19 @@
 
     def on_request(self, now: float, event: api.RequestArrived, out: api.Actions) -> None:
         """Decide on a new request, or let it wait for a reading of the counter."""
-        remaining, c = event.expires - now, self.quotas.get_customer(now, event, out)
+        remaining, customer = event.expires - now, self.quotas.get_customer(now, event, out)
         kind = self.classes.get(event.request_class) or api.RequestClass(
             event.request_class, remaining, remaining
         )
         request = self.attempts.requests[event.request] = Request(
-            event, kind, c, now, self.attempts.estimate_elapsed(kind, remaining, event.is_repeat)
+            event, kind, customer, now, self.attempts.estimate_elapsed(kind, remaining, event.is_repeat)
         )
         request.attempt_limit = self.settings.max_attempts
         # A gateway that accepts no new requests refuses them, so that clients can try another one at once.
         if not self.admits_requests or self.orders.is_refused(event):
             return self.attempts.finish(request, out)
         worth = kind.importance / max(self.loop_lag.top_importance, 1e-9)
-        if self.quotas.refresh(now, c, request.units, request.id, out, worth):
+        if self.quotas.refresh(now, customer, request.units, request.id, out, worth):
             self.attempts.schedule_check(now, request, now + 2 * self.settings.counter_timeout, out)
         else:
             self.admit_request(now, request, out)
@@ -204,11 +204,11 @@
 
     def admit_request(self, now: float, request: Request, out: api.Actions, counted: bool = False) -> None:
         """Send the request if quota, ceiling, orders and load allow it, else refuse it."""
-        c, kind, plan, units = request.customer, request.kind, request.customer.plan, request.units
+        record, kind, plan, units = request.customer, request.kind, request.customer.plan, request.units
         counted = counted or request.has_rights
-        shortage = units - c.tokens if plan.rate else 0.0  # 0 or less if the lease can pay
-        exceeds_open_limit = bool(plan.open_limit) and c.open_attempts + 1 > max(
-            1.0, plan.open_limit * c.rate_share
+        shortage = units - record.tokens if plan.rate else 0.0  # 0 or less if the lease can pay
+        exceeds_open_limit = bool(plan.open_limit) and record.open_attempts + 1 > max(
+            1.0, plan.open_limit * record.rate_share
         )
         load_ratio = (expected := self.shedding.estimate_latency(now)) / max(kind.latency_target, 1.0)
         added_tokens = (
@@ -218,12 +218,12 @@
         earned_ratio = (
             plan.overage_earnings - plan.overage_cost if shortage > 0 or exceeds_open_limit else 1.0
         )
-        over_ceiling = bool(plan.ceiling_rate) and not c.ceiling.can_pay(units, counted)
+        over_ceiling = bool(plan.ceiling_rate) and not record.ceiling.can_pay(units, counted)
         # The allocators of rights know only the ceilings in the settings. A ceiling with other terms is
         # enforced by this gateway's own part alone.
         needs_rights = (
             over_ceiling
-            and c.ceiling.uses_rights
+            and record.ceiling.uses_rights
             and not request.rights_requested
             and plan in self.settings.plans
         )
@@ -234,29 +234,29 @@
         has_spare_capacity = (
             load_ratio < SPARE_CAPACITY_RATIO
             and earned_ratio == 1.0
-            and c.store > LOW_STORE_RATIO * plan.burst
+            and record.store > LOW_STORE_RATIO * plan.burst
         )
         reserved_units = (
             self.shedding.compute_reserved_ratio(kind) * plan.burst
-            if c.is_store_known() and earned_ratio == 1.0
+            if record.is_store_known() and earned_ratio == 1.0
             else 0.0
         )
         refused = (
             refused
             or (is_late and not has_spare_capacity)
-            or (reserved_units > 0 and c.store - units < reserved_units)
+            or (reserved_units > 0 and record.store - units < reserved_units)
         )
         refused = refused or self.shedding.is_too_late(now, kind, earned_ratio, request.target_at, expected)
         filter_backend = request.can_send_to if request.excluded_pools else None
         backend = None if refused else self.fleet.choose_backend(now, request.marks, filter_backend)
         if backend is None:
             wait = (
-                shortage * 1000 / max(plan.rate * c.rate_share, 1e-9)
+                shortage * 1000 / max(plan.rate * record.rate_share, 1e-9)
                 if shortage > 0
                 else kind.latency_target * DEFAULT_TIMEOUT_RATIO
             )
-            if c.unreported_units < 0:
-                self.quotas.report_spending(now, c, out)
+            if record.unreported_units < 0:
+                self.quotas.report_spending(now, record, out)
             return self.attempts.finish(request, out, wait)
         if (required_limits := self.orders.list_required_limits(request, backend)) or needs_rights:
             request.rights_requested, request.pending_limits = (
@@ -265,10 +265,12 @@
             )
             self.attempts.schedule_check(now, request, now + 2 * self.settings.counter_timeout, out)
             return out.append(
-                api.SpendRights(request.id, plan.name if needs_rights else "", c.key, units, required_limits)
+                api.SpendRights(
+                    request.id, plan.name if needs_rights else "", record.key, units, required_limits
+                )
             )
-        request.charged_units = self.quotas.take(c, units, shortage <= 0, counted)
-        self.quotas.report_spending(now, c, out)
+        request.charged_units = self.quotas.take(record, units, shortage <= 0, counted)
+        self.quotas.report_spending(now, record, out)
         self.send_attempt(now, request, backend, out)
 
     def send_attempt(self, now: float, request: Request, backend: Backend, out: api.Actions) -> None:
--- a/tests/decisions/test_ceilings.py
+++ b/tests/decisions/test_ceilings.py
@@ -184,7 +184,7 @@
     assert quotas.counter_lost_at < 0 and quotas.customers["c"].ceiling.shared_tokens > 0
 
 
-def test_a_counter_that_comes_back_empty_gives_a_gateway_nothing_twice() -> None:
+def test_restarted_counter_gives_a_gateway_no_unit_twice() -> None:
     site = Installation(2, 1)
     site.pass_time(60_000)
     for _ in range(80):
@@ -196,9 +196,9 @@
     assert site.sent - before == 0
 
 
-def test_the_shared_part_is_judged_by_the_totals_and_by_what_was_taken_here() -> None:
+def test_shared_part_is_bounded_by_totals_and_by_own_spending() -> None:
     ceiling = Ceiling(PLAN, 0.5, True, 0.0, 1.0)
-    assert not ceiling.can_pay(1, True), "no total has shown that anything is there"
+    assert not ceiling.can_pay(1, True), "no total has shown any units yet"
     ceiling.estimate_shared_tokens(spent=3, last_epoch_spent=0, seconds=1)
     pool = BURST * MAX_SHARED_RATIO
     assert (
@@ -208,13 +208,13 @@
     )
     ceiling.take(2, True)
     ceiling.estimate_shared_tokens(spent=0, last_epoch_spent=0, seconds=1)
-    assert ceiling.shared_tokens == pool - 2, "a total without what was taken here proves nothing of it"
+    assert ceiling.shared_tokens == pool - 2, "a total that lacks own spending does not return it"
     ceiling.estimate_shared_tokens(spent=0, last_epoch_spent=100, seconds=1)
     assert ceiling.shared_tokens == RATE * MAX_SHARED_RATIO, (
-        "all of the last epoch's may have been spent at its end"
+        "all units of the last epoch may have been spent at its end"
     )
     ceiling.subtract_peer_spending(-5)
-    assert ceiling.shared_tokens == RATE * MAX_SHARED_RATIO, "a settlement gives a ceiling nothing back"
+    assert ceiling.shared_tokens == RATE * MAX_SHARED_RATIO, "a settlement returns nothing to a ceiling"
     ceiling.subtract_peer_spending(1)
     ceiling.refill(0.1)
     assert ceiling.shared_tokens == RATE * MAX_SHARED_RATIO - 1 + 0.1 * RATE * MAX_SHARED_RATIO
@@ -232,4 +232,4 @@
     )
     for times in (1.3, 1.6, 2.0, 2.5):
         assert (1 - compute_shared_ratio(plan(times), 0.5, 1)) * times >= SPLIT_QUOTA_RATIO - 1e-9
-    assert compute_shared_ratio(plan(3), 1 / 30, 1) == 0, "among many nothing is shared"
+    assert compute_shared_ratio(plan(3), 1 / 30, 1) == 0, "nothing is shared among many gateways"
--- a/tests/decisions/test_rules_hold.py
+++ b/tests/decisions/test_rules_hold.py
@@ -108,9 +108,9 @@
         elif what == "c" and self.calls:
             call = self.calls.pop(0)
             self.check(world.give(api.CounterReplied(call.name, OUTCOMES[which], amount / 10)))
-        elif what == "x" and (left := [r for r in self.sent if r not in self.final]):
-            self.final.add(left[amount % len(left)])
-            self.check(world.give(api.RequestAbandoned(left[amount % len(left)])))
+        elif what == "x" and (open_requests := [r for r in self.sent if r not in self.final]):
+            self.final.add(open_requests[amount % len(open_requests)])
+            self.check(world.give(api.RequestAbandoned(open_requests[amount % len(open_requests)])))
 
     def pass_time(self, amount: float) -> None:
         for _ in range(int(amount // 50) + 1):
--- a/tests/decisions/test_settlement.py
+++ b/tests/decisions/test_settlement.py
@@ -178,9 +178,9 @@
     site.pass_time(10_000)
     site.ask(0, "view", 4.0)
     c = site.worlds[0].gateway.quotas.customers["c"]
-    left = c.ceiling.own_tokens, c.ceiling.shared_tokens
+    before = c.ceiling.own_tokens, c.ceiling.shared_tokens
     site.end(0, api.Outcome.OK, 8.0)
-    assert (c.ceiling.own_tokens, c.ceiling.shared_tokens) == left
+    assert (c.ceiling.own_tokens, c.ceiling.shared_tokens) == before
 
 
 def test_try_beyond_the_quota_is_neither_charged_nor_settled() -> None:
