--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -1,4 +1,4 @@
-"""One program for every deployment: no name of any in it, and errors that name the key and what is right."""
+"""One program for all deployments: it contains none of their names. Errors name the key and a valid value."""
 
 from __future__ import annotations
 
@@ -18,30 +18,30 @@
 ROOT = Path(__file__).parents[1]
 SITES = sorted((ROOT / "deploy/sites").glob("*.toml"))
 PROGRAM = [p for top in ("mintford", "roadpulley") for p in (ROOT / top).rglob("*.*") if p.suffix != ".pyc"]
-OURS = "plotline brennan lagos turku naas parcel-view search-order space-query map-fleet".split()
+CUSTOMER_NAMES = "plotline brennan lagos turku naas parcel-view search-order space-query map-fleet".split()
 
 
 def names(site: Path) -> list[str]:
     raw = tomllib.loads(site.read_text())
-    told = [each["name"] for kind in ("class", "tier", "tenant") for each in raw[kind]]
-    return [raw["name"], *told]
+    listed_names = [each["name"] for kind in ("class", "tier", "tenant") for each in raw[kind]]
+    return [raw["name"], *listed_names]
 
 
 @pytest.mark.parametrize("site", SITES, ids=lambda site: site.stem)
-def test_no_name_of_a_deployment_stands_in_the_program(site: Path) -> None:
+def test_the_program_contains_no_name_of_a_deployment(site: Path) -> None:
     # Whole words in quotes: `track` is English, and a class's name only where something is compared with it.
     quoted = re.compile("|".join(rf"""["']{re.escape(name)}["']""" for name in names(site)))
     found = [(path.name, got[0]) for path in PROGRAM if (got := quoted.search(path.read_text()))]
     assert not found
 
 
-@pytest.mark.parametrize("name", OURS)
-def test_no_name_of_a_customer_stands_in_the_program(name: str) -> None:
+@pytest.mark.parametrize("name", CUSTOMER_NAMES)
+def test_the_program_contains_no_name_of_a_customer(name: str) -> None:
     assert not [path.name for path in PROGRAM if name in path.read_text().lower()]
 
 
 def site_settings(site: Path) -> dict[str, Any]:
-    """What a gateway of such a deployment is told of its classes, plans and rules."""
+    """The settings of a gateway of a deployment: its classes, plans and rules."""
     raw = tomllib.loads(site.read_text())
     effects = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}
     return {
@@ -68,25 +68,30 @@
 
 
 @pytest.mark.parametrize("site", SITES, ids=lambda site: site.stem)
-def test_each_deployment_is_served_in_all_its_classes_and_plans(site: Path) -> None:
-    told = site_settings(site)
+def test_every_class_and_plan_of_each_deployment_is_served(site: Path) -> None:
+    settings = site_settings(site)
 
-    class Elsewhere(World):
+    class SiteWorld(World):
         def config(self) -> dict[str, Any]:
-            return {**super().config(), "settings": told}
+            return {**super().config(), "settings": settings}
 
     async def scenario() -> None:
-        async with running(Elsewhere(Backend())) as world:
+        async with running(SiteWorld(Backend())) as world:
             peer = await world.client()
-            for number, kind in enumerate(told["classes"]):
-                for place, plan in enumerate(told["packages"]):
-                    verb = b"API.READ" if kind["effect"] == "pure" else b"API.WRITE"
-                    customer, id = b"%016x" % (number * 10 + place), b"%d-%d" % (number, place)
-                    listed = f"c={kind['name']},t={plan['name']},d={int(kind['deadline'])}"
-                    key = ",k=one" if kind["effect"] == "token" else ""
-                    listed += f"{key},units=1,spread=1,first=0"
-                    peer.send(verb, customer, id, listed.encode())
-                    assert await peer.receive() == b"value", (kind["name"], plan["name"])
+            for class_index, class_settings in enumerate(settings["classes"]):
+                for plan_index, plan in enumerate(settings["packages"]):
+                    verb = b"API.READ" if class_settings["effect"] == "pure" else b"API.WRITE"
+                    customer, id = (
+                        b"%016x" % (class_index * 10 + plan_index),
+                        b"%d-%d" % (class_index, plan_index),
+                    )
+                    attributes = (
+                        f"c={class_settings['name']},t={plan['name']},d={int(class_settings['deadline'])}"
+                    )
+                    key = ",k=one" if class_settings["effect"] == "token" else ""
+                    attributes += f"{key},units=1,spread=1,first=0"
+                    peer.send(verb, customer, id, attributes.encode())
+                    assert await peer.receive() == b"value", (class_settings["name"], plan["name"])
 
     in_loop(scenario)
 
@@ -115,9 +120,7 @@
     ],
     ids=str,
 )
-def test_a_start_short_of_a_key_names_it_and_what_would_be_right(
-    tmp_path: Path, path: tuple[Any, ...], words: str
-) -> None:
+def test_a_missing_key_is_named_with_a_valid_value(tmp_path: Path, path: tuple[Any, ...], words: str) -> None:
     raw = config()
     table: Any = raw
     for key in path[:-1]:
@@ -137,7 +140,7 @@
         ("group", "hall", "settings.classes[0].group: is 'hall'; did you mean all?"),
     ],
 )
-def test_a_start_with_nonsense_names_the_key_and_what_would_be_right(
+def test_an_invalid_value_is_named_with_a_valid_one(
     tmp_path: Path, key: str, value: object, words: str
 ) -> None:
     raw = config()
@@ -151,10 +154,10 @@
     ("key", "value", "words"),
     [("deadline", -5, "deadline: is -5"), ("aim", 9e9, "aim: is 9000000000"), ("repeatWindow", -1, "is -1")],
 )
-def test_what_is_odd_and_can_be_read_is_said_and_served_with(
+def test_values_out_of_range_are_logged_and_used_at_the_start(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, key: str, value: object, words: str
 ) -> None:
-    """At a start there is no other configuration to go by."""
+    """At the start there is no previous configuration to keep."""
     raw = config()
     raw["settings"]["classes"][0][key] = value
     file = tmp_path / "config.json"
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,6 +1,7 @@
-"""Descriptors under idle clients while discovery is down: what the rest needs is kept back for it.
+"""File descriptors with many idle clients while discovery is down: some are reserved for everything else.
 
-The process is allowed far fewer than the platform tells, so that shares of what is told would leave none.
+The process is allowed far fewer descriptors than the platform configures, so shares of the configured number
+would leave none.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
     return process
 
 
-def test_discovery_s_return_is_followed_and_clients_are_served_however_many_are_idle(tmp_path: Path) -> None:
+def test_with_many_idle_clients_discovery_and_new_clients_get_descriptors(tmp_path: Path) -> None:
     async def scenario() -> None:
         old, new = Backend(), Backend()
         world = World(old)
@@ -59,12 +60,12 @@
             idle = [socket.create_connection((LOCAL, port)) for _ in range(3 * ALLOWED)]
             peer = Peer(*await asyncio.open_connection(LOCAL, port))
             peer.send(*request(b"first"))
-            assert await peer.receive() == b"value"  # unused ones have made room for it
+            assert await peer.receive() == b"value"  # unused connections were closed to make room
             world.discovery.hush(False)
             await until(lambda: world.discovery.watches)
             world.discovery.change(42, host("h0", old.port, "draining"), host("h1", new.port))
             count = 0
-            while not new.got:  # the watch is heard, and a backend not met before gets its connection
+            while not new.got:  # the watch is read, and a new backend gets a connection
                 count += 1
                 peer.send(*request(b"%d" % count))
                 assert await peer.receive() is not None
@@ -73,11 +74,11 @@
             other = Peer(*await asyncio.open_connection(LOCAL, port))
             other.send(*request(b"other"))
             assert await other.receive() == b"value"
-            for one in (peer, other):
-                one.close()
+            for client in (peer, other):
+                client.close()
         finally:
-            for one in idle:
-                one.close()
+            for client in idle:
+                client.close()
             process.kill()
             await process.wait()
             for server in servers:
@@ -86,8 +87,8 @@
     in_loop(scenario)
 
 
-def test_without_a_descriptor_all_goes_on_once_there_is_one_again(tmp_path: Path) -> None:
-    """EMFILE on accept, on a connect to a backend and on the watch: none of them is given up for good."""
+def test_service_resumes_once_descriptors_are_available_again(tmp_path: Path) -> None:
+    """After EMFILE, accepting clients, connecting to backends and watching discovery are all retried."""
 
     async def scenario() -> None:
         old, new = Backend(), Backend()
@@ -101,8 +102,8 @@
             allowed = resource.prlimit(process.pid, resource.RLIMIT_NOFILE)
             resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (3, allowed[1]))
             world.discovery.change(42, host("h0", old.port, "draining"), host("h1", new.port))
-            await until(lambda: old.ended)  # the change is heard
-            peer.send(*request(b"second"))  # and the other backend can't be reached
+            await until(lambda: old.ended)  # the change was received
+            peer.send(*request(b"second"))  # no descriptor for a connection to the other backend
             assert str(await peer.receive()).startswith(("BUSY", "ERR"))
             waiting = Peer(*await asyncio.open_connection(LOCAL, port))
             waiting.send(*request(b"third"))
@@ -118,14 +119,14 @@
             assert await waiting.receive() == b"value"
             peer.send(*request(b"fourth"))
             assert await peer.receive() == b"value" and len(new.got) == 2
-            for one in (peer, waiting):
-                one.close()
+            for client in (peer, waiting):
+                client.close()
         await new.stop()
 
     in_loop(scenario)
 
 
-def test_shares_are_of_what_may_be_held_and_leave_a_part_for_the_rest(
+def test_descriptor_shares_follow_the_limit_and_leave_headroom(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     limits = [(100, 100)]
@@ -138,5 +139,5 @@
     assert reserve_descriptors(1_024) == 1_024 == limits[-1][0]
     limits.append((4_096, 4_096))
     assert reserve_descriptors(1_024) == 1_024
-    # For a watch and the one after it, the counter's four, the listener, the loop's own.
+    # For a watch and its successor, four counter connections, the listener, and those of the event loop.
     assert ALLOWED - int(ALLOWED * CLIENT_DESCRIPTORS_RATIO) - int(ALLOWED * BACKEND_DESCRIPTORS_RATIO) >= 20
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -11,7 +11,7 @@
 CASE = "case a long soak | roadpulley soak --seed 3 --for 600 | two requests lost | issue 7"
 
 
-def test_the_list_as_it_stands(request: pytest.FixtureRequest) -> None:
+def test_the_current_list_is_valid(request: pytest.FixtureRequest) -> None:
     entries = parse_list(LIST_PATH.read_text())
     root = LIST_PATH.parent
     assert not [e.name for e in entries if e.is_test and not (root / e.file).is_file()]
@@ -51,12 +51,12 @@
         "case | roadpulley soak --seed 3 | two requests lost | issue 7",
     ],
 )
-def test_anything_else_is_refused(text: str) -> None:
+def test_an_invalid_line_raises_known_red_error(text: str) -> None:
     with pytest.raises(KnownRedError):
         parse_list(text)
 
 
-def test_an_entry_that_is_no_test_is_found_where_its_file_is_collected() -> None:
+def test_a_missing_test_is_found_if_its_file_is_collected() -> None:
     entries = parse_list(GOOD + "\n" + CASE)
     assert find_missing_tests(entries, {"tests/a/test_b.py::test_d"}) == ["tests/a/test_b.py::test_c"]
     assert find_missing_tests(entries, {"tests/a/test_b.py::test_c"}) == []
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -60,7 +60,7 @@
 async def started(
     world: World, folder: Path, *others: Server, how: Start = start, **addresses: str
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, Path]]:
-    """The program as a process in a world, which may not serve yet; gives its configuration too."""
+    """The program as a process in a world, and its configuration file. It may not be serving yet."""
     servers = [*world.backends, world.counter, world.discovery, *others]
     for server in servers:
         await server.start()
@@ -81,15 +81,15 @@
 async def launched(
     world: World, folder: Path, *others: Server
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, Path, int]]:
-    """The same at a port that is given too."""
+    """Like `started`, with the port as well."""
     with socket.create_server((LOCAL, 0)) as free:
         port = free.getsockname()[1]
     async with started(world, folder, *others, listen=f"{LOCAL}:{port}") as (process, config):
         yield process, config, port
 
 
-class Held:
-    """A backend's script that answers once it may."""
+class BlockedScript:
+    """A backend script that answers after `go_on` is set."""
 
     def __init__(self) -> None:
         self.go_on = asyncio.Event()
@@ -99,22 +99,22 @@
         return b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
 
-def test_sigterm_finishes_what_is_in_and_ends_with_0(tmp_path: Path) -> None:
+def test_sigterm_completes_open_requests_and_exits_with_0(tmp_path: Path) -> None:
     async def scenario() -> None:
-        held = Held()
-        backend = Backend(held)
+        script = BlockedScript()
+        backend = Backend(script)
         async with launched(World(backend), tmp_path) as (process, _, port):
             peer, idle = await connect(port), await connect(port)
             peer.send(b"PING")
             assert await peer.receive() == b"PONG"
-            peer.send(*request(name=b"wipe"))  # waited for to its end
+            peer.send(*request(name=b"wipe"))  # completed before the process exits
             await until(lambda: backend.got)
             process.send_signal(signal.SIGTERM)
-            late = await connect(port)  # the front has not noticed yet
+            late = await connect(port)  # the front may still send new connections
             late.send(b"PING")
             assert await late.receive() == b"PONG"
             assert process.returncode is None
-            held.go_on.set()
+            script.go_on.set()
             assert await peer.receive() == b"value"
             assert await idle.receive() is None  # closed between requests
             assert await peer.receive() is None
@@ -123,16 +123,16 @@
     in_loop(scenario)
 
 
-def test_sighup_takes_up_new_addresses_and_leaves_open_requests_alone(tmp_path: Path) -> None:
+def test_sighup_applies_new_addresses_and_keeps_open_requests(tmp_path: Path) -> None:
     async def scenario() -> None:
-        held = Held()
-        backend, late = Backend(held), Backend()
+        script = BlockedScript()
+        backend, late = Backend(script), Backend()
         world, other = World(backend), World(late)
         others = [late, other.counter, other.discovery]
         async with launched(world, tmp_path, *others) as (process, config, port):
             other.discovery.whole = {"seq": 3, "whole": True, "hosts": other.hosts()}
             peer, second = await connect(port), await connect(port)
-            peer.send(*request(name=b"wipe", plan=b"basic"))  # waited for to its end
+            peer.send(*request(name=b"wipe", plan=b"basic"))  # completed despite the reload
             await until(lambda: backend.got)
             config.write_text("not a configuration")
             process.send_signal(signal.SIGHUP)
@@ -145,11 +145,11 @@
             second.send(*request(b"second", name=b"wipe"))
             assert await second.receive() == b"value"
             assert len(late.got) == 1
-            third = await connect(port)  # `listen` stays
+            third = await connect(port)  # the `listen` address doesn't change
             third.send(*request(b"third", plan=b"basic", customer=b"00000000b4d65522"))
             assert await third.receive() == b"value"
             await until(lambda: other.counter.got)
-            held.go_on.set()
+            script.go_on.set()
             assert await peer.receive() == b"value"
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
@@ -157,8 +157,8 @@
     in_loop(scenario)
 
 
-def test_what_is_open_at_the_end_is_failed_rather_than_lost(monkeypatch: pytest.MonkeyPatch) -> None:
-    """SIGKILL would leave its client without an answer; whether it ran is not known, so it is no refusal."""
+def test_requests_open_at_the_end_of_a_drain_are_failed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """SIGKILL would leave the client without an answer. The request may have run, so it isn't refused."""
     monkeypatch.setattr("roadpulley.__main__.compute_drain_times", lambda settings: (0.05, 0.1))
 
     async def silent(command: list[bytes]) -> Reply:
@@ -178,20 +178,20 @@
 
 
 @pytest.mark.parametrize(
-    ("aim", "deadline", "times"),
+    ("latency_target", "deadline", "times"),
     [(390.0, 1400.0, (1.41, 1.8)), (1500.0, 4000.0, (1.9, 3.4)), (3000.0, 3000.0, (0.45, 3.4))],
 )
-def test_a_drain_serves_on_and_ends_before_sigkill(
-    aim: float, deadline: float, times: tuple[float, float]
+def test_drain_times_end_before_sigkill(
+    latency_target: float, deadline: float, times: tuple[float, float]
 ) -> None:
-    """SIGKILL comes no sooner than the longest deadline, 3 s at most, and 0.7 s more."""
-    kind = api.RequestClass("view", aim, deadline)
+    """SIGKILL follows SIGTERM after the longest deadline, at most 3 s, plus 0.7 s."""
+    kind = api.RequestClass("view", latency_target, deadline)
     assert compute_drain_times(settings(classes=(kind,))) == pytest.approx(times)
     assert times[1] <= min(deadline / 1000, 3) + 0.7
 
 
-def test_connections_that_clients_have_are_served_while_draining(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The place of this gateway is empty until it is back."""
+def test_existing_connections_are_served_during_a_drain(monkeypatch: pytest.MonkeyPatch) -> None:
+    """There is no other gateway for these clients until this one has restarted."""
     monkeypatch.setattr("roadpulley.__main__.compute_drain_times", lambda settings: (0.3, 0.6))
 
     async def scenario() -> None:
@@ -207,13 +207,13 @@
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{}", '{"listen": "here", "discovery": "there", "settings": {}}'])
-def test_a_bad_configuration_is_named_in_one_line(tmp_path: Path, text: str) -> None:
+def test_an_invalid_configuration_is_reported_in_one_line(tmp_path: Path, text: str) -> None:
     config = tmp_path / "config.json"
     config.write_text(text)
     assert refused_start(config)
 
 
-def test_the_settings_are_those_of_the_simulator_s_wire() -> None:
+def test_settings_are_parsed_from_the_simulator_s_format() -> None:
     config = parse_config(
         {
             "listen": "10.0.0.4:6379",
@@ -228,8 +228,8 @@
         parse_config({"listen": "10.0.0.4:6379", "discovery": "x", "settings": {}})
 
 
-def test_timers_never_come_early_and_keep_their_order(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The module ignores a timer that comes early, and the request it was for would never be ended."""
+def test_timers_never_fire_early_and_keep_their_order(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The decision module ignores a timer that fires early, so its request would never end."""
 
     async def scenario() -> None:
         timers = clock.Timers(asyncio.get_running_loop())
@@ -237,21 +237,21 @@
         early: list[float] = []
         fired: list[int] = []
 
-        def fire(place: int, due: float) -> None:
-            fired.append(place)
+        def fire(order: int, due: float) -> None:
+            fired.append(order)
             early.append(due - clock.now_ms())
 
         waits = [3.4, 0.6, 2.5, 0.0, 7.7, 1.49]
         for wait in waits:
-            place, due = waits.index(wait), start + wait
-            timers.call_at(due, lambda place=place, due=due: fire(place, due))  # type: ignore[misc]
+            order, due = waits.index(wait), start + wait
+            timers.call_at(due, lambda order=order, due=due: fire(order, due))  # type: ignore[misc]
         await until(lambda: len(fired) == len(waits))
         assert fired == [3, 1, 5, 2, 0, 4] and max(early) <= 0
 
     in_loop(scenario)
 
 
-def test_a_fault_in_one_timer_does_not_lose_those_beside_it() -> None:
+def test_an_exception_in_one_timer_does_not_lose_the_others() -> None:
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda loop, context: faults.append(context["exception"]))
@@ -273,7 +273,7 @@
     in_loop(scenario)
 
 
-def test_a_cancelled_timer_is_silent_and_wakes_nobody() -> None:
+def test_a_cancelled_timer_does_not_fire() -> None:
     async def scenario() -> None:
         timers = clock.Timers(asyncio.get_running_loop())
         fired: list[str] = []
@@ -288,13 +288,13 @@
 
 @pytest.mark.parametrize("key", ["groupSize", "selfIndex"])
 @pytest.mark.parametrize("value", [-1, 0.5, "four", True, [3], float("nan")])
-def test_a_place_among_the_gateways_that_can_not_be_is_named_at_load(key: str, value: object) -> None:
+def test_an_invalid_group_size_or_index_is_rejected_at_load(key: str, value: object) -> None:
     raw = {"listen": "10.0.0.4:6379", "discovery": "10.2.0.1:8500", "settings": {key: value}}
     with pytest.raises(ConfigError, match=rf"settings\.{key} is .*; give a whole number from"):
         parse_config(raw)
 
 
-def test_a_fleet_of_none_is_refused_and_one_that_is_not_told_is_one() -> None:
+def test_a_group_size_of_0_is_rejected_and_defaults_to_1() -> None:
     raw = {"listen": "10.0.0.4:6379", "discovery": "10.2.0.1:8500", "settings": {"groupSize": 0}}
     with pytest.raises(ConfigError, match="groupSize is 0"):
         parse_config(raw)
--- a/tests/test_stops.py
+++ b/tests/test_stops.py
@@ -1,4 +1,4 @@
-"""SIGTERM at unhandy moments, to the process: each taken request has its answer, and it ends with 0."""
+"""SIGTERM at difficult moments: each accepted request is answered, and the process exits with 0."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 
 import pytest
 from loopback import LOCAL, SETTINGS, Backend, Reply, World, encode, in_loop, request, said, until
-from test_process import ROOT, Held, connect, launched, started
+from test_process import ROOT, BlockedScript, connect, launched, started
 
-SHORT = {  # of classes: the drain is over after 0.45 s, and the process after 0.7 s and a little
+SHORT_DEADLINES = {  # short deadlines: the drain ends after 0.45 s, and the process shortly after 0.7 s
     **SETTINGS,
     "classes": [{"name": "view", "aim": 300.0, "deadline": 300.0, "effect": "pure", "importance": 1.0}],
 }
 
 
-class Quick(World):
+class ShortDeadlineWorld(World):
     def config(self) -> dict[str, Any]:
-        return {**super().config(), "settings": SHORT}
+        return {**super().config(), "settings": SHORT_DEADLINES}
 
 
 async def silent(command: list[bytes]) -> Reply:
     return None
 
 
-def test_a_process_that_is_told_to_end_as_it_starts_never_takes_a_client(tmp_path: Path) -> None:
-    """It waits for what its agent has, which says nothing: the call shows that it is there to be told."""
+def test_a_process_stopped_during_its_start_accepts_no_client(tmp_path: Path) -> None:
+    """The process waits for a silent agent. The call to the agent shows that its signal handlers are set."""
 
     async def scenario() -> None:
         world = World(Backend())
@@ -50,7 +50,7 @@
     in_loop(scenario)
 
 
-def test_a_process_whose_agent_is_silent_takes_clients_all_the_same(tmp_path: Path) -> None:
+def test_a_process_with_a_silent_agent_serves_clients(tmp_path: Path) -> None:
     async def scenario() -> None:
         world = World(Backend())
         world.discovery.hush(True)
@@ -63,19 +63,19 @@
     in_loop(scenario)
 
 
-def test_what_the_agent_has_at_the_start_holds_from_the_first_request_on(tmp_path: Path) -> None:
-    """It counts as told, whatever list the process was started with."""
+def test_the_agent_s_list_applies_from_the_first_request(tmp_path: Path) -> None:
+    """The list of the agent is in effect, whatever list the configuration contains."""
 
     async def scenario() -> None:
         old, new = Backend(), Backend()
 
-        class Changed(World):
+        class ChangedWorld(World):
             async def first(self, gateway: str, index: int, writer: asyncio.StreamWriter) -> None:
                 hosts = [{**self.hosts()[0], "health": "draining"}]
                 self.discovery.say(json.dumps({"seq": 42, "whole": False, "hosts": hosts}).encode(), writer)
                 await asyncio.Event().wait()
 
-        world = Changed(old, new)
+        world = ChangedWorld(old, new)
         world.discovery.follow = world.first  # type: ignore[method-assign]
         async with launched(world, tmp_path) as (_, _, port):
             peer = await connect(port)
@@ -89,7 +89,7 @@
 
 
 async def deployed(config: Path) -> asyncio.subprocess.Process:
-    """Started as `deploy/balancer.toml` says."""
+    """Starts the process with the command of `deploy/balancer.toml`."""
     run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     assert ".venv/bin/python" in run
     return await asyncio.create_subprocess_exec(
@@ -102,8 +102,8 @@
     )
 
 
-def test_a_new_configuration_that_is_told_while_it_starts_does_not_end_it(tmp_path: Path) -> None:
-    """SIGHUP from the first moment of the program on, again and again until it serves."""
+def test_sighup_during_the_start_does_not_end_the_process(tmp_path: Path) -> None:
+    """SIGHUP is sent repeatedly from the first moment of the program until it serves."""
 
     async def scenario() -> None:
         async with started(World(Backend()), tmp_path, how=deployed) as (process, _):
@@ -120,7 +120,7 @@
                 process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.001)
             process.send_signal(signal.SIGHUP)
-            await said(process, b"reloaded")  # from now on it is heard
+            await said(process, b"reloaded")  # from now on reloads are handled
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
 
@@ -129,9 +129,7 @@
 
 @pytest.mark.parametrize("key", ["listen", "admin"])
 @pytest.mark.parametrize("stops", [False, True])
-def test_an_address_that_the_process_before_holds_a_moment_longer_is_waited_for(
-    key: str, stops: bool, tmp_path: Path
-) -> None:
+def test_an_address_in_use_by_another_process_is_retried(key: str, stops: bool, tmp_path: Path) -> None:
     async def scenario() -> None:
         with socket.create_server((LOCAL, 0)) as before, socket.create_server((LOCAL, 0)) as free:
             other = "admin" if key == "listen" else "listen"
@@ -149,7 +147,7 @@
 
 
 @pytest.mark.parametrize("key", ["listen", "admin"])
-def test_an_address_of_another_machine_is_named_in_one_line(key: str, tmp_path: Path) -> None:
+def test_an_address_of_another_machine_is_reported_in_one_line(key: str, tmp_path: Path) -> None:
     world = World()
     config = tmp_path / "config.json"
     config.write_text(json.dumps({**world.config(), "listen": f"{LOCAL}:0", key: "192.0.2.1:7000"}))
@@ -167,17 +165,17 @@
 
 
 @pytest.mark.parametrize("signals", [[signal.SIGTERM] * 2, [signal.SIGHUP, signal.SIGTERM, signal.SIGHUP]])
-def test_signals_that_cross_end_it_once(tmp_path: Path, signals: list[signal.Signals]) -> None:
+def test_repeated_signals_end_the_process_once(tmp_path: Path, signals: list[signal.Signals]) -> None:
     async def scenario() -> None:
-        held = Held()
-        world = World(Backend(held))
+        script = BlockedScript()
+        world = World(Backend(script))
         async with launched(world, tmp_path) as (process, _, port):
             peer = await connect(port)
             peer.send(*request(name=b"wipe"))
             await until(lambda: world.backends[0].got)
-            for one in signals:
-                process.send_signal(one)
-            held.go_on.set()
+            for signum in signals:
+                process.send_signal(signum)
+            script.go_on.set()
             assert await peer.receive() == b"value"
             assert await peer.receive() is None
             assert await process.wait() == 0
@@ -185,34 +183,34 @@
     in_loop(scenario)
 
 
-def test_all_that_hang_are_answered_before_the_end_and_half_a_line_is_not(tmp_path: Path) -> None:
+def test_pending_requests_are_answered_before_the_exit(tmp_path: Path) -> None:
     async def scenario() -> None:
-        world = Quick(Backend(silent))
+        world = ShortDeadlineWorld(Backend(silent))
         async with launched(world, tmp_path) as (process, _, port):
-            hanging, half = await connect(port), await connect(port)
+            waiting, incomplete = await connect(port), await connect(port)
             for number in range(8):
-                hanging.send(*request(b"%d" % number, wait=500))
-            half.writer.write(encode(*request(b"half"))[:20])
+                waiting.send(*request(b"%d" % number, wait=500))
+            incomplete.writer.write(encode(*request(b"half"))[:20])
             await until(lambda: world.backends[0].got)
             process.send_signal(signal.SIGTERM)
-            answers = [await hanging.receive() for _ in range(8)]
+            answers = [await waiting.receive() for _ in range(8)]
             assert all(str(answer).startswith(("ERR", "BUSY")) for answer in answers)
-            assert await hanging.receive() is None
-            assert await half.receive() is None
+            assert await waiting.receive() is None
+            assert await incomplete.receive() is None
             assert await process.wait() == 0
 
     in_loop(scenario)
 
 
-def test_a_client_that_never_reads_does_not_keep_the_process(tmp_path: Path) -> None:
-    """A long value is being written to it as the process has to end."""
+def test_a_client_that_never_reads_does_not_delay_the_exit(tmp_path: Path) -> None:
+    """A long value is being written to the client when the process has to exit."""
     value = b"x" * 3_000_000
 
     async def large(command: list[bytes]) -> Reply:
         return b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(value), value)
 
     async def scenario() -> None:
-        world = Quick(Backend(large))
+        world = ShortDeadlineWorld(Backend(large))
         async with launched(world, tmp_path) as (process, _, port):
             stuck = await connect(port)
             stuck.send(*request(wait=500))
