--- a/tests/fleet/test_orders_world.py
+++ b/tests/fleet/test_orders_world.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from roadpulley.fleet.orders import publisher as publishing
+from roadpulley.fleet.orders import publisher as publisher_module
 from roadpulley.fleet.orders.follower import Follower
 from roadpulley.fleet.orders.messages import OrderBook, PollReply, VoterReply
 from roadpulley.fleet.orders.publisher import Publisher, PublisherState
@@ -33,72 +33,78 @@
 
 
 def test_publisher_continues_without_a_majority_with_memory() -> None:
-    found = [World(FORGETFUL, seed).run() for seed in range(SEEDS)]
-    assert sum(world.read_blank for world in found) > SEEDS / 4
+    worlds = [World(FORGETFUL, seed).run() for seed in range(SEEDS)]
+    assert sum(world.read_blank for world in worlds) > SEEDS / 4
 
 
-def accept_lower_fences(patch: pytest.MonkeyPatch) -> None:
-    def told(self: VoterState, book: OrderBook) -> VoterState:
+def accept_lower_fences(monkeypatch: pytest.MonkeyPatch) -> None:
+    def accept(self: VoterState, book: OrderBook) -> VoterState:
         return VoterState(book, max(self.promised, book.version.fence), True)
 
-    patch.setattr(VoterState, "accept", told)
+    monkeypatch.setattr(VoterState, "accept", accept)
 
 
-def count_voters_without_memory(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(VoterState, "make_reply", lambda self: VoterReply(self.promised, self.book.version, True))
+def count_voters_without_memory(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(
+        VoterState, "make_reply", lambda self: VoterReply(self.promised, self.book.version, True)
+    )
 
 
-def publish_without_replicating(patch: pytest.MonkeyPatch) -> None:
-    real = Publisher._advance
+def publish_without_replicating(monkeypatch: pytest.MonkeyPatch) -> None:
+    original = Publisher._advance
 
-    def look(self: Publisher) -> None:
-        reading = self.state is PublisherState.READING
-        real(self)
-        if reading and self.state is PublisherState.REPLICATING:
+    def advance(self: Publisher) -> None:
+        was_reading = self.state is PublisherState.READING
+        original(self)
+        if was_reading and self.state is PublisherState.REPLICATING:
             self.state, self.published = PublisherState.READY, self.book
 
-    patch.setattr(Publisher, "_advance", look)
+    monkeypatch.setattr(Publisher, "_advance", advance)
 
 
-def read_without_the_book(patch: pytest.MonkeyPatch) -> None:
-    real = Publisher.handle_voter_reply
+def read_without_the_book(monkeypatch: pytest.MonkeyPatch) -> None:
+    original = Publisher.handle_voter_reply
 
-    def kept(self: Publisher, voter: str, keeps: VoterReply, book: OrderBook | None) -> None:
-        if self.state is PublisherState.READING and keeps.promised == self.fence:
-            keeps = VoterReply(keeps.promised, min(keeps.version, self.book.version), keeps.whole)
-        real(self, voter, keeps, book)
+    def handle_voter_reply(
+        self: Publisher, voter: str, voter_reply: VoterReply, book: OrderBook | None
+    ) -> None:
+        if self.state is PublisherState.READING and voter_reply.promised == self.fence:
+            voter_reply = VoterReply(
+                voter_reply.promised, min(voter_reply.version, self.book.version), voter_reply.whole
+            )
+        original(self, voter, voter_reply, book)
 
-    patch.setattr(Publisher, "handle_voter_reply", kept)
+    monkeypatch.setattr(Publisher, "handle_voter_reply", handle_voter_reply)
 
 
-def accept_any_majority(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(publishing, "majority_size", lambda voters: 1)
+def accept_any_majority(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(publisher_module, "majority_size", lambda voters: 1)
 
 
-def follow_lower_versions(patch: pytest.MonkeyPatch) -> None:
-    real = Follower.handle_reply
+def follow_lower_versions(monkeypatch: pytest.MonkeyPatch) -> None:
+    original = Follower.handle_reply
 
-    def standing(self: Follower, now: float, said: PollReply) -> bool:
-        before, self.book = self.book, OrderBook()
-        changed = real(self, now, said)
-        self.book = self.book if changed or self.pending_reply is said else before
-        return changed
+    def handle_reply(self: Follower, now: float, reply: PollReply) -> bool:
+        previous_book, self.book = self.book, OrderBook()
+        is_changed = original(self, now, reply)
+        self.book = self.book if is_changed or self.pending_reply is reply else previous_book
+        return is_changed
 
-    patch.setattr(Follower, "handle_reply", standing)
+    monkeypatch.setattr(Follower, "handle_reply", handle_reply)
 
 
-def accept_any_reply(patch: pytest.MonkeyPatch) -> None:
-    real = Follower.handle_reply
+def accept_any_reply(monkeypatch: pytest.MonkeyPatch) -> None:
+    original = Follower.handle_reply
 
-    def standing(self: Follower, now: float, said: PollReply) -> bool:
-        self.open_polls.setdefault(said.number, now)
-        return real(self, now, said)
+    def handle_reply(self: Follower, now: float, reply: PollReply) -> bool:
+        self.open_polls.setdefault(reply.number, now)
+        return original(self, now, reply)
 
-    patch.setattr(Follower, "handle_reply", standing)
+    monkeypatch.setattr(Follower, "handle_reply", handle_reply)
 
 
-def never_expire(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Follower, "is_fresh", lambda self, now: self.fresh_until > -math.inf)
+def never_expire(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(Follower, "is_fresh", lambda self, now: self.fresh_until > -math.inf)
 
 
 @pytest.mark.parametrize(
@@ -120,12 +126,12 @@
 ) -> None:
     """The history must be correct without the mistake, as some are not if voters lose their memory."""
 
-    def finds(seed: int) -> bool:
-        with monkeypatch.context() as patch:
-            mistake(patch)
+    def is_found_by(seed: int) -> bool:
+        with monkeypatch.context() as context:
+            mistake(context)
             broken = World(draw, seed).run().broken
         return bool(broken) and not World(draw, seed).run().broken
 
-    found = next((seed for seed in range(300) if finds(seed)), None)
-    assert found is not None
-    print(f"{mistake.__name__}: history {found}")
+    seed_found = next((seed for seed in range(300) if is_found_by(seed)), None)
+    assert seed_found is not None
+    print(f"{mistake.__name__}: history {seed_found}")
