--- a/tests/fleet/test_orders_world.py
+++ b/tests/fleet/test_orders_world.py
@@ -38,10 +38,10 @@
 
 
 def accept_lower_fences(monkeypatch: pytest.MonkeyPatch) -> None:
-    def accept(self: VoterState, book: OrderBook) -> VoterState:
+    def patched_accept(self: VoterState, book: OrderBook) -> VoterState:
         return VoterState(book, max(self.promised, book.version.fence), True)
 
-    monkeypatch.setattr(VoterState, "accept", accept)
+    monkeypatch.setattr(VoterState, "accept", patched_accept)
 
 
 def count_voters_without_memory(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -53,19 +53,19 @@
 def publish_without_replicating(monkeypatch: pytest.MonkeyPatch) -> None:
     original = Publisher._advance
 
-    def advance(self: Publisher) -> None:
+    def patched_advance(self: Publisher) -> None:
         was_reading = self.state is PublisherState.READING
         original(self)
         if was_reading and self.state is PublisherState.REPLICATING:
             self.state, self.published = PublisherState.READY, self.book
 
-    monkeypatch.setattr(Publisher, "_advance", advance)
+    monkeypatch.setattr(Publisher, "_advance", patched_advance)
 
 
 def read_without_the_book(monkeypatch: pytest.MonkeyPatch) -> None:
     original = Publisher.handle_voter_reply
 
-    def handle_voter_reply(
+    def patched_voter_reply(
         self: Publisher, voter: str, voter_reply: VoterReply, book: OrderBook | None
     ) -> None:
         if self.state is PublisherState.READING and voter_reply.promised == self.fence:
@@ -74,7 +74,7 @@
             )
         original(self, voter, voter_reply, book)
 
-    monkeypatch.setattr(Publisher, "handle_voter_reply", handle_voter_reply)
+    monkeypatch.setattr(Publisher, "handle_voter_reply", patched_voter_reply)
 
 
 def accept_any_majority(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -84,23 +84,23 @@
 def follow_lower_versions(monkeypatch: pytest.MonkeyPatch) -> None:
     original = Follower.handle_reply
 
-    def handle_reply(self: Follower, now: float, reply: PollReply) -> bool:
+    def patched_poll_reply(self: Follower, now: float, reply: PollReply) -> bool:
         previous_book, self.book = self.book, OrderBook()
         is_changed = original(self, now, reply)
         self.book = self.book if is_changed or self.pending_reply is reply else previous_book
         return is_changed
 
-    monkeypatch.setattr(Follower, "handle_reply", handle_reply)
+    monkeypatch.setattr(Follower, "handle_reply", patched_poll_reply)
 
 
 def accept_any_reply(monkeypatch: pytest.MonkeyPatch) -> None:
     original = Follower.handle_reply
 
-    def handle_reply(self: Follower, now: float, reply: PollReply) -> bool:
+    def patched_poll_reply(self: Follower, now: float, reply: PollReply) -> bool:
         self.open_polls.setdefault(reply.number, now)
         return original(self, now, reply)
 
-    monkeypatch.setattr(Follower, "handle_reply", handle_reply)
+    monkeypatch.setattr(Follower, "handle_reply", patched_poll_reply)
 
 
 def never_expire(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -127,8 +127,8 @@
     """The history must be correct without the mistake, as some are not if voters lose their memory."""
 
     def is_found_by(seed: int) -> bool:
-        with monkeypatch.context() as context:
-            mistake(context)
+        with monkeypatch.context() as scoped_patch:
+            mistake(scoped_patch)
             broken = World(draw, seed).run().broken
         return bool(broken) and not World(draw, seed).run().broken
 
