--- a/tests/edges/test_client_disconnects.py
+++ b/tests/edges/test_client_disconnects.py
@@ -1,7 +1,8 @@
-"""Clients that have left: no attempt begins for them, however hidden that is, and what they held comes back.
+"""Disconnected clients: no attempt begins for them, and the resources that they held are released.
 
-A client writes and leaves in one turn of the loop, or while its connection is not read, so that only the
-kernel knows of it; `how` is a close, a reset, or a close behind bytes that must wait.
+A client writes and disconnects in one iteration of the event loop, or while its connection is not read, so
+that only the kernel knows of it. `how`: a close, a reset, or a close behind bytes that the gateway does not
+read yet.
 """
 
 from __future__ import annotations
@@ -28,14 +29,14 @@
 HOW = ["closed", "reset", "closed behind bytes"]
 
 
-class Leaver:
+class DisconnectingClient:
     def __init__(self, port: int) -> None:
         self.socket = socket.create_connection((LOCAL, port))
 
     def write(self, data: bytes) -> None:
         self.socket.sendall(data)
 
-    def leave(self, how: str) -> None:
+    def disconnect(self, how: str) -> None:
         if how == "reset":
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         if how == "closed behind bytes":
@@ -47,12 +48,12 @@
     def __init__(self, world: World, server: RespServer, driver: Driver) -> None:
         self.world, self.server, self.driver = world, server, driver
 
-    async def one(self) -> ClientConnection:
+    async def wait_for_connection(self) -> ClientConnection:
         await until(lambda: self.server.connections)
         (found,) = self.server.connections
         return found
 
-    def nothing_is_held(self) -> bool:
+    def has_released_everything(self) -> bool:
         attempts, held = self.driver.gateway.attempts, self.server.body_budget.reserved
         out = [b.open_attempts for b in self.driver.gateway.fleet.backends.values()]
         customers = [c.open_attempts for c in self.driver.gateway.quotas.customers.values()]
@@ -68,7 +69,7 @@
         )
 
 
-def played(
+def run_scenario(
     scenario: Callable[[Scene], Awaitable[None]], *backends: Backend, counter: Counter | None = None
 ) -> None:
     async def run() -> None:
@@ -81,7 +82,7 @@
     in_loop(run)
 
 
-def keyed(id: bytes, body: bytes | None = None) -> bytes:
+def encode_keyed(id: bytes, body: bytes | None = None) -> bytes:
     verb, customer, _, listed, *rest = request(id, name=b"keyed", body=body)
     return encode(verb, customer, id, listed + b",k=" + id, *rest)
 
@@ -90,12 +91,15 @@
     return None
 
 
-# ---- before the first attempt ----
+# ---- before an attempt ----
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_a_request_that_waits_for_the_counter_is_not_sent_on_after_its_client_left(how: str) -> None:
-    """Its connection is stuck, and so not read, as the counter's time is up; its backend has an idle one."""
+def test_a_request_that_waited_for_the_counter_is_not_forwarded_after_a_disconnect(how: str) -> None:
+    """The client connection is blocked, so it is not read when the counter call times out.
+
+    An idle backend connection is ready, so an attempt would be sent at once.
+    """
 
     async def scenario(scene: Scene) -> None:
         warm = await scene.world.client()
@@ -103,24 +107,24 @@
         warm.close()
         await until(lambda: not scene.server.connections)
         await asyncio.sleep(2 * REUSE_DELAY_MS / 1000)
-        client = Leaver(scene.world.port)
+        client = DisconnectingClient(scene.world.port)
         client.write(encode(*request(b"waits", plan=b"basic")))
-        one = await scene.one()
+        accepted = await scene.wait_for_connection()
         await until(lambda: scene.driver.requests)
         assert not scene.driver.attempts
-        one.pending_bytes = connection.MAX_PENDING_COMMAND_BYTES + 1
-        one._update_reading()
-        client.leave(how)
-        await until(scene.nothing_is_held)
+        accepted.pending_bytes = connection.MAX_PENDING_COMMAND_BYTES + 1
+        accepted._update_reading()
+        client.disconnect(how)
+        await until(scene.has_released_everything)
         assert len(scene.world.backends[0].got) == 1
 
-    played(scenario, counter=Counter(silent))
+    run_scenario(scenario, counter=Counter(silent))
 
 
 @pytest.mark.parametrize("how", HOW)
 @pytest.mark.parametrize("stuck", ["pipelined", "held"])
-def test_a_further_attempt_is_not_sent_for_a_client_that_left_unread(how: str, stuck: str) -> None:
-    """The first backend hangs up once the client has gone: the next attempt would be for nobody."""
+def test_no_further_attempt_begins_after_a_disconnect_that_was_not_read(how: str, stuck: str) -> None:
+    """The first backend closes its connection after the client disconnected; a retry would be wasted."""
     go_on = asyncio.Event()
 
     async def hangs_up(command: list[bytes]) -> Reply:
@@ -128,116 +132,118 @@
         return b""
 
     async def scenario(scene: Scene) -> None:
-        client = Leaver(scene.world.port)
+        client = DisconnectingClient(scene.world.port)
         if stuck == "pipelined":
             client.write(
                 b"".join(encode(*request(b"%d" % n)) for n in range(2 * connection.MAX_PENDING_COMMANDS))
             )
         else:
-            client.write(b"".join(keyed(b"%d" % n, b"x" * 60_000) for n in range(4)))
-        one = await scene.one()
-        await until(lambda: one.slots and not one.is_reading and not scene.driver.is_handling)
+            client.write(b"".join(encode_keyed(b"%d" % n, b"x" * 60_000) for n in range(4)))
+        accepted = await scene.wait_for_connection()
+        await until(lambda: accepted.slots and not accepted.is_reading and not scene.driver.is_handling)
         await until(lambda: sum(len(b.got) for b in scene.world.backends) == len(scene.driver.attempts))
         before = [len(b.got) for b in scene.world.backends]
-        client.leave(how)
+        client.disconnect(how)
         go_on.set()  # attempts fail from here on
-        await until(scene.nothing_is_held)
+        await until(scene.has_released_everything)
         assert [len(b.got) for b in scene.world.backends] == before
 
-    played(scenario, Backend(hangs_up), Backend(hangs_up))
+    run_scenario(scenario, Backend(hangs_up), Backend(hangs_up))
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_nothing_is_sent_for_a_client_that_left_while_the_loop_stood_still(how: str) -> None:
-    """Its command and its end lie in the kernel together, and the command is read first."""
+def test_nothing_is_sent_for_a_client_that_disconnected_while_the_loop_was_late(how: str) -> None:
+    """Its command and its end are both in the kernel, and the command is read first."""
 
     async def scenario(scene: Scene) -> None:
-        client = Leaver(scene.world.port)
-        one = await scene.one()
+        client = DisconnectingClient(scene.world.port)
+        accepted = await scene.wait_for_connection()
         client.write(encode(*request(b"late")))
-        client.leave(how)
-        scene.driver.next_lag_check_at = driver_module.now_ms() - 150  # the loop is late by so much
-        one._on_readable()
+        client.disconnect(how)
+        scene.driver.next_lag_check_at = driver_module.now_ms() - 150  # the event loop seems this late
+        accepted._on_readable()
         assert not scene.driver.attempts and not scene.driver.requests
-        await until(scene.nothing_is_held)
+        await until(scene.has_released_everything)
         assert not scene.world.backends[0].got
 
-    played(scenario)
+    run_scenario(scenario)
 
 
-# ---- while an attempt waits for its connection ----
+# ---- while an attempt waits for its backend connection ----
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_a_connection_that_comes_up_late_carries_nothing_for_a_client_that_left(how: str) -> None:
+def test_a_new_backend_connection_sends_nothing_for_a_disconnected_client(how: str) -> None:
     async def scenario(scene: Scene) -> None:
-        client = Leaver(scene.world.port)
-        one = await scene.one()
+        client = DisconnectingClient(scene.world.port)
+        accepted = await scene.wait_for_connection()
         client.write(encode(*request(b"late")))
-        one._on_readable()  # it is sent on in this call: the connection to the backend is under way
+        accepted._on_readable()  # the attempt begins: its backend connection is being established
         assert scene.driver.attempts
-        scene.server.loop.remove_reader(one.fd)  # its end is not seen by the loop before that is up
-        client.leave(how)
-        await until(scene.nothing_is_held)
+        # The end is not read before that connection is established.
+        scene.server.loop.remove_reader(accepted.fd)
+        client.disconnect(how)
+        await until(scene.has_released_everything)
         assert not scene.world.backends[0].got
         assert not scene.driver.backends.connections
 
-    played(scenario)
+    run_scenario(scenario)
 
 
-# ---- what it held ----
+# ---- released resources ----
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_what_a_stuck_client_held_comes_back_without_any_event(
+def test_resources_of_a_blocked_client_are_released_without_any_event(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Nothing is read, nothing answered: only the sweep asks the kernel."""
+    """Nothing is read and nothing answered: only the sweep queries the kernel."""
     monkeypatch.setattr(resp_server, "SWEEP_INTERVAL_MS", 10.0)
 
     async def scenario(scene: Scene) -> None:
-        client = Leaver(scene.world.port)
+        client = DisconnectingClient(scene.world.port)
         count = 2 * connection.MAX_PENDING_COMMANDS
         client.write(b"".join(encode(*request(b"%d" % n)) for n in range(count)))
-        one = await scene.one()
-        await until(lambda: one.slots and not one.is_reading)
-        client.leave(how)
-        await until(scene.nothing_is_held)
+        accepted = await scene.wait_for_connection()
+        await until(lambda: accepted.slots and not accepted.is_reading)
+        client.disconnect(how)
+        await until(scene.has_released_everything)
 
-    played(scenario, Backend(silent))
+    run_scenario(scenario, Backend(silent))
 
 
 @pytest.mark.parametrize("how", HOW)
-def test_the_wish_for_room_of_a_client_that_left_goes_with_it(
+def test_a_pending_memory_request_of_a_disconnected_client_is_withdrawn(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(resp_server, "SWEEP_INTERVAL_MS", 10.0)
 
     async def scenario(scene: Scene) -> None:
-        scene.server.body_budget.reserved = scene.server.body_budget.capacity  # by others
-        client = Leaver(scene.world.port)
-        client.write(keyed(b"long", b"x" * 100_000)[:400])
-        one = await scene.one()
-        await until(lambda: one.reader.wanted_body_bytes)
-        client.leave(how)
+        scene.server.body_budget.reserved = scene.server.body_budget.capacity  # reserved by others
+        client = DisconnectingClient(scene.world.port)
+        client.write(encode_keyed(b"long", b"x" * 100_000)[:400])
+        accepted = await scene.wait_for_connection()
+        await until(lambda: accepted.reader.wanted_body_bytes)
+        client.disconnect(how)
         await until(lambda: not scene.server.connections)
         assert not scene.server.body_budget.waiters
         scene.server.body_budget.reserved = 0
 
-    played(scenario)
+    run_scenario(scenario)
 
 
-def test_an_attempt_of_a_request_that_has_gone_ends_under_its_own_number() -> None:
-    """Under another one the module would count it as out for ever, at its backend and for its customer."""
+def test_an_attempt_sent_after_its_request_ended_is_ended_under_its_own_number() -> None:
+    """Under another number the decision module would count it as open for ever, for backend and customer."""
 
     async def scenario(scene: Scene) -> None:
-        client = Leaver(scene.world.port)
+        client = DisconnectingClient(scene.world.port)
         client.write(encode(*request(b"gone")))
         await until(lambda: scene.driver.attempts)
         owner = scene.driver.requests["gone"]
-        # Its client leaves in the turn in which the module sends it again: the send is acted on after that.
+        # The client disconnects while the decision module sends the request again; the send is executed after
+        # that.
         scene.driver.is_handling = True
-        client.leave("closed")
+        client.disconnect("closed")
         scene.driver.on_client_gone("gone")
         scene.driver.is_handling = False
         gateway: Any = scene.driver.gateway
@@ -248,6 +254,6 @@
         assert owner.attempt_count == 1 and [a.attempt for a in out if isinstance(a, api.Send)] == [1]
         for action in out:
             scene.driver.action_handlers[type(action)](action)
-        await until(scene.nothing_is_held)
+        await until(scene.has_released_everything)
 
-    played(scenario, Backend(silent), Backend(silent))
+    run_scenario(scenario, Backend(silent), Backend(silent))
--- a/tests/edges/test_long_bodies.py
+++ b/tests/edges/test_long_bodies.py
@@ -1,4 +1,4 @@
-"""Requests with long values: read under a budget, sent on without copies, and never half."""
+"""Requests with long bodies: received within a memory budget and forwarded only when complete."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 SERVED: bytes = b"*3\r\n$5\r\nvalue\r\n$-1\r\n$-1\r\n"
 
 
-def body_of(length: int) -> bytes:
+def make_body(length: int) -> bytes:
     return (b"%015d\n" * (length // 16 + 1) % tuple(range(length // 16 + 1)))[:length]
 
 
-def written(id: bytes, body: bytes) -> bytes:
+def encode_request(id: bytes, body: bytes) -> bytes:
     args = request(id, name=b"wipe", body=body)
     return b"*5\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(arg), arg) for arg in args)
 
 
 @pytest.mark.parametrize("length", [MAX_VALUE_BYTES, MAX_VALUE_BYTES + 1, MIB + 3, MAX_BODY_BYTES])
-def test_a_long_value_reaches_the_backend_whole(length: int) -> None:
+def test_a_long_body_reaches_the_backend_complete(length: int) -> None:
     async def scenario() -> None:
-        body = body_of(length)
+        body = make_body(length)
         async with running(World(Backend())) as world:
             peer = await world.client()
             for id in (b"1", b"2"):
@@ -37,63 +37,65 @@
     in_loop(scenario)
 
 
-def test_a_second_attempt_sends_it_again() -> None:
+def test_a_second_attempt_sends_the_long_body_again() -> None:
     async def scenario() -> None:
-        body, replies = body_of(MIB), [b"-ERR failed\r\n", SERVED]
+        body, replies = make_body(MIB), [b"-ERR failed\r\n", SERVED]
 
         async def script(command: list[bytes]) -> Reply:
             return replies.pop(0)
 
         async with running(World(Backend(script), Backend(script))) as world:
             peer = await world.client()
-            verb, customer, id, listed, _ = request(b"k1", name=b"keyed", body=body)
-            peer.send(verb, customer, id, listed + b",k=k1", body)
+            verb, customer, id, attributes, _ = request(b"k1", name=b"keyed", body=body)
+            peer.send(verb, customer, id, attributes + b",k=k1", body)
             assert await peer.receive() == b"value"
-            got = [command[4] for backend in world.backends for command in backend.got]
-            assert got == [body, body]
+            bodies = [command[4] for backend in world.backends for command in backend.got]
+            assert bodies == [body, body]
 
     in_loop(scenario)
 
 
-def test_more_at_once_than_there_is_room_for_come_one_after_another() -> None:
+def test_long_bodies_beyond_the_budget_are_received_one_after_another() -> None:
     async def scenario() -> None:
-        body = body_of(3 * MIB)
+        body = make_body(3 * MIB)
         with server_seen() as servers:
             async with running(World(Backend(), memory_mb=32)) as world:
-                await played(world, *servers, body)
+                await send_all(world, *servers, body)
 
-    async def played(world: World, server: RespServer, body: bytes) -> None:
-        most = 0
+    async def send_all(world: World, server: RespServer, body: bytes) -> None:
+        max_reserved = 0
         assert server.body_budget.capacity < 2 * len(body)
 
         async def ask(number: int) -> None:
-            nonlocal most
+            nonlocal max_reserved
             peer = await world.client()
-            peer.writer.write(written(b"%d" % number, body))
+            peer.writer.write(encode_request(b"%d" % number, body))
             assert await peer.receive() == b"value"
-            most = max(most, server.body_budget.reserved)
+            max_reserved = max(max_reserved, server.body_budget.reserved)
 
         await asyncio.gather(*(ask(number) for number in range(8)))
         assert len(world.backends[0].got) == 8
         assert server.body_budget.reserved == 0 and not server.body_budget.waiters
         connections = server.handler.backends.connections  # type: ignore[attr-defined]
-        assert connections and all(c.unsent.obj == b"" for c in connections), "none keeps a value"
+        assert connections and all(c.unsent.obj == b"" for c in connections), (
+            "a connection still holds a body"
+        )
 
     in_loop(scenario)
 
 
 @pytest.mark.parametrize("then", ["stalls", "leaves"])
-def test_one_that_does_not_go_on_gives_its_room_back(monkeypatch: pytest.MonkeyPatch, then: str) -> None:
+def test_an_abandoned_long_body_returns_its_memory(monkeypatch: pytest.MonkeyPatch, then: str) -> None:
     monkeypatch.setattr(connection, "COMMAND_TIMEOUT_MS", 100.0)
     monkeypatch.setattr(resp_server, "SWEEP_INTERVAL_MS", 20.0)
 
     async def scenario() -> None:
-        body = body_of(3 * MIB)
+        body = make_body(3 * MIB)
         async with running(World(Backend(), memory_mb=32)) as world:
             slow, next_ = await world.client(), await world.client()
-            slow.writer.write(written(b"slow", body)[:MIB])
+            slow.writer.write(encode_request(b"slow", body)[:MIB])
             await slow.writer.drain()
-            next_.writer.write(written(b"next", body))
+            next_.writer.write(encode_request(b"next", body))
             if then == "leaves":
                 slow.close()
             else:
@@ -104,30 +106,32 @@
     in_loop(scenario)
 
 
-def test_a_value_in_many_pieces_over_time_is_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What is bounded is the silence between its pieces, not the time for all of it."""
+def test_a_long_body_may_take_longer_than_the_timeout_between_its_pieces(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The command timeout bounds the time between its pieces, not the total time."""
     monkeypatch.setattr(connection, "COMMAND_TIMEOUT_MS", 200.0)
     monkeypatch.setattr(resp_server, "SWEEP_INTERVAL_MS", 20.0)
 
     async def scenario() -> None:
-        whole = written(b"1", body_of(100_000))
+        data = encode_request(b"1", make_body(100_000))
         async with running(World(Backend())) as world:
             peer = await world.client()
-            for at in range(0, len(whole), 10_000):
-                peer.writer.write(whole[at : at + 10_000])
+            for offset in range(0, len(data), 10_000):
+                peer.writer.write(data[offset : offset + 10_000])
                 await asyncio.sleep(0.05)
             assert await peer.receive() == b"value"
 
     in_loop(scenario)
 
 
-def test_the_longest_is_told_by_its_header_and_a_wrong_end_by_its_bytes() -> None:
+def test_an_oversized_header_or_a_wrong_terminator_is_a_protocol_error() -> None:
     async def scenario() -> None:
         async with running(World(Backend())) as world:
             for wrong in (
-                written(b"1", b"x").replace(b"$1\r\nx\r\n", b"$%d\r\n" % (MAX_BODY_BYTES + 1)),
-                written(b"1", body_of(100_000))[:-2] + b"XX",
-                written(b"1", b"x").replace(b"$16\r\n", b"$%d\r\n" % (MAX_VALUE_BYTES + 1)),
+                encode_request(b"1", b"x").replace(b"$1\r\nx\r\n", b"$%d\r\n" % (MAX_BODY_BYTES + 1)),
+                encode_request(b"1", make_body(100_000))[:-2] + b"XX",
+                encode_request(b"1", b"x").replace(b"$16\r\n", b"$%d\r\n" % (MAX_VALUE_BYTES + 1)),
             ):
                 peer = await world.client()
                 peer.writer.write(wrong)
@@ -139,25 +143,25 @@
 
 
 @pytest.mark.parametrize("step", [1_000, 65_537])
-def test_the_reader_gives_a_long_command_and_the_next_at_any_cut(step: int) -> None:
-    body = body_of(MAX_VALUE_BYTES + 10)
-    stream = written(b"1", body) + written(b"2", b"short")
-    reader, got = CommandReader(), list[list[bytes]]()
+def test_the_reader_parses_a_long_command_and_the_next_in_any_pieces(step: int) -> None:
+    body = make_body(MAX_VALUE_BYTES + 10)
+    stream = encode_request(b"1", body) + encode_request(b"2", b"short")
+    reader, commands = CommandReader(), list[list[bytes]]()
     bodies: list[bytes] = []
-    for at in range(0, len(stream), step):
-        reader.feed(stream[at : at + step])
+    for offset in range(0, len(stream), step):
+        reader.feed(stream[offset : offset + step])
         while True:
             args = reader.next_command()
             if args is not None:
-                got.append(args)
-                if (long := reader.take_body()) is not None:
-                    bodies.append(bytes(long))
+                commands.append(args)
+                if (long_body := reader.take_body()) is not None:
+                    bodies.append(bytes(long_body))
             elif reader.wanted_body_bytes:
                 assert reader.wanted_body_bytes == len(body) and reader.next_command() is None
                 reader.grant_body()
             else:
                 break
-    assert [args[2] for args in got] == [b"1", b"2"] and got[1][4] == b"short"
+    assert [args[2] for args in commands] == [b"1", b"2"] and commands[1][4] == b"short"
     assert bodies == [body + b"\r\n"] and reader.buffered_bytes == 0
 
 
--- a/tests/edges/test_long_values.py
+++ b/tests/edges/test_long_values.py
@@ -1,4 +1,4 @@
-"""Long values on sockets: passed on as they come, bounded in memory, and never whole where they are not."""
+"""Streamed values: forwarded as they arrive, bounded in memory, and never complete if the backend failed."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 from roadpulley.testbed.server import Server
 
 MIB = 1024 * 1024
-Script = Callable[[asyncio.StreamWriter], Awaitable[bool]]  # True: the connection stays
+Script = Callable[[asyncio.StreamWriter], Awaitable[bool]]  # returns whether the connection stays open
 
 
-class Piecewise(Server):
-    """A backend that writes each answer as a script does, piece by piece."""
+class ScriptedBackend(Server):
+    """A backend whose script writes each reply, in pieces."""
 
     def __init__(self, script: Script) -> None:
         super().__init__()
@@ -48,28 +48,28 @@
         self.ended += 1
 
 
-def value(length: int) -> bytes:
+def make_value(length: int) -> bytes:
     return (b"%015d\n" * (length // 16 + 1) % tuple(range(length // 16 + 1)))[:length]
 
 
-def answer(body: bytes) -> bytes:
+def encode_reply(body: bytes) -> bytes:
     return b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(body), body)
 
 
 def world(script: Script, **limits: object) -> World:
-    return World(Piecewise(script), **limits)  # type: ignore[arg-type]
+    return World(ScriptedBackend(script), **limits)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
     "length",
     [LONG_VALUE_THRESHOLD_BYTES, LONG_VALUE_THRESHOLD_BYTES + 1, 100_000, 3 * MIB + 7, MAX_ANSWER_BYTES],
 )
-def test_a_value_arrives_whole_and_the_connection_is_used_again(length: int) -> None:
+def test_a_value_arrives_complete_and_the_connection_is_reused(length: int) -> None:
     async def scenario() -> None:
-        body = value(length)
+        body = make_value(length)
 
         async def script(writer: asyncio.StreamWriter) -> bool:
-            writer.write(answer(body))
+            writer.write(encode_reply(body))
             await writer.drain()
             return True
 
@@ -81,12 +81,12 @@
     in_loop(scenario)
 
 
-def test_the_first_bytes_come_before_the_last_ones_are_made() -> None:
+def test_the_first_bytes_are_forwarded_before_the_last_ones_arrive() -> None:
     async def scenario() -> None:
-        go_on, body = asyncio.Event(), value(MIB)
+        go_on, body = asyncio.Event(), make_value(MIB)
 
         async def script(writer: asyncio.StreamWriter) -> bool:
-            whole = answer(body)
+            whole = encode_reply(body)
             writer.write(whole[:200_000])
             await go_on.wait()
             for at in range(200_000, len(whole), 50_021):
@@ -100,7 +100,7 @@
             first = await peer.reader.readexactly(100_000)
             assert first.startswith(b"$%d\r\n" % MIB)
             other = await w.client()
-            other.send(b"PING")  # nothing else is held up
+            other.send(b"PING")  # other clients are not blocked
             assert await other.receive() == b"PONG"
             go_on.set()
             rest = await peer.reader.readexactly(len(b"$%d\r\n" % MIB) + MIB + 2 - 100_000)
@@ -111,12 +111,12 @@
 
 @pytest.mark.parametrize("cut", [STREAMING_START_BYTES + 100, 150_000, 200_000 + 13])
 @pytest.mark.parametrize("how", ["end", "wrong end"])
-def test_a_value_that_breaks_never_looks_whole(cut: int, how: str) -> None:
-    """Cut soon after it began, in its middle, in its end; or with another end."""
+def test_an_interrupted_value_never_looks_complete(cut: int, how: str) -> None:
+    """Interrupted after its start, in its middle or in its terminator; or with a wrong terminator."""
 
     async def scenario() -> None:
         async def script(writer: asyncio.StreamWriter) -> bool:
-            whole = answer(value(200_000))
+            whole = encode_reply(make_value(200_000))
             if how == "end":
                 writer.write(whole[:cut])
                 await writer.drain()
@@ -138,15 +138,15 @@
 
 
 @pytest.mark.parametrize("cut", [100, STREAMING_START_BYTES - 1])
-def test_a_value_that_breaks_before_it_begins_is_an_ordinary_failure(cut: int) -> None:
-    in_loop(lambda: failed_whole(cut))
+def test_a_value_that_is_interrupted_before_streaming_starts_is_a_failed_attempt(cut: int) -> None:
+    in_loop(lambda: check_plain_failure(cut))
 
 
-async def failed_whole(cut: int) -> None:
-    """What did not begin ends with an ordinary failure, and the client's connection stays."""
+async def check_plain_failure(cut: int) -> None:
+    """The client gets the usual error, and its connection stays open."""
 
     async def script(writer: asyncio.StreamWriter) -> bool:
-        writer.write(answer(value(200_000))[:cut])
+        writer.write(encode_reply(make_value(200_000))[:cut])
         await writer.drain()
         return False
 
@@ -157,12 +157,12 @@
         assert await peer.receive() == b"PONG"
 
 
-def test_a_begun_value_is_the_only_attempt_and_outlasts_its_time() -> None:
+def test_a_streamed_value_is_the_only_attempt_and_may_exceed_the_deadline() -> None:
     async def scenario() -> None:
-        go_on, body = asyncio.Event(), value(MIB)
+        go_on, body = asyncio.Event(), make_value(MIB)
 
         async def script(writer: asyncio.StreamWriter) -> bool:
-            whole = answer(body)
+            whole = encode_reply(body)
             writer.write(whole[:100_000])
             await go_on.wait()
             writer.write(whole[100_000:])
@@ -173,7 +173,7 @@
             peer = await w.client()
             peer.send(*request(wait=150))
             await peer.reader.readexactly(50_000)
-            await asyncio.sleep(0.25)  # past the time that it was given
+            await asyncio.sleep(0.25)  # past the deadline of the request
             go_on.set()
             rest = await peer.reader.readexactly(len(b"$%d\r\n" % MIB) + MIB + 2 - 50_000)
             assert rest.endswith(body[-1000:] + b"\r\n")
@@ -182,17 +182,20 @@
     in_loop(scenario)
 
 
-def test_the_times_of_a_value_that_stalls_leave_room_within_half_a_second() -> None:
-    """It falls silent as its request's time ends, just after a look; a fifth is the loop's and the way's."""
+def test_the_timeouts_of_a_stalled_value_add_up_to_less_than_half_a_second() -> None:
+    """It stalls at its deadline, just after a check.
+
+    A fifth of the time is left for event loop and network.
+    """
     assert OVERDUE_STALL_TIMEOUT_MS + STALL_CHECK_INTERVAL_MS <= 500 - 100
 
 
-def test_a_value_whose_backend_falls_silent_ends_soon_after_its_time() -> None:
-    """Its client would wait for an end that came seconds later, too late to count as one."""
+def test_a_value_whose_backend_stalls_ends_soon_after_the_deadline() -> None:
+    """Otherwise the client would get the end seconds later, too late to count as a reply."""
 
     async def scenario() -> None:
         async def script(writer: asyncio.StreamWriter) -> bool:
-            writer.write(answer(value(MIB))[:100_000])
+            writer.write(encode_reply(make_value(MIB))[:100_000])
             await asyncio.Event().wait()
             return True
 
@@ -207,35 +210,35 @@
     in_loop(scenario)
 
 
-def test_a_client_that_leaves_ends_the_attempt() -> None:
-    in_loop(leaves)
+def test_a_client_disconnect_during_a_stream_ends_the_attempt() -> None:
+    in_loop(disconnect_during_stream)
 
 
-async def leaves() -> None:
-    gone = asyncio.Event()
+async def disconnect_during_stream() -> None:
+    disconnected = asyncio.Event()
 
-    class Watched(Server):
+    class WatchedBackend(Server):
         async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             peer = Peer(reader, writer)
             await peer.receive()
-            writer.write(answer(value(MIB))[:200_000])
+            writer.write(encode_reply(make_value(MIB))[:200_000])
             if await peer.receive() is None:
-                gone.set()
+                disconnected.set()
 
-    async with running(World(Watched())) as w:  # type: ignore[arg-type]
+    async with running(World(WatchedBackend())) as w:  # type: ignore[arg-type]
         peer = await w.client()
         peer.send(*request())
         await peer.reader.readexactly(50_000)
         peer.close()
-        await gone.wait()
+        await disconnected.wait()
 
 
-def test_many_values_with_slow_readers_stay_within_the_memory() -> None:
-    """Sixty values of 4 MiB under 32 MB: each client takes a little, then one is read to its end."""
+def test_many_streams_to_slow_readers_stay_within_the_memory_limit() -> None:
+    """Sixty values of 4 MiB under 32 MB: each client reads a little, then one reads to the end."""
 
     async def scenario() -> None:
-        body = value(4 * MIB)
-        whole = answer(body)
+        body = make_value(4 * MIB)
+        whole = encode_reply(body)
 
         async def script(writer: asyncio.StreamWriter) -> bool:
             writer.write(whole)
@@ -244,9 +247,9 @@
 
         with server_seen() as servers:
             async with running(world(script, memory_mb=32)) as w:
-                await stand_still(w, *servers)
+                await read_slowly(w, *servers)
 
-    async def stand_still(w: World, server: RespServer) -> None:
+    async def read_slowly(w: World, server: RespServer) -> None:
         slow: list[socket.socket] = []
         loop = asyncio.get_running_loop()
         for number in range(60):
@@ -270,22 +273,22 @@
     in_loop(scenario)
 
 
-def test_a_value_behind_another_answer_waits_for_it() -> None:
+def test_a_streamed_value_waits_for_earlier_replies() -> None:
     async def scenario() -> None:
-        bodies = {b"first": value(10), b"long": value(300_000)}
+        bodies = {b"first": make_value(10), b"long": make_value(300_000)}
         first = asyncio.Event()
 
-        class Two(Server):
+        class InOrderBackend(Server):
             async def talk(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 peer = Peer(reader, writer)
                 while (command := await peer.receive()) is not None:
                     if command[2] == b"first":
                         await first.wait()
-                    writer.write(answer(bodies[command[2]]))
+                    writer.write(encode_reply(bodies[command[2]]))
                     if command[2] == b"long":
                         first.set()
 
-        async with running(World(Two(), Two())) as w:  # type: ignore[arg-type]
+        async with running(World(InOrderBackend(), InOrderBackend())) as w:  # type: ignore[arg-type]
             peer = await w.client()
             peer.send(*request(b"first"))
             peer.send(*request(b"long"))
@@ -298,7 +301,7 @@
 # ---- without sockets ----
 
 
-def test_what_is_no_long_value_is_not_begun() -> None:
+def test_a_header_outside_the_streaming_sizes_does_not_start_a_stream() -> None:
     body = bytes(STREAMING_START_BYTES)
     for length in (5, LONG_VALUE_THRESHOLD_BYTES, MAX_ANSWER_BYTES + 1, 3_000_000_000):
         assert parse_long_value_header(bytearray(b"*3\r\n$%d\r\n" % length + body)) is None
@@ -308,26 +311,26 @@
 
 
 @pytest.mark.parametrize("step", [1, 7, 4096])
-def test_the_rest_of_a_long_value_is_told_from_what_follows_at_any_cut(step: int) -> None:
-    whole = value(10_000) + b"\r\n$8\r\nused=3,4\r\n$-1\r\n"
-    long, got, ended = LongValue(10_000), b"", 0
-    for at in range(0, len(whole), step):
-        assert long.parse_trailer() is None
-        got += bytes(long.consume(memoryview(whole)[at : at + step]))
-        ended += long.is_complete()
-    found = long.parse_trailer()
+def test_a_long_value_and_its_trailer_are_separated_in_any_pieces(step: int) -> None:
+    whole = make_value(10_000) + b"\r\n$8\r\nused=3,4\r\n$-1\r\n"
+    parser, received, ended = LongValue(10_000), b"", 0
+    for offset in range(0, len(whole), step):
+        assert parser.parse_trailer() is None
+        received += bytes(parser.consume(memoryview(whole)[offset : offset + step]))
+        ended += parser.is_complete()
+    trailer = parser.parse_trailer()
     assert (
-        got == value(10_000)
+        received == make_value(10_000)
         and ended
-        and found is not None
-        and found.is_connection_reusable
-        and found.usage == b"used=3,4"
+        and trailer is not None
+        and trailer.is_connection_reusable
+        and trailer.usage == b"used=3,4"
     )
 
 
 @pytest.mark.parametrize("end", [b"X", b"\rX", b"\n"])
-def test_another_end_of_a_value_is_malformed(end: bytes) -> None:
-    long = LongValue(3)
-    long.consume(memoryview(b"abc" + end))
+def test_a_wrong_terminator_of_a_value_is_malformed(end: bytes) -> None:
+    parser = LongValue(3)
+    parser.consume(memoryview(b"abc" + end))
     with pytest.raises(MalformedError):
-        long.is_complete()
+        parser.is_complete()
