--- a/tests/edges/test_client_disconnects.py
+++ b/tests/edges/test_client_disconnects.py
@@ -122,8 +122,8 @@
 
 
 @pytest.mark.parametrize("how", HOW)
-@pytest.mark.parametrize("stuck", ["pipelined", "held"])
-def test_no_further_attempt_begins_after_a_disconnect_that_was_not_read(how: str, stuck: str) -> None:
+@pytest.mark.parametrize("blocked_by", ["pipelined", "held"])
+def test_no_further_attempt_begins_after_a_disconnect_that_was_not_read(how: str, blocked_by: str) -> None:
     """The first backend closes its connection after the client disconnected; a retry would be wasted."""
     go_on = asyncio.Event()
 
@@ -133,7 +133,7 @@
 
     async def scenario(scene: Scene) -> None:
         client = DisconnectingClient(scene.world.port)
-        if stuck == "pipelined":
+        if blocked_by == "pipelined":
             client.write(
                 b"".join(encode(*request(b"%d" % n)) for n in range(2 * connection.MAX_PENDING_COMMANDS))
             )
--- a/tests/fleet/test_counters.py
+++ b/tests/fleet/test_counters.py
@@ -57,14 +57,14 @@
 @settings(max_examples=200, deadline=None)
 @given(st.lists(PARTS, max_size=12), st.randoms(use_true_random=False))
 def test_order_and_repetition_of_messages_do_not_change_totals(
-    told: list[PartBatch], rng: random.Random
+    batches: list[PartBatch], rng: random.Random
 ) -> None:
     first, second = make_replica("z"), make_replica("z")
-    for body in told:
+    for body in batches:
         first.handle_message(0.0, body)
-    again = [*told, *rng.sample(told, len(told) // 2)]
-    rng.shuffle(again)
-    for body in again:
+    repeated = [*batches, *rng.sample(batches, len(batches) // 2)]
+    rng.shuffle(repeated)
+    for body in repeated:
         second.handle_message(0.0, body)
     assert {n: first.total(1.0, n) for n in "xyz"} == {n: second.total(1.0, n) for n in "xyz"}
     assert {o: owned.bucket_hashes for o, owned in first.owners.items()} == {
