--- a/roadpulley/fleet/agent.py
+++ b/roadpulley/fleet/agent.py
@@ -487,7 +487,7 @@
         change = self.reconfiguration.change
         if change is None:
             return False
-        voters = {**change.config.before, **change.config.voters}
+        voters = {**change.config.previous_voters, **change.config.voters}
         return name in voters and address == (voters[name] or self.settings.known_addresses.get(name, ""))
 
     def _send_to_voter(self, voter: str, address: str, body: Any) -> None:
--- a/roadpulley/fleet/duties/reconfiguration.py
+++ b/roadpulley/fleet/duties/reconfiguration.py
@@ -34,7 +34,7 @@
 
 log = structlog.get_logger("roadpulley.fleet.voters")
 
-POLL_INTERVAL_S = 0.05
+POLL_INTERVAL_S = 0.05  # between checks whether the change has ended
 
 
 class VoterConfigFile:
@@ -45,9 +45,8 @@
 
     def __init__(self, folder: Path | None, name: str, voters: Mapping[str, str]) -> None:
         self.path = folder / f"{name}.roll" if folder is not None else None
-        self.state = VoterConfigState(
-            initial_config(dict.fromkeys(voters, ""))
-        )  # addresses are in the settings
+        # Addresses stay empty: they are in the settings.
+        self.state = VoterConfigState(initial_config(dict.fromkeys(voters, "")))
         if self.path is not None and self.path.exists():
             try:
                 raw = json.loads(self.path.read_bytes())
@@ -76,7 +75,12 @@
     def _write(self, path: Path, state: VoterConfigState) -> None:
         config = state.config
         promised = state.promised_fence
-        data = {"id": list(config.id), "voters": config.voters, "before": config.before, "promised": promised}
+        data = {
+            "id": list(config.id),
+            "voters": config.voters,
+            "before": config.previous_voters,
+            "promised": promised,
+        }
         path.parent.mkdir(parents=True, exist_ok=True)
         write_atomically(path, json.dumps(data).encode())
 
@@ -122,7 +126,7 @@
     # ---- datagrams ----
 
     def handle_query(self, query: VoterConfigQuery) -> VoterConfig | None:
-        """Promises and reports the configuration;
+        """Makes the promise and returns the configuration to report.
 
         None, without a response, if the promise can't be stored.
         """
@@ -130,8 +134,11 @@
 
     def handle_config(self, config: VoterConfig) -> VoterConfigAck:
         """Uses a newer configuration; acknowledges the one that is in use then."""
-        before = self.config
-        if self.config_file.adopt(self.config_file.state.after_config(config)) and self.config is not before:
+        previous_config = self.config
+        if (
+            self.config_file.adopt(self.config_file.state.after_config(config))
+            and self.config is not previous_config
+        ):
             log.info(
                 "voters", generation=config.id.generation, fence=config.id.fence, voters=sorted(config.voters)
             )
--- a/roadpulley/fleet/duties/voter_config.py
+++ b/roadpulley/fleet/duties/voter_config.py
@@ -13,7 +13,7 @@
 | new voter         | doesn't vote for `silence` at first, like a voter that lost its state            |
 | before a change   | majorities of the last configuration and of the one before it use the last one,  |
 |                   | so that the one before can grant nothing any more; then the longest lease passes |
-|                   | so that nothing that it granted is held                                          |
+|                   | after which nothing that it granted is held any more                             |
 
 After Ongaro, "Consensus: bridging theory and practice" (2014), section 4.1: single-server changes, and its
 erratum of 2015 (a change only once one of the same term is settled): here every change is of a new fence.
@@ -49,7 +49,7 @@
 
     id: VoterConfigId
     voters: dict[str, str]
-    before: dict[str, str]  # the voters of the previous generation
+    previous_voters: dict[str, str]  # the voters of the previous generation
 
 
 class VoterConfigQuery(msgspec.Struct, tag="rask", array_like=True, frozen=True):
@@ -123,7 +123,7 @@
 
     READING = "reading"  # reads the newest configuration from majorities of it and of the one before it
     MENDING = "mending"  # distributes that one again under our fence, as an earlier change may be incomplete
-    WAITING = "waiting"  # until no lease of the configuration before it is held
+    WAITING = "waiting"  # waits until no lease of the previous configuration is held
     SPREADING = "spreading"  # distributes the requested configuration
     DONE = "done"
     FAILED = "failed"
@@ -145,7 +145,7 @@
         self.step, self.config, self.reason = ChangeStep.READING, config, ""
         self.responded: set[str] = set()  # voters that were read, or that acknowledged `config`
         self.next_tick_at = now
-        self.quiet_at: MonotonicTime = 0.0
+        self.settled_at: MonotonicTime = 0.0
 
     def handle_reported_config(self, now: MonotonicTime, voter: str, config: VoterConfig) -> None:
         """Handles a voter's configuration; the voter has promised to accept no lower fence than ours."""
@@ -164,7 +164,9 @@
             self._start_spread(
                 now,
                 ChangeStep.MENDING,
-                VoterConfig(VoterConfigId(generation, self.fence), self.config.voters, self.config.before),
+                VoterConfig(
+                    VoterConfigId(generation, self.fence), self.config.voters, self.config.previous_voters
+                ),
             )
 
     def handle_ack(self, now: MonotonicTime, voter: str, id: VoterConfigId) -> None:
@@ -180,8 +182,8 @@
         if self.step is ChangeStep.SPREADING or self._is_change_present():
             self.step = ChangeStep.DONE
         else:
-            # A holder that has since failed may have made the previous change just now: leases of the
-            # configuration before it may still be held.
+            # The previous change may have been made just now, by a holder that has failed since. Leases that
+            # the configuration before it granted may still be held.
             self.step, self.next_tick_at = ChangeStep.WAITING, now + settling_time_s(self.times)
 
     def tick(self, now: MonotonicTime) -> dict[str, str]:
@@ -191,11 +193,11 @@
         if self.step is ChangeStep.WAITING and not self._apply_change(now):
             return {}
         self.next_tick_at = now + self.times.answer
-        everyone = {**self.config.before, **self.config.voters}
-        return {name: address for name, address in everyone.items() if name not in self.responded}
+        recipients = {**self.config.previous_voters, **self.config.voters}
+        return {name: address for name, address in recipients.items() if name not in self.responded}
 
     def _has_majorities(self) -> bool:
-        configs = (self.config.before, self.config.voters)
+        configs = (self.config.previous_voters, self.config.voters)
         return all(len(self.responded & set(voters)) >= majority_size(voters) for voters in configs)
 
     def _is_change_present(self) -> bool:
--- a/roadpulley/fleet/orders/publisher.py
+++ b/roadpulley/fleet/orders/publisher.py
@@ -143,12 +143,15 @@
         return len(self.all_voters() & set(self.read_voters) - self._voters_with_memory())
 
     def _has_majority(self, voter_names: set[str]) -> bool:
-        electorates: tuple[Mapping[str, str], ...] = (self.voter_config.before, self.voter_config.voters)
+        electorates: tuple[Mapping[str, str], ...] = (
+            self.voter_config.previous_voters,
+            self.voter_config.voters,
+        )
         return all(len(voter_names & set(voters)) >= majority_size(voters) for voters in electorates)
 
     def all_voters(self) -> set[str]:
         """The voters, and the former ones while the voters change."""
-        return {*self.voter_config.before, *self.voter_config.voters}
+        return {*self.voter_config.previous_voters, *self.voter_config.voters}
 
     def force(self) -> None:
         """Continues although too few voters have their memory.
--- a/tests/fleet/test_voter_config.py
+++ b/tests/fleet/test_voter_config.py
@@ -137,7 +137,7 @@
         made = next_config(config, fence, add, remove)
         spare = [n for n in NAMES if n not in made.voters]
         voters = {**made.voters, **dict.fromkeys(spare[:2], "")}
-        return VoterConfig(made.id, voters, made.before)
+        return VoterConfig(made.id, voters, made.previous_voters)
 
     monkeypatch.setattr(voter_config, "next_config", add_two_voters)
     expect_violation(run_history)
