--- a/roadpulley/checks.py
+++ b/roadpulley/checks.py
@@ -30,10 +30,12 @@
         raw = tomllib.loads(path.read_text())
     except OSError as error:
         raise ValidationError(
-            str(path), f"can't be read ({error.strerror})", "name a file that is there"
+            str(path), f"can't be read ({error.strerror})", "name an existing file"
         ) from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise ValidationError(str(path), f"is no TOML ({error})", "mend that place") from error
+        raise ValidationError(
+            str(path), f"is not valid TOML ({error})", "correct the syntax there"
+        ) from error
     try:
         return parse(raw)
     except ValidationError as error:
@@ -66,6 +68,7 @@
         return f"{self.path}.{key}" if self.path else key
 
     def has(self, key: str) -> bool:
+        """Whether the table contains a key."""
         return key in self.raw
 
     def read_value(self, key: str, default: Any, correction: str) -> Any:
@@ -113,6 +116,7 @@
         return value
 
     def read_bool(self, key: str, default: bool) -> bool:
+        """A boolean."""
         value = self.read_value(key, default, "give true or false")
         if not isinstance(value, bool):
             raise ValidationError(self.path_of(key), f"is {value!r}", "give true or false")
--- a/roadpulley/core/backends.py
+++ b/roadpulley/core/backends.py
@@ -33,7 +33,8 @@
 # request has expired, its client has to see an end within half a second, so the overdue timeout applies. The
 # stall may begin at that very moment and be noticed one check later, and the event loop and the network need
 # time too.
-STALL_TIMEOUT_MS, OVERDUE_STALL_TIMEOUT_MS = 5_000.0, 300.0
+STALL_TIMEOUT_MS = 5_000.0
+OVERDUE_STALL_TIMEOUT_MS = 300.0
 # A connection is not reused for this long after an answer. A duplicate answer may arrive a few milliseconds
 # after the first one and would be taken for the answer to the next request.
 REUSE_DELAY_MS = 20.0
@@ -184,6 +185,7 @@
             connection.host.idle.remove(connection)
 
     def close_idle(self, host: Host) -> None:
+        """Closes the idle connections to a backend."""
         for connection in list(host.idle):
             connection.close()
 
--- a/roadpulley/core/clock.py
+++ b/roadpulley/core/clock.py
@@ -32,6 +32,7 @@
         self.callback: Callable[[], None] | None = callback
 
     def cancel(self) -> None:
+        """Prevents the call. The timer stays in its slot until its tick."""
         self.callback = None
 
 
--- a/roadpulley/core/command.py
+++ b/roadpulley/core/command.py
@@ -12,13 +12,17 @@
     def pause(self) -> None:
         """Stops sending until `resume`; data that was already read may still follow."""
 
-    def resume(self) -> None: ...
+    def resume(self) -> None:
+        """Continues sending after `pause`."""
+        ...
 
 
 class Sink(Protocol):
     """The receiver of a streamed value. The stream ends with exactly one call of `finish` or `abort`."""
 
-    def feed(self, data: bytes | memoryview) -> None: ...
+    def feed(self, data: bytes | memoryview) -> None:
+        """Accepts the next piece of the value."""
+        ...
 
     def free_bytes(self) -> int:
         """How many bytes it can accept now; always above 0."""
@@ -62,13 +66,12 @@
     request_class: str
     plan: str
     timeout_ms: float  # how long the client waits for an answer
-    units: float
+    units: float  # the units that the client states in advance
     spread: int
     first: int
     repeat: bool
-    long_body: memoryview | None = (
-        None  # a long body with its terminator, which is sent after the encoded part
-    )
+    # A long body with its terminator, which is sent after the encoded part.
+    long_body: memoryview | None = None
 
     def encode(self, remaining_ms: int) -> bytes:
         """The command as sent to a backend, with the remaining time of the request."""
--- a/roadpulley/core/counter.py
+++ b/roadpulley/core/counter.py
@@ -217,9 +217,8 @@
     ) -> None:
         self.loop, self.timers, self.address, self.timeout_ms = loop, timers, address, timeout_ms
         self.lanes = [CounterLane(self) for _ in range(CONNECTIONS)]
-        self.draining_connections: set[CounterConnection] = (
-            set()
-        )  # to previous addresses, with unanswered calls
+        # Connections to previous addresses, kept for their unanswered calls.
+        self.draining_connections: set[CounterConnection] = set()
         self.calls: dict[str, deque[CounterCall]] = {}  # by name, oldest first: not yet reported
         self.dropped: Tally[str] = Tally()  # by reason, since the last log line
         self.loop_lag_ms = 0.0  # lag of this gateway's own loop, which doesn't make the counter silent
@@ -265,6 +264,7 @@
         self.timers.call_at(now_ms() + SUMMARY_INTERVAL_MS, self.summarize)
 
     def expire(self, lane: CounterLane, call: CounterCall, due_at: float) -> None:
+        """Ends a call whose timeout is over, as never sent or as possibly applied."""
         if (
             now_ms() - due_at > LATE_TIMER_THRESHOLD_MS
         ):  # check again after this loop iteration has read pending data
--- a/roadpulley/core/discovery.py
+++ b/roadpulley/core/discovery.py
@@ -154,6 +154,7 @@
         self.end("ended")
 
     def read(self, data: bytes) -> None:
+        """Parses received bytes of the HTTP response; b"" stands for the end of the connection."""
         if self.is_abandoned:
             return
         try:
@@ -172,12 +173,14 @@
             self.end(str(error))
 
     def feed_body(self, data: bytes, last: bool = False) -> None:
+        """Reports the complete objects of a piece of the response body."""
         for text in self.objects.feed(data, last):
             if self.is_abandoned:
                 return
             self.discovery.on_line(self.open_action.call, text)
 
     def end(self, reason: str, clean: bool = False) -> None:
+        """Closes the call and reports its end, once."""
         if not self.is_abandoned:
             self.abandon()
             self.discovery.on_end(self.open_action.call, reason, clean)
@@ -203,6 +206,7 @@
 
     @property
     def address(self) -> Address:
+        """The current address of discovery."""
         return self.watch.address
 
     def move(self, address: Address) -> None:
@@ -241,6 +245,7 @@
         asyncio.get_running_loop().call_later(FIRST_LINE_TIMEOUT_S, self.on_first_line_timeout)
 
     def on_first_line_timeout(self) -> None:
+        """The wait for the first line after a response head is over."""
         # If part of the first line has arrived, its changes are already in effect, so it is awaited.
         if self.current_call is None or not self.current_call.objects.has_partial:
             self.initial_list_received.set()
@@ -277,6 +282,7 @@
     # ---- actions ----
 
     def perform(self, action: WatchAction) -> None:
+        """Performs an action of the watch, and schedules its next deadline."""
         if action is not None:
             self.close_call()
         if isinstance(action, CloseCall):
@@ -287,6 +293,7 @@
         self.schedule_timer()
 
     def close_call(self) -> None:
+        """Closes the current call, if there is one."""
         if self.current_call is not None:
             self.current_call.abandon()
         if self.connecting is not None:
@@ -294,6 +301,7 @@
         self.current_call = self.connecting = None
 
     async def connect(self, call: DiscoveryCall) -> None:
+        """Opens the connection of a call."""
         host, port = call.open_action.address
         try:
             await asyncio.get_running_loop().create_connection(lambda: call, host, port)
--- a/roadpulley/core/discovery_watch.py
+++ b/roadpulley/core/discovery_watch.py
@@ -38,7 +38,7 @@
     the first call to a new address
     fails:                              answer timeout + first backoff        1,500 + 200         = 1,700
 
-Delays of the process itself come in addition.
+Delays of the process itself are added to these.
 """
 
 from __future__ import annotations
@@ -149,4 +149,5 @@
         return CloseCall(f"{reason}; retry in {pause / 1000:.2f} s")
 
     def draw_pause(self, max_pause: float) -> float:
+        """A random pause of at most `max_pause`."""
         return max_pause * (1 - JITTER_RATIO * self.rng.random())
--- a/roadpulley/core/driver.py
+++ b/roadpulley/core/driver.py
@@ -179,11 +179,12 @@
 
     def start_lag_monitor(self) -> None:
         """Measures the lag of the event loop at regular intervals from now on."""
-        due = self.next_lag_check_at = now_ms() + LAG_CHECK_INTERVAL_MS
-        self.timers.call_at(due, partial(self.on_lag_check, due))
+        due_at = self.next_lag_check_at = now_ms() + LAG_CHECK_INTERVAL_MS
+        self.timers.call_at(due_at, partial(self.on_lag_check, due_at))
 
-    def on_lag_check(self, due: float) -> None:
-        lag = now_ms() - due
+    def on_lag_check(self, due_at: float) -> None:
+        """Measures the lag as the delay of this timer, and reports it to the decision module."""
+        lag = now_ms() - due_at
         if lag < MIN_REPORTED_LAG_MS:
             lag = 0.0
         self.last_lag_ms = lag
@@ -295,6 +296,7 @@
         outcome: api.Outcome,
         value: bytes,
     ) -> None:
+        """An attempt has ended: answers its request if the outcome is final, and reports the outcome."""
         request = owner.command.id
         del self.attempts[request, number], owner.open_attempts[number]
         if owner.is_streaming and not attempt.streams_value:
@@ -322,22 +324,27 @@
             owner.meter_record = None
         self.handle_event(api.AttemptEnded(request, number, attempt.backend, outcome, lag, finished, cost))
 
-    def on_counter_reply(self, name: str, outcome: api.Outcome, reading: float) -> None:
-        self.handle_event(api.CounterReplied(name, outcome, reading))
+    def on_counter_reply(self, name: str, outcome: api.Outcome, total: float) -> None:
+        """A call to the counter has ended."""
+        self.handle_event(api.CounterReplied(name, outcome, total))
 
     # ---- actions ----
 
     def cancel(self, action: api.Cancel) -> None:
+        """Ends an attempt whose answer is no longer needed."""
         if attempt := self.attempts.get((action.request, action.attempt)):
             self.backends.cancel_attempt(attempt, EndReason.ABANDONED)
 
     def refuse(self, action: api.Refuse) -> None:
+        """Answers a request with `-BUSY`."""
         self.finish(action.request, encode_busy(action.retry_after))
 
     def set_timer(self, action: api.SetTimer) -> None:
+        """Schedules a timer of the decision module."""
         self.timers.call_at(now_ms() + action.delay, partial(self.handle_event, api.TimerFired(action.token)))
 
     def count(self, action: api.AddToCounter) -> None:
+        """Adds to a counter. Without a counter service the call fails as never sent."""
         if self.counter is None:
             self.handle_event(api.CounterReplied(action.name, api.Outcome.CONNECT, 0.0))
         else:
--- a/roadpulley/core/resp.py
+++ b/roadpulley/core/resp.py
@@ -12,19 +12,16 @@
 from typing import NamedTuple
 
 MAX_VALUE_BYTES = 64 * 1024
-MAX_BODY_BYTES = (
-    4 * 1024 * 1024
-)  # of a request's value; above MAX_VALUE_BYTES it is read only after a memory grant
+# The value of a request. Above MAX_VALUE_BYTES it is read only after a memory grant.
+MAX_BODY_BYTES = 4 * 1024 * 1024
 BODY_ARGUMENT_INDEX = 4  # the position of the value among the arguments
 MAX_COMMAND_BYTES = MAX_VALUE_BYTES + 4 * 1024  # all arguments together
 MAX_ARGUMENTS = 16
 MAX_ANSWER_BYTES = 4 * 1024 * 1024
-LONG_VALUE_THRESHOLD_BYTES = (
-    64 * 1024
-)  # a longer value is streamed, and its timeout covers only its first bytes
-STREAMING_START_BYTES = (
-    16 * 1024
-)  # received before streaming starts: a wrong length is rarely followed by so much data
+# A longer value is streamed, and the attempt's timeout covers only its first bytes.
+LONG_VALUE_THRESHOLD_BYTES = 64 * 1024
+# Streaming starts once this much is received. A wrong length is rarely followed by so much data.
+STREAMING_START_BYTES = 16 * 1024
 MAX_ERROR_BYTES = 1024
 MAX_EXTRA_BYTES = 4 * 1024  # the usage figures or the load report, as encoded
 
--- a/roadpulley/core/settings.py
+++ b/roadpulley/core/settings.py
@@ -123,9 +123,7 @@
         validate_gateway_config(raw)
         require_existing_keys(raw["settings"], current.raw_settings)
         if current.counter is not None and not raw.get("counter"):
-            raise ValidationError(
-                "counter", "is missing", "give HOST:PORT, as in the configuration that stands"
-            )
+            raise ValidationError("counter", "is missing", "give HOST:PORT, as in the current configuration")
         return parse_config(raw)
     except (OSError, ValueError, ValidationError, RecursionError) as error:
         raise ConfigError(f"{path}: {error}") from error
--- a/roadpulley/core/validation.py
+++ b/roadpulley/core/validation.py
@@ -162,7 +162,7 @@
             raise ValidationError(
                 at,
                 "is missing",
-                f"give it, as in the configuration that stands ({format_value(current_value)})",
+                f"give it, as in the current configuration ({format_value(current_value)})",
             )
         if (
             isinstance(current_value, list)
