--- a/tests/fleet/test_orders_world.py
+++ b/tests/fleet/test_orders_world.py
@@ -15,25 +15,27 @@
 from roadpulley.fleet.orders.voter import VoterState
 from roadpulley.testbed.orders_world import Draw, World
 
-USUAL = Draw()
+DEFAULT = Draw()
 # Five voters and short holdings of the duty: publishers often change in the middle of a change.
-HASTY = Draw(voters=5, others=0, holding=1.0, wishes=4.0, loss=0.25, late=0.25, restarts=0.01)
-FORGETFUL = Draw(disk=0.0, restarts=0.04, holding=2.0, wishes=3.0)
+SHORT_HOLDINGS = Draw(voters=5, others=0, holding=1.0, wishes=4.0, loss=0.25, late=0.25, restarts=0.01)
+NO_DISK = Draw(disk=0.0, restarts=0.04, holding=2.0, wishes=3.0)
 SEEDS = 25
 
 
-@pytest.mark.parametrize("draw", [USUAL, HASTY, FORGETFUL], ids=["usual", "hasty", "forgetful"])
+@pytest.mark.parametrize(
+    "draw", [DEFAULT, SHORT_HOLDINGS, NO_DISK], ids=["default", "short-holdings", "no-disk"]
+)
 def test_books_form_one_sequence_and_followers_are_not_stale(draw: Draw) -> None:
     """If voters lose their memory, an acknowledged order may be lost only with all voters that had it."""
     worlds = [World(draw, seed).run() for seed in range(SEEDS)]
     assert sum(world.outcomes for world in worlds) > 5 * SEEDS
     assert all(len(world.reached) > 1 for world in worlds)
     for world in worlds:
-        assert not world.broken or (draw is FORGETFUL and world.read_blank), (world.seed, world.broken[0])
+        assert not world.broken or (draw is NO_DISK and world.read_blank), (world.seed, world.broken[0])
 
 
 def test_publisher_continues_without_a_majority_with_memory() -> None:
-    worlds = [World(FORGETFUL, seed).run() for seed in range(SEEDS)]
+    worlds = [World(NO_DISK, seed).run() for seed in range(SEEDS)]
     assert sum(world.read_blank for world in worlds) > SEEDS / 4
 
 
@@ -110,14 +112,14 @@
 @pytest.mark.parametrize(
     ("mistake", "draw"),
     [
-        (accept_lower_fences, HASTY),
-        (count_voters_without_memory, FORGETFUL),
-        (publish_without_replicating, replace(HASTY, holding=0.4, loss=0.5, wishes=10.0)),
-        (read_without_the_book, HASTY),
-        (accept_any_majority, HASTY),
-        (follow_lower_versions, HASTY),
-        (accept_any_reply, replace(USUAL, holds=1.3, stops=0.2, late=0.5)),
-        (never_expire, USUAL),
+        (accept_lower_fences, SHORT_HOLDINGS),
+        (count_voters_without_memory, NO_DISK),
+        (publish_without_replicating, replace(SHORT_HOLDINGS, holding=0.4, loss=0.5, wishes=10.0)),
+        (read_without_the_book, SHORT_HOLDINGS),
+        (accept_any_majority, SHORT_HOLDINGS),
+        (follow_lower_versions, SHORT_HOLDINGS),
+        (accept_any_reply, replace(DEFAULT, holds=1.3, stops=0.2, late=0.5)),
+        (never_expire, DEFAULT),
     ],
     ids=lambda value: getattr(value, "__name__", ""),
 )
--- a/tests/fleet/test_rights_gateways.py
+++ b/tests/fleet/test_rights_gateways.py
@@ -38,12 +38,12 @@
         async with asyncio.timeout(90), Installation(scenario) as world:
             running = asyncio.create_task(world.run())
             await asyncio.sleep(scenario.seconds - 1)
-            asks = 0
+            request_count = 0
             for name in world.gateways:
                 with suppress(ValidationError):  # a killed gateway starts when its last worker has drained
-                    found = await asyncio.to_thread(call_agent, world.folder / "fleet", name, "limits")
-                    asks += found["counts"].get("asks", 0)
-            return await running, asks
+                    report = await asyncio.to_thread(call_agent, world.folder / "fleet", name, "limits")
+                    request_count += report["counts"].get("asks", 0)
+            return await running, request_count
 
     return uvloop.run(work())
 
@@ -51,6 +51,6 @@
 def test_ceilings_hold_while_allocator_gateways_are_killed() -> None:
     """Any gateway may be the allocator: two of the five are killed one after the other, and restart."""
     faults = tuple(Fault(at, "kill", name, seconds=1.0) for at, name in ((6.0, "n0"), (8.0, "n1")))
-    outcome, asks = run_scenario(SCENARIO.with_(faults=faults))
+    outcome, request_count = run_scenario(SCENARIO.with_(faults=faults))
     assert outcome.verdict.ok, "\n".join(outcome.verdict.lines())
-    assert asks > 20
+    assert request_count > 20
--- a/tests/fleet/test_rights_processes.py
+++ b/tests/fleet/test_rights_processes.py
@@ -85,8 +85,8 @@
     return latest[1] if latest else None
 
 
-async def wait_for_successor(fleet: Fleet, first: str | None) -> None:
-    await fleet.until(lambda: current_allocator(fleet) != first, f"another allocator than {first}")
+async def wait_for_successor(fleet: Fleet, previous: str | None) -> None:
+    await fleet.until(lambda: current_allocator(fleet) != previous, f"another allocator than {first}")
 
 
 async def wait_for_payments(fleet: Fleet, least: int = 30) -> None:
@@ -98,13 +98,13 @@
     async def play(fleet: Fleet) -> None:
         await start_spenders(fleet, 30.0, 30.0, 30.0)
         for _ in range(2):
-            first = current_allocator(fleet)
-            assert first is not None
-            fleet.kill(first)
-            await wait_for_successor(fleet, first)
+            previous = current_allocator(fleet)
+            assert previous is not None
+            fleet.kill(previous)
+            await wait_for_successor(fleet, previous)
             await wait_for_payments(fleet)
-            await fleet.gone(first)
-            await fleet.start(first)
+            await fleet.gone(previous)
+            await fleet.start(previous)
 
     run_scenario(tmp_path, play)
 
@@ -114,12 +114,12 @@
 
     async def play(fleet: Fleet) -> None:
         await start_spenders(fleet, 30.0, 30.0, 30.0)
-        first = current_allocator(fleet)
-        assert first is not None
-        fleet.stop(first)
-        await wait_for_successor(fleet, first)
+        previous = current_allocator(fleet)
+        assert previous is not None
+        fleet.stop(previous)
+        await wait_for_successor(fleet, previous)
         await wait_for_payments(fleet)
-        fleet.go_on(first)
+        fleet.go_on(previous)
         await wait_for_payments(fleet)
 
     run_scenario(tmp_path, play)
@@ -160,12 +160,12 @@
 
     async def play(fleet: Fleet) -> None:
         await start_spenders(fleet, 30.0, 30.0, 30.0)
-        first, second, _ = fleet.spenders
+        previous, second, _ = fleet.spenders
         second.signal(signal.SIGSTOP)
-        first.signal(signal.SIGKILL)
-        assert first.process is not None
-        await first.process.wait()
-        await fleet.spend_again(first)
+        previous.signal(signal.SIGKILL)
+        assert previous.process is not None
+        await previous.process.wait()
+        await fleet.spend_again(previous)
         await asyncio.sleep(3 * fleet.plan.rights_lease)
         second.signal(signal.SIGCONT)
         await wait_for_payments(fleet)
@@ -252,8 +252,8 @@
 
     async def play(fleet: Fleet) -> None:
         for _ in range(5):  # on a slow machine the held right may expire before it is spent
-            first = await wait_for_full_limit(fleet)
-            others = [n for n in fleet.plan.names if n != first][:2]
+            previous = await wait_for_full_limit(fleet)
+            others = [n for n in fleet.plan.names if n != previous][:2]
             holder, requester = [
                 await fleet.spend(n, Load(0.0, units)) for n, units in zip(others, (18.0, 15.0), strict=True)
             ]
@@ -261,15 +261,15 @@
             loop = asyncio.get_running_loop()
             await wait_until_held(fleet, holder)
             held_at = loop.time()
-            await fleet.end(first)
-            await wait_for_successor(fleet, first)
+            await fleet.end(previous)
+            await wait_for_successor(fleet, previous)
             await asyncio.sleep(max(0.0, held_at + 1.0 - loop.time()))
             requester.signal(signal.SIGUSR1)
             await asyncio.sleep(0.1)
             holder.signal(signal.SIGUSR1)
             await asyncio.sleep(0.3)
             assert not is_paid(fleet, requester)
-            await fleet.start(first)
+            await fleet.start(previous)
             if is_paid(fleet, holder):
                 return
         pytest.fail("the held right was never spent, so the test shows nothing")
@@ -281,16 +281,16 @@
     """Most of the burst is available, and it still is after the handover, without a wait for a refill."""
 
     async def play(fleet: Fleet) -> None:
-        first = await wait_for_full_limit(fleet)
-        others = [n for n in fleet.plan.names if n != first][:2]
+        previous = await wait_for_full_limit(fleet)
+        others = [n for n in fleet.plan.names if n != previous][:2]
         small, large = [
             await fleet.spend(n, Load(0.0, units, 0.5)) for n, units in zip(others, (1.0, 15.0), strict=True)
         ]
         await asyncio.sleep(0.6)  # until both know the allocator
         small.signal(signal.SIGUSR1)
         await fleet.until(lambda: is_paid(fleet, small), "the limit is in use")
-        await fleet.end(first)
-        await wait_for_successor(fleet, first)
+        await fleet.end(previous)
+        await wait_for_successor(fleet, previous)
         await asyncio.sleep(0.3)  # until the successor's announcement has arrived
         large.signal(signal.SIGUSR1)
         await fleet.until(lambda: len(fleet.wishes()) == 2, "the other spend has ended")
@@ -304,8 +304,8 @@
     """Each in turn holds nearly all of the burst and is suspended with it."""
 
     async def play(fleet: Fleet) -> None:
-        first = await wait_for_full_limit(fleet)
-        others = [n for n in fleet.plan.names if n != first][:2]
+        previous = await wait_for_full_limit(fleet)
+        others = [n for n in fleet.plan.names if n != previous][:2]
         suspended = [await fleet.spend(name, Load(0.0, 18.0)) for name in others]
         await asyncio.sleep(0.6)
         for spender in suspended:
@@ -331,16 +331,16 @@
 
     async def play(fleet: Fleet) -> None:
         await start_spenders(fleet, *[30.0] * len(fleet.plan.names))
-        first = current_allocator(fleet)
-        assert first is not None
-        companion = next(n for n in fleet.plan.names[3:] if n != first)
-        isolated = (first, companion)
+        previous = current_allocator(fleet)
+        assert previous is not None
+        companion = next(n for n in fleet.plan.names[3:] if n != previous)
+        isolated = (previous, companion)
         fleet.links.part(isolated, [n for n in fleet.plan.names if n not in isolated])
-        fleet.stop(first)
-        await wait_for_successor(fleet, first)
+        fleet.stop(previous)
+        await wait_for_successor(fleet, previous)
         await asyncio.sleep(1.5 * fleet.plan.rights_lease)
         since = fleet.wishes()[-1].at
-        fleet.go_on(first)
+        fleet.go_on(previous)
         await asyncio.sleep(2.0)
         spender = fleet.spenders[fleet.plan.names.index(companion)]
         late_spends = [w for w in fleet.wishes() if w.by == spender.log.name and w.at > since]
@@ -358,12 +358,12 @@
     async def play(fleet: Fleet) -> None:
         await start_spenders(fleet, 30.0, 30.0, 30.0)
         for _ in range(6):
-            first = current_allocator(fleet)
-            assert first is not None
+            previous = current_allocator(fleet)
+            assert previous is not None
             folder = fleet.folder / f"run-{first}"
-            answer = await asyncio.to_thread(call_agent, folder, first, "hand-over", duty="fleet.rights.0")
+            answer = await asyncio.to_thread(call_agent, folder, previous, "hand-over", duty="fleet.rights.0")
             assert answer["done"]
-            await wait_for_successor(fleet, first)
+            await wait_for_successor(fleet, previous)
         await wait_for_payments(fleet)
 
     run_scenario(tmp_path, play, FleetPlan(voters=3, duties=0, limit=LIMIT))
--- a/tests/fleet/test_rights_world.py
+++ b/tests/fleet/test_rights_world.py
@@ -22,17 +22,17 @@
     tightest = 0.0
     for plans in (drawn, sharp):
         for seed in range(HISTORIES):
-            found = World(plans(seed), seed).run()
-            assert found.over == 0, f"{plans.__name__}, seed {seed}: {found}"
-            tightest = max(tightest, found.tight)
+            usage = World(plans(seed), seed).run()
+            assert usage.over == 0, f"{plans.__name__}, seed {seed}: {found}"
+            tightest = max(tightest, usage.tight)
     assert tightest > 0.9  # the limit is nearly reached, so a small overdraft would be found
 
 
 def test_without_faults_nearly_all_demand_is_paid() -> None:
-    quiet = Plan(load=0.5, limit=Limit(30.0, 40.0), loss=0, repeats=0, late=0, stops=0, restarts=0)
-    world = World(replace(quiet, successions=0, cuts=0, retunes=0), 1)
-    found = world.run()
-    assert found.units > 0.95 * world.wished
+    faultless = Plan(load=0.5, limit=Limit(30.0, 40.0), loss=0, repeats=0, late=0, stops=0, restarts=0)
+    world = World(replace(faultless, successions=0, cuts=0, retunes=0), 1)
+    usage = world.run()
+    assert usage.units > 0.95 * world.wished
 
 
 class IgnoresOutstandingUnits(Allocator):
@@ -123,12 +123,12 @@
 
     def _return_right(self, now: float, holding: LimitHolding, right: HeldRight) -> None:
         super()._return_right(now, holding, right)
-        self.__dict__.setdefault("kept", []).append(right)
+        self.__dict__.setdefault("returned_rights", []).append(right)
 
     def try_spend(self, now: float, limit: str, units: float, is_new: bool = True) -> bool:
         if super().try_spend(now, limit, units, is_new):
             return True
-        for right in self.__dict__.get("kept", []):
+        for right in self.__dict__.get("returned_rights", []):
             if right.units >= units and now < right.expires_at:
                 right.units -= units
                 return True
@@ -167,9 +167,9 @@
 def test_random_histories_never_exceed_a_concurrency_limit() -> None:
     tightest = 0.0
     for seed in range(HISTORIES):
-        found = open_world.World(open_world.drawn(seed), seed).run()
-        assert found.over == 0, f"seed {seed}: {found}"
-        tightest = max(tightest, found.tight)
+        usage = open_world.World(open_world.drawn(seed), seed).run()
+        assert usage.over == 0, f"seed {seed}: {found}"
+        tightest = max(tightest, usage.tight)
     assert tightest == 1.0
 
 
