--- a/tests/fleet/test_rights_processes.py
+++ b/tests/fleet/test_rights_processes.py
@@ -86,7 +86,7 @@
 
 
 async def wait_for_successor(fleet: Fleet, previous: str | None) -> None:
-    await fleet.until(lambda: current_allocator(fleet) != previous, f"another allocator than {first}")
+    await fleet.until(lambda: current_allocator(fleet) != previous, f"another allocator than {previous}")
 
 
 async def wait_for_payments(fleet: Fleet, least: int = 30) -> None:
@@ -160,14 +160,14 @@
 
     async def play(fleet: Fleet) -> None:
         await start_spenders(fleet, 30.0, 30.0, 30.0)
-        previous, second, _ = fleet.spenders
-        second.signal(signal.SIGSTOP)
-        previous.signal(signal.SIGKILL)
-        assert previous.process is not None
-        await previous.process.wait()
-        await fleet.spend_again(previous)
+        restarted, suspended, _ = fleet.spenders
+        suspended.signal(signal.SIGSTOP)
+        restarted.signal(signal.SIGKILL)
+        assert restarted.process is not None
+        await restarted.process.wait()
+        await fleet.spend_again(restarted)
         await asyncio.sleep(3 * fleet.plan.rights_lease)
-        second.signal(signal.SIGCONT)
+        suspended.signal(signal.SIGCONT)
         await wait_for_payments(fleet)
 
     run_scenario(tmp_path, play)
@@ -360,7 +360,7 @@
         for _ in range(6):
             previous = current_allocator(fleet)
             assert previous is not None
-            folder = fleet.folder / f"run-{first}"
+            folder = fleet.folder / f"run-{previous}"
             answer = await asyncio.to_thread(call_agent, folder, previous, "hand-over", duty="fleet.rights.0")
             assert answer["done"]
             await wait_for_successor(fleet, previous)
--- a/tests/fleet/test_rights_world.py
+++ b/tests/fleet/test_rights_world.py
@@ -23,7 +23,7 @@
     for plans in (drawn, sharp):
         for seed in range(HISTORIES):
             usage = World(plans(seed), seed).run()
-            assert usage.over == 0, f"{plans.__name__}, seed {seed}: {found}"
+            assert usage.over == 0, f"{plans.__name__}, seed {seed}: {usage}"
             tightest = max(tightest, usage.tight)
     assert tightest > 0.9  # the limit is nearly reached, so a small overdraft would be found
 
@@ -168,7 +168,7 @@
     tightest = 0.0
     for seed in range(HISTORIES):
         usage = open_world.World(open_world.drawn(seed), seed).run()
-        assert usage.over == 0, f"seed {seed}: {found}"
+        assert usage.over == 0, f"seed {seed}: {usage}"
         tightest = max(tightest, usage.tight)
     assert tightest == 1.0
 
