--- a/roadpulley/checks.py
+++ b/roadpulley/checks.py
@@ -33,9 +33,7 @@
             str(path), f"can't be read ({error.strerror})", "name an existing file"
         ) from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise ValidationError(
-            str(path), f"is not valid TOML ({error})", "correct the syntax there"
-        ) from error
+        raise ValidationError(str(path), f"is no TOML ({error})", "correct the syntax there") from error
     try:
         return parse(raw)
     except ValidationError as error:
--- a/tests/core/test_backends.py
+++ b/tests/core/test_backends.py
@@ -206,9 +206,8 @@
             assert pools.idle_limit.limit == 200
             for _ in range(60):
                 pools.idle_limit.decay()
-            assert pools.idle_limit.limit == float(
-                "inf"
-            )  # the counts have decayed, so longer idle times are attempt_under_test again
+            # The counts have decayed, so longer idle times are tried again.
+            assert pools.idle_limit.limit == float("inf")
 
     in_loop(scenario)
 
--- a/tests/core/test_discovery_watch.py
+++ b/tests/core/test_discovery_watch.py
@@ -88,9 +88,8 @@
 def test_the_first_line_of_a_call_takes_effect_from_the_previous_line() -> None:
     """Changes take effect even if no watch is open, and the agent may end a watch without sending them."""
     watch = create_watch(WatchState.FOLLOWING)
-    assert (
-        watch.on_line(100, watch.call_number) and watch.effective_since == -math.inf
-    )  # the process has just started
+    # The process has just started.
+    assert watch.on_line(100, watch.call_number) and watch.effective_since == -math.inf
     assert watch.on_line(1_500, watch.call_number) and watch.effective_since == 1_500
     watch.on_end(1_900, watch.call_number, "reset")
     for failed in (2_200, 2_900):  # calls without a line don't make the list more recent
@@ -186,9 +185,8 @@
     assert agent.run(0) == 0
     assert agent.watch.on_line(heard, agent.watch.call_number)
     agent.updated_at, agent.broken = None, list(broken)
-    bound = CHANGE_DEADLINE_MS + (
-        SILENCE_TIMEOUT_MS if broken == ["head"] else 0
-    )  # the second watch became silent too
+    # After a head without a line the second watch became silent too.
+    bound = CHANGE_DEADLINE_MS + (SILENCE_TIMEOUT_MS if broken == ["head"] else 0)
     assert agent.run(heard) - heard < bound
 
 
--- a/tests/core/test_outcomes.py
+++ b/tests/core/test_outcomes.py
@@ -66,11 +66,11 @@
     def accept(self) -> None:
         while True:
             try:
-                taken, _ = self.listener.accept()
+                accepted, _ = self.listener.accept()
             except BlockingIOError:
                 return
-            taken.setblocking(False)
-            self.links.append(Link(taken))
+            accepted.setblocking(False)
+            self.links.append(Link(accepted))
 
     def read(self) -> None:
         self.accept()
@@ -81,8 +81,8 @@
 class Link:
     """The backend's side of a connection."""
 
-    def __init__(self, taken: socket.socket) -> None:
-        self.socket, self.reader = taken, hiredis.Reader()
+    def __init__(self, accepted: socket.socket) -> None:
+        self.socket, self.reader = accepted, hiredis.Reader()
         self.got: list[int] = []  # complete requests
         self.answered = 0
         self.over = False
@@ -250,7 +250,7 @@
         self.read()
         assert not self.wrong, self.wrong
         got = [number for link in self.links() for number in link.got]
-        assert len(got) == len(set(got)), "an attempt came twice"
+        assert len(got) == len(set(got)), "an attempt was received twice"
         for number, (_, result) in enumerate(self.tries):
             assert len(result.outcomes) == 1, f"{number} ended {len(result.outcomes)} times"
             (how,) = result.outcomes
@@ -395,7 +395,7 @@
     "a reset never ran": (outcomes, "OUTCOMES", table_with_connect_for(EndReason.CONNECTION_ERROR)),
     "a time-out never ran": (outcomes, "OUTCOMES", table_with_connect_for(EndReason.ATTEMPT_TIMEOUT)),
     "idle connections are not looked at": (Connection, "is_alive", lambda self: True),
-    "nothing is judged again at the first byte": (Connection, "write", blind_write),
+    "nothing is checked again before the first byte": (Connection, "write", blind_write),
     "a connection leads wherever the host is": (BackendPools, "is_current", lambda self, connection: True),
     "an ended attempt stays on its connection": (Connection, "end", lambda self, reason: self.attempt and
         self.attempt.end(resolve_outcome(self.get_stage(), reason))),
