--- a/roadpulley/workers/service.py
+++ b/roadpulley/workers/service.py
@@ -13,7 +13,7 @@
 
 from roadpulley.core.settings import Address, ConfigError, load_config
 
-from .machine import Action, Drain, Finished, Kill, Limits, Refuse, Say, Start, Supervisor
+from .supervisor import Action, Drain, Finished, Kill, Limits, Refuse, Say, Start, Supervisor
 
 log = logging.getLogger("roadpulley.workers")
 
--- a/tests/tenants/test_door.py
+++ b/tests/tenants/test_authentication.py
@@ -7,8 +7,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from roadpulley.tenants.authentication import MOST_WRONG, Door, Said
 from roadpulley.tenants.credentials import authenticate, first
-from roadpulley.tenants.door import MOST_WRONG, Door, Said
 
 CREDENTIALS, SECRET = first()
 OTHER, OTHER_SECRET = first()
--- a/tests/tenants/test_fair.py
+++ b/tests/tenants/test_fair_queue.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from roadpulley.tenants.fair import QUANTUM_US, Fair
+from roadpulley.tenants.fair_queue import QUANTUM_US, Fair
 
 Costs = dict[str, tuple[float, float]]  # of a flow: its weight, and the mean cost of its commands
 
--- a/tests/workers/test_supervisor.py
+++ b/tests/workers/test_supervisor.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from roadpulley.workers.machine import (
+from roadpulley.workers.supervisor import (
     Action,
     Drain,
     Finished,
--- a/tests/workers/test_worker_hard_cases.py
+++ b/tests/workers/test_worker_hard_cases.py
@@ -15,7 +15,7 @@
 from roadpulley.testbed.installation import Installation
 from roadpulley.testbed.ledger import Ended
 from roadpulley.testbed.quotas import uses
-from roadpulley.workers.machine import Limits
+from roadpulley.workers.supervisor import Limits
 
 pytestmark = pytest.mark.timeout(120)
 
