--- a/roadpulley/cli/store.py
+++ b/roadpulley/cli/store.py
@@ -35,7 +35,7 @@
 def run(args: argparse.Namespace) -> int:
     """0: well; 1: damaged; 2: it could not be done."""
     try:
-        from roadpulley.store import Damaged, StoreError
+        from roadpulley.store import DamagedError, StoreError
     except ImportError as error:
         print(f"roadpulley store: {error.name} is missing: install roadpulley[store]", file=sys.stderr)
         return 2
@@ -45,7 +45,7 @@
     try:
         act: Callable[[argparse.Namespace], int] = args.act
         return act(args)
-    except Damaged as error:
+    except DamagedError as error:
         for each in error.damage:
             print(each, file=sys.stderr)
         print("nothing was changed; see `roadpulley store repair --dry-run`", file=sys.stderr)
@@ -69,15 +69,15 @@
 
 
 def verify(args: argparse.Namespace) -> int:
-    from roadpulley.store import Locked
-    from roadpulley.store.care import look
+    from roadpulley.store import LockedError
+    from roadpulley.store.care import inspect_store
     from roadpulley.store.files import DiskFiles
 
     files = DiskFiles(args.folder)
     if not files.lock():
-        raise Locked(f"{args.folder} is open in another process: verify a backup of it")
+        raise LockedError(f"{args.folder} is open in another process: verify a backup of it")
     try:
-        found = look(files, Said("read"))
+        found = inspect_store(files, Said("read"))
     finally:
         files.unlock()
     for each in found.damage:
@@ -140,13 +140,13 @@
 
 
 def repair(args: argparse.Namespace) -> int:
-    from roadpulley.store.care import look, rescue
+    from roadpulley.store.care import inspect_store, write_salvaged
     from roadpulley.store.files import DiskFiles
 
     if args.to is None and not args.dry_run:
         print("roadpulley store: give --to FOLDER for what can be saved, or --dry-run", file=sys.stderr)
         return 2
-    found = look(DiskFiles(args.folder), Said("read"))
+    found = inspect_store(DiskFiles(args.folder), Said("read"))
     for each in found.damage:
         print(each)
     keys = sum(record.kind == 1 for record in found.saved.values())
@@ -156,7 +156,7 @@
     if args.to.exists() and any(args.to.iterdir()):
         print(f"roadpulley store: {args.to} is not empty: name a new folder", file=sys.stderr)
         return 2
-    print(f"{rescue(found, DiskFiles(args.to), Said('written'))} keys are in {args.to}")
+    print(f"{write_salvaged(found, DiskFiles(args.to), Said('written'))} keys are in {args.to}")
     return 0
 
 
--- a/roadpulley/fleet/works/plans.py
+++ b/roadpulley/fleet/works/plans.py
@@ -10,7 +10,7 @@
 from roadpulley.fleet.duties.work import HeldDuty, WorkError
 from roadpulley.plans.settings import PlanSettings
 from roadpulley.plans.shelf import Shelf
-from roadpulley.store import Locked, Store, StoreError
+from roadpulley.store import LockedError, Store, StoreError
 
 log = logging.getLogger(__name__)
 
@@ -38,7 +38,7 @@
                     return None
                 with self.register.guard(duty.fence):
                     doc = shelf.publish(duty.fence)
-        except Locked:
+        except LockedError:
             return 0.05  # a command is writing: its changes are published once it is done
         except (StoreError, ValidationError, OSError) as error:
             raise WorkError(f"the book of plans: {error}") from error
--- a/roadpulley/fleet/works/store_maintenance.py
+++ b/roadpulley/fleet/works/store_maintenance.py
@@ -16,7 +16,7 @@
 from roadpulley.checks import Table, ValidationError, read_toml
 from roadpulley.fleet.duties.registers import FileRegister
 from roadpulley.fleet.duties.work import HeldDuty, WorkError
-from roadpulley.store import Locked, Store, StoreError
+from roadpulley.store import LockedError, Store, StoreError
 from roadpulley.store.backup import backup
 from roadpulley.store.files import DiskFiles
 
@@ -109,7 +109,7 @@
             with Store.open(self.settings.store) as store:
                 if store.worth_compacting():
                     store.compact()
-        except Locked:
+        except LockedError:
             return  # the process that has it open compacts it
 
 
--- a/roadpulley/fleet/works/usage.py
+++ b/roadpulley/fleet/works/usage.py
@@ -10,7 +10,7 @@
 from roadpulley.checks import ValidationError
 from roadpulley.fleet.clock import wall_ms
 from roadpulley.fleet.duties.work import HeldDuty, WorkError
-from roadpulley.store import Locked, Store, StoreError, fences
+from roadpulley.store import LockedError, Store, StoreError, fences
 from roadpulley.usage.books import Books
 from roadpulley.usage.closing import HOUR_S, due
 from roadpulley.usage.periods import Periods
@@ -29,7 +29,7 @@
         settings.store.parent.mkdir(parents=True, exist_ok=True)
         with Store.open(settings.store) as store:
             yield store
-    except Locked as error:
+    except LockedError as error:
         raise WorkError(str(error)) from error
     except (StoreError, ValidationError, OSError) as error:
         raise WorkError(f"the books: {error}") from error
@@ -48,7 +48,7 @@
     def claim(self, fence: int, owner: str) -> int | None:
         """Claims the fence in the books. Raises WorkError."""
         with open_books(self.settings) as store:
-            return fences.claim(store, self.name, fence, owner)
+            return fences.claim_fence(store, self.name, fence, owner)
 
     def act(self, duty: HeldDuty) -> float | None:
         """Pushes the files that are due, for one round. Raises StaleFenceError, WorkError."""
@@ -70,7 +70,7 @@
             return duty.is_still_held() and time.monotonic() < deadline
 
         with open_books(self.settings) as store:
-            fenced = fences.Fenced(store, self.name, duty.fence)
+            fenced = fences.FencedStore(store, self.name, duty.fence)
             fenced.check()
             books = Books(fenced)
             with httpx.Client(
@@ -97,12 +97,12 @@
     def claim(self, fence: int, owner: str) -> int | None:
         """Claims the fence in the books. Raises WorkError."""
         with open_books(self.settings) as store:
-            return fences.claim(store, self.name, fence, owner)
+            return fences.claim_fence(store, self.name, fence, owner)
 
     def act(self, duty: HeldDuty) -> float | None:
         """Collects batches and closes ended periods. Raises StaleFenceError, WorkError."""
         with open_books(self.settings) as store:
-            books = Books(fences.Fenced(store, self.name, duty.fence))
+            books = Books(fences.FencedStore(store, self.name, duty.fence))
             collect(self.settings.spool, books)
             periods = Periods(books)
             closed_until = max((p.end for p in periods.all()), default=0)
--- a/roadpulley/plans/shelf.py
+++ b/roadpulley/plans/shelf.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from roadpulley.checks import ValidationError
-from roadpulley.store import Conflict, Record, Store
+from roadpulley.store import ConflictError, Record, Store
 
 from . import feed, records
 from .book import Book, Stale, Version
@@ -16,7 +16,9 @@
 
 
 class Shelf:
-    """One process at a time has it (`roadpulley.store.Locked`). A version that was given back is on disk."""
+    """One process at a time has it (`roadpulley.store.LockedError`). A version that was given back is on
+    disk.
+    """
 
     def __init__(
         self, store: Store, feed_file: Path, now: Callable[[], int], pool: float = 0.0, shows: bool = True
@@ -57,7 +59,7 @@
                 known.version if known else 0
             )  # Danger: an id that was used before would be promised twice
             self.store.put(records.reservation_key(r.id), records.dump_reservation(r), expect=expect)
-        except Conflict as error:
+        except ConflictError as error:
             raise ValidationError("id", f"{r.id!r} is another reservation's", "give each its own") from error
         self.desk.take(r)
         self._show()
@@ -74,7 +76,7 @@
             expect = known.version
         try:
             self.store.put(at, records.dump(version), expect=expect)
-        except Conflict as error:
+        except ConflictError as error:
             raise Stale(version.subject, version.number) from error
         self.book.take(version)
         self._show()
--- a/roadpulley/store/__init__.py
+++ b/roadpulley/store/__init__.py
@@ -1,23 +1,32 @@
 """An embedded durable store: log, index, compaction, recovery. See docs/design/store.md."""
 
-from .errors import Closed, Conflict, Damaged, Failed, Locked, StoreError, WriteFailed, WrongFormat
+from .errors import (
+    ClosedError,
+    ConflictError,
+    DamagedError,
+    FormatVersionError,
+    LockedError,
+    StoreError,
+    StoreFailedError,
+    WriteFailedError,
+)
 from .format import Record
-from .parts import Options, Stat, Write
+from .parts import Options, StoreStats, Write
 from .store import Snapshot, Store
 
 __all__ = [
-    "Closed",
-    "Conflict",
-    "Damaged",
-    "Failed",
-    "Locked",
+    "ClosedError",
+    "ConflictError",
+    "DamagedError",
+    "StoreFailedError",
+    "LockedError",
     "Options",
     "Record",
     "Snapshot",
-    "Stat",
+    "StoreStats",
     "Store",
     "StoreError",
     "Write",
-    "WriteFailed",
-    "WrongFormat",
+    "WriteFailedError",
+    "FormatVersionError",
 ]
--- a/roadpulley/store/aio.py
+++ b/roadpulley/store/aio.py
@@ -17,13 +17,13 @@
 from .errors import StoreError
 from .files import Files
 from .format import Record
-from .parts import Options, Pending, Stat, Write
+from .parts import Options, PendingBatch, StoreStats, Write
 from .store import Snapshot, Store
 
 log = logging.getLogger(__name__)
 
-READERS = 4  # threads: a read that waits for the disk holds up only those behind it
-PAGE = 512  # records of a scan that are read at a time
+READER_THREADS = 4  # threads: a read that waits for the disk holds up only those behind it
+SCAN_PAGE_RECORDS = 512  # records of a scan that are read at a time
 T = TypeVar("T")
 
 
@@ -34,7 +34,7 @@
         self.store = store
         self.loop = asyncio.get_running_loop()
         self.writer = ThreadPoolExecutor(1, "store-writer")
-        self.readers = ThreadPoolExecutor(READERS, "store-reader")
+        self.readers = ThreadPoolExecutor(READER_THREADS, "store-reader")
         self.keeper = ThreadPoolExecutor(1, "store-keeper")
         self.flushing = self.keeping = self.closing = False
 
@@ -54,7 +54,10 @@
         return await self.batch([Write(key, None, expect)])
 
     async def batch(self, writes: Sequence[Write]) -> int:
-        """As `Store.batch`. Raises Conflict, WriteFailed, Failed, Closed, ValueError."""
+        """Same as `Store.batch`, without blocking the event loop.
+
+        Raises ConflictError, WriteFailedError, StoreFailedError, ClosedError, ValueError.
+        """
         done: asyncio.Future[int] = self.loop.create_future()
         self.store.enqueue(writes, partial(self._ended, done))
         self._flush()
@@ -92,11 +95,11 @@
     def _kept(self) -> None:
         self.keeping = False
 
-    def _ended(self, done: asyncio.Future[int], pending: Pending) -> None:
+    def _ended(self, done: asyncio.Future[int], pending: PendingBatch) -> None:
         self.loop.call_soon_threadsafe(self._tell, done, pending)
 
     @staticmethod
-    def _tell(done: asyncio.Future[int], pending: Pending) -> None:
+    def _tell(done: asyncio.Future[int], pending: PendingBatch) -> None:
         if done.done():
             return
         if pending.error is not None:
@@ -113,10 +116,14 @@
         return await self._read(partial(self.store.entry, key))
 
     async def scan(
-        self, prefix: bytes = b"", start: bytes = b"", end: bytes | None = None, limit: int = PAGE
+        self,
+        prefix: bytes = b"",
+        start: bytes = b"",
+        end: bytes | None = None,
+        limit: int = SCAN_PAGE_RECORDS,
     ) -> list[Record]:
         """At most so many records; go on with `start` = the last key + a zero byte."""
-        return await self._read(partial(take, self.store, prefix, start, end, limit))
+        return await self._read(partial(read_page, self.store, prefix, start, end, limit))
 
     async def snapshot(self) -> Snapshot:
         """Its own calls wait for the disk: hand it to a thread (a backup, say)."""
@@ -130,7 +137,7 @@
     async def compact(self, everything: bool = True) -> bool:
         return await self._read(partial(self.store.compact, everything))
 
-    async def stat(self) -> Stat:
+    async def stat(self) -> StoreStats:
         return await self._read(self.store.stat)
 
     async def close(self) -> None:
@@ -147,7 +154,7 @@
         self.store.close()
 
 
-def take(store: Store, prefix: bytes, start: bytes, end: bytes | None, limit: int) -> list[Record]:
+def read_page(store: Store, prefix: bytes, start: bytes, end: bytes | None, limit: int) -> list[Record]:
     found: list[Record] = []
     for record in store.scan(prefix, start, end):
         if len(found) >= limit:
--- a/roadpulley/store/care.py
+++ b/roadpulley/store/care.py
@@ -6,18 +6,18 @@
 from dataclasses import dataclass, field
 
 from . import format
-from .errors import WrongFormat
+from .errors import FormatVersionError
 from .files import Files
-from .format import DELETE, FRAME, Manifest, Record, Unreadable, number_of, segment_name
+from .format import DELETE, FRAME_HEADER, Manifest, Record, UnreadableError, parse_number, segment_name
 from .parts import MANIFEST, Options, Write
-from .recovery import Damage, Scan, plan, scan, sealed_damage
+from .recovery import Damage, SegmentScan, find_sealed_damage, plan_recovery, scan_segment
 from .store import Store
 
 Progress = Callable[[int, int], None]  # bytes done, of how many
 
 
 @dataclass
-class Findings:
+class InspectionReport:
     """Of one look through a store."""
 
     damage: list[Damage] = field(default_factory=list)
@@ -28,13 +28,13 @@
     saved: dict[bytes, Record] = field(default_factory=dict)  # what can be read, by key: the highest version
 
 
-def look(files: Files, progress: Progress = lambda done, of: None) -> Findings:
-    """Read every byte of every segment that counts. Raises OSError, WrongFormat."""
-    found = Findings()
+def inspect_store(files: Files, progress: Progress = lambda done, of: None) -> InspectionReport:
+    """Read every byte of every segment that counts. Raises OSError, FormatVersionError."""
+    found = InspectionReport()
     names = files.names()
     manifest = read_manifest(files, names, found)
     sealed = {s.number: s for s in manifest.sealed} if manifest else {}
-    numbers = sorted(n for name in names if (n := number_of(name, ".seg")) is not None)
+    numbers = sorted(n for name in names if (n := parse_number(name, ".seg")) is not None)
     if manifest is not None:
         numbers = sorted([*sealed, manifest.active])
     total, done = sum(size_of(files, n, names) for n in numbers), 0
@@ -46,42 +46,42 @@
                 Damage(name, 0, "it is not there", lost if number in sealed else "all of it is")
             )
             continue
-        data = read(files, name)
+        data = read_file(files, name)
         if number in sealed:
             data = data[: sealed[number].length]
         try:
-            one = scan(data, number)
-        except format.FromTheFuture as error:
-            raise WrongFormat(f"{name}: {error}") from error
+            one = scan_segment(data, number)
+        except format.NewerFormatError as error:
+            raise FormatVersionError(f"{name}: {error}") from error
         found.segments += 1
         if number in sealed:
-            problem = sealed_damage(sealed[number], one, len(data))
+            problem = find_sealed_damage(sealed[number], one, len(data))
             found.damage += [problem] if problem else []
         else:
-            decided = plan(one, manifest.version if manifest else 0)
+            decided = plan_recovery(one, manifest.version if manifest else 0)
             found.damage += decided.damage
             found.torn += decided.cut if not decided.damage else 0
-        save(found, data, one)
+        collect_records(found, data, one)
         done += len(data)
         progress(done, total)
     return found
 
 
-def read_manifest(files: Files, names: list[str], found: Findings) -> Manifest | None:
+def read_manifest(files: Files, names: list[str], found: InspectionReport) -> Manifest | None:
     problem = "it is not there"
     if MANIFEST in names:
         try:
-            return Manifest.read(read(files, MANIFEST))
-        except format.FromTheFuture as error:
-            raise WrongFormat(f"{MANIFEST}: {error}") from error
-        except (Unreadable, ValueError, KeyError, TypeError) as error:
+            return Manifest.read(read_file(files, MANIFEST))
+        except format.NewerFormatError as error:
+            raise FormatVersionError(f"{MANIFEST}: {error}") from error
+        except (UnreadableError, ValueError, KeyError, TypeError) as error:
             problem = str(error)
     lost = "which segments count is not known: all that are there are read"
     found.damage.append(Damage(MANIFEST, 0, problem, lost))
     return None
 
 
-def read(files: Files, name: str) -> bytes:
+def read_file(files: Files, name: str) -> bytes:
     file = files.open(name)
     try:
         return file.read(0, file.size())
@@ -99,14 +99,14 @@
         file.close()
 
 
-def save(found: Findings, data: bytes, one: Scan) -> None:
+def collect_records(found: InspectionReport, data: bytes, one: SegmentScan) -> None:
     """Take in all that can be read of a segment, what stands after damage too."""
     starts = [(frame.offset, frame.head) for frame in one.frames] + one.later
     for offset, head in starts:
-        body_at = offset + FRAME.size
+        body_at = offset + FRAME_HEADER.size
         body = data[body_at : body_at + head.length]
         found.batches += not head.is_mark
-        for place in format.places(head, body, body_at, one.salt):
+        for place in format.unpack_metadata(head, body, body_at, one.salt):
             found.records += 1
             record = format.read_record(data[place.offset : place.offset + place.size], one.salt)
             known = found.saved.get(record.key)
@@ -114,7 +114,7 @@
                 found.saved[record.key] = record
 
 
-def rescue(found: Findings, target: Files, progress: Progress = lambda done, of: None) -> int:
+def write_salvaged(found: InspectionReport, target: Files, progress: Progress = lambda done, of: None) -> int:
     """Write what can be saved into a new store; gives how many keys. Raises as `Store.open` and `batch`.
 
     Versions are new: whoever remembers one from before finds a conflict, and reads again.
--- a/roadpulley/store/compaction.py
+++ b/roadpulley/store/compaction.py
@@ -12,16 +12,16 @@
 from typing import TYPE_CHECKING
 
 from . import format
-from .errors import Damaged, Failed
-from .format import DELETE, PUT, Record, Sealed, hint_name, segment_name
-from .index import locate, located
-from .recovery import scan, sealed_damage
+from .errors import DamagedError, StoreFailedError
+from .format import DELETE, PUT, Record, SealedSegment, hint_name, segment_name
+from .index import pack_location, unpack_location
+from .recovery import find_sealed_damage, scan_segment
 
 if TYPE_CHECKING:
     from .parts import Segment
     from .store import Store
 
-FRAME_BYTES = 1024 * 1024  # of records in one frame
+MAX_FRAME_BYTES = 1024 * 1024  # of records in one frame
 SMALL, MANY = 0.25, 8  # of a whole segment; so many of those are let be: each loss of power may leave one
 
 
@@ -38,8 +38,8 @@
 
     def add(self, record: Record, old: int | None) -> None:
         self.waiting.append((record, old))
-        self.size += format.RECORD.size + len(record.key) + len(record.value)
-        if self.size >= FRAME_BYTES:
+        self.size += format.RECORD_HEADER.size + len(record.key) + len(record.value)
+        if self.size >= MAX_FRAME_BYTES:
             self.flush()
 
     def flush(self) -> None:
@@ -49,21 +49,21 @@
         highest = max(record.version for record in records)
         self.versions += [record.version for record in records]
         data = format.pack_frame(records, highest, highest, self.segment.salt)
-        head = format.read_head(data[: format.FRAME.size], self.segment.salt)
-        at = self.segment.length + format.FRAME.size
-        found = format.places(head, data[format.FRAME.size :], at, self.segment.salt)
+        head = format.read_frame_header(data[: format.FRAME_HEADER.size], self.segment.salt)
+        at = self.segment.length + format.FRAME_HEADER.size
+        found = format.unpack_metadata(head, data[format.FRAME_HEADER.size :], at, self.segment.salt)
         self.segment.file.write(self.segment.length, data)
         self.segment.length += len(data)
         self.store.written += len(data)
         for place, (record, old) in zip(found, self.waiting, strict=True):
             self.segment.hint.add(place)
             if old is not None:
-                new = locate(self.segment.number, place.offset, place.size)
+                new = pack_location(self.segment.number, place.offset, place.size)
                 self.moved.append((record.key, old, new))
         self.waiting, self.size = [], 0
 
 
-def choose(store: Store, everything: bool) -> list[Segment]:
+def choose_segments(store: Store, everything: bool) -> list[Segment]:
     """The sealed segments that are worth it: mostly dead ones, and small ones once there are many."""
     with store.lock:
         sealed = [store.segments[number] for number in store.sealed]
@@ -79,31 +79,33 @@
     if everything:
         with store.writing():
             store._check_open()
-            if store.active.length > format.HEADER.size and store.failure is None:
+            if store.active.length > format.SEGMENT_HEADER.size and store.failure is None:
                 store._seal(store.active, None)
-    victims = choose(store, everything)
+    victims = choose_segments(store, everything)
     if not victims:
         return False
     outputs: list[Output] = []
     try:
-        if not copy(store, victims, outputs, stop):
-            return abandon(store, outputs)
+        if not copy_live_records(store, victims, outputs, stop):
+            return discard_outputs(store, outputs)
         for output in outputs:
             output.flush()
             output.segment.file.sync()
     except BaseException:
-        abandon(store, outputs)
+        discard_outputs(store, outputs)
         raise
     try:
-        install(store, victims, [o for o in outputs if o.versions])
+        install_outputs(store, victims, [o for o in outputs if o.versions])
     except OSError:
-        abandon(store, outputs)
+        discard_outputs(store, outputs)
         raise
-    abandon(store, [o for o in outputs if not o.versions])
+    discard_outputs(store, [o for o in outputs if not o.versions])
     return True
 
 
-def copy(store: Store, victims: list[Segment], outputs: list[Output], stop: Callable[[], bool]) -> bool:
+def copy_live_records(
+    store: Store, victims: list[Segment], outputs: list[Output], stop: Callable[[], bool]
+) -> bool:
     """Write what counts of them; false if it was stopped."""
     numbers = {segment.number for segment in victims}
     with store.lock:
@@ -113,27 +115,27 @@
     for segment in victims:
         sealed = store.sealed[segment.number]
         data = segment.file.read(0, sealed.length)
-        found = scan(data, segment.number)
-        if problem := sealed_damage(sealed, found, segment.file.size()):
-            raise Damaged([problem])
+        found = scan_segment(data, segment.number)
+        if problem := find_sealed_damage(sealed, found, segment.file.size()):
+            raise DamagedError([problem])
         for place in (place for frame in found.frames for place in frame.places):
             if stop():
                 return False
-            old = locate(segment.number, place.offset, place.size)
+            old = pack_location(segment.number, place.offset, place.size)
             with store.lock:
                 current = store.index.now.get(place.key)
             if place.kind == PUT and current == old:
                 raw = data[place.offset : place.offset + place.size]
-                output(store, outputs).add(format.read_record(raw, segment.salt), old)
+                get_output(store, outputs).add(format.read_record(raw, segment.salt), old)
             elif place.kind == DELETE and current is None:
                 kept[place.key] = max(kept.get(place.key, 0), place.version)
     for key, version in kept.items():
         if oldest_outside is not None and oldest_outside < version:
-            output(store, outputs).add(Record(DELETE, key, b"", version), None)
+            get_output(store, outputs).add(Record(DELETE, key, b"", version), None)
     return True
 
 
-def output(store: Store, outputs: list[Output]) -> Output:
+def get_output(store: Store, outputs: list[Output]) -> Output:
     if not outputs or outputs[-1].segment.length + outputs[-1].size >= store.options.segment_bytes:
         if outputs:
             outputs[-1].flush()
@@ -142,7 +144,7 @@
     return outputs[-1]
 
 
-def install(store: Store, victims: list[Segment], outputs: list[Output]) -> None:
+def install_outputs(store: Store, victims: list[Segment], outputs: list[Output]) -> None:
     """Have the manifest name the new ones, then the index, then remove the old files."""
     with store.writing():
         before = dict(store.sealed)
@@ -151,20 +153,20 @@
         for o in outputs:
             number, first, last = o.segment.number, min(o.versions), max(o.versions)
             o.segment.first, o.segment.last = first, last
-            store.sealed[number] = Sealed(number, o.segment.length, first, last)
+            store.sealed[number] = SealedSegment(number, o.segment.length, first, last)
             store._write_hint(number, o.segment.length, o.segment.hint)
             o.segment.hint = format.Hint()
         try:
             store._write_manifest()
-        except (OSError, Failed):
-            # Danger: after `Failed` either manifest may stand, so that neither's files may go.
+        except (OSError, StoreFailedError):
+            # Danger: after `StoreFailedError` either manifest may stand, so that neither's files may go.
             store.sealed = before
             raise
         with store.lock:
             for o in outputs:
                 for key, old, new in o.moved:
                     if store.index.move(key, old, new):
-                        o.segment.live += located(new)[2]
+                        o.segment.live += unpack_location(new)[2]
             for segment in victims:
                 segment.retired, segment.live = True, 0
                 segment.held = bool(store.index.readers)
@@ -174,7 +176,7 @@
         store._forget(hint_name(segment.number))
 
 
-def abandon(store: Store, outputs: list[Output]) -> bool:
+def discard_outputs(store: Store, outputs: list[Output]) -> bool:
     for o in outputs:
         with store.lock:
             store.segments.pop(o.segment.number, None)
--- a/roadpulley/store/errors.py
+++ b/roadpulley/store/errors.py
@@ -11,11 +11,11 @@
     """Any of those below."""
 
 
-class Locked(StoreError):
+class LockedError(StoreError):
     """Another process has the folder open."""
 
 
-class Damaged(StoreError):
+class DamagedError(StoreError):
     """Something that was acknowledged can't be read. Nothing was changed."""
 
     def __init__(self, damage: Sequence[Damage]) -> None:
@@ -23,15 +23,15 @@
         self.damage = tuple(damage)
 
 
-class WrongFormat(StoreError):
+class FormatVersionError(StoreError):
     """Written by a later version of this program, or no store at all."""
 
 
-class WriteFailed(StoreError):
+class WriteFailedError(StoreError):
     """This write is not there; the store goes on. A full disk, say."""
 
 
-class Failed(StoreError):
+class StoreFailedError(StoreError):
     """A sync failed, or what was begun could not be taken back: the store takes no more until it is opened
     anew.
 
@@ -39,7 +39,7 @@
     """
 
 
-class Conflict(StoreError):
+class ConflictError(StoreError):
     """The key's version is not the expected one: another writer was first. Read again, then decide."""
 
     def __init__(self, key: bytes, expected: int, found: int) -> None:
@@ -49,5 +49,5 @@
         self.key, self.expected, self.found = key, expected, found
 
 
-class Closed(StoreError):
+class ClosedError(StoreError):
     """The store was closed."""
--- a/roadpulley/store/fences.py
+++ b/roadpulley/store/fences.py
@@ -10,42 +10,42 @@
 
 from roadpulley.fences import StaleFenceError
 
-from .errors import Conflict
+from .errors import ConflictError
 from .format import Record
 from .parts import Write
 from .store import Store
 
 
-def key_of(duty: str) -> bytes:
+def get_fence_key(duty: str) -> bytes:
     return b"fence/" + duty.encode()
 
 
-def taken_up(store: Store, duty: str) -> tuple[int, str, int]:
+def read_fence(store: Store, duty: str) -> tuple[int, str, int]:
     """The highest fence, its owner, and the version of the record; zeros where none was."""
-    record = store.entry(key_of(duty))
+    record = store.entry(get_fence_key(duty))
     if record is None:
         return 0, "", 0
     raw = json.loads(record.value)
     return int(raw["fence"]), str(raw["owner"]), record.version
 
 
-def claim(store: Store, duty: str, fence: int, owner: str) -> int | None:
+def claim_fence(store: Store, duty: str, fence: int, owner: str) -> int | None:
     """Take a fence up. None: it is; else the highest that was before. Again by the same owner it is
     the same."""
-    highest, before, version = taken_up(store, duty)
+    highest, before, version = read_fence(store, duty)
     if (fence, owner) == (highest, before):
         return None
     if fence <= highest:
         return highest
     value = json.dumps({"fence": fence, "owner": owner}).encode()
     try:
-        store.put(key_of(duty), value, expect=version)
-    except Conflict:
-        return taken_up(store, duty)[0]
+        store.put(get_fence_key(duty), value, expect=version)
+    except ConflictError:
+        return read_fence(store, duty)[0]
     return None
 
 
-class Fenced:
+class FencedStore:
     """A store as the holder of one duty may use it. Writes raise StaleFenceError once a higher fence was
     taken up."""
 
@@ -58,21 +58,21 @@
 
     def check(self) -> None:
         """Before acts elsewhere that rest on the same holding. Raises StaleFenceError."""
-        if (highest := taken_up(self.store, self.duty)[0]) != self.fence:
+        if (highest := read_fence(self.store, self.duty)[0]) != self.fence:
             raise StaleFenceError(highest)
 
     def batch(self, writes: Sequence[Write]) -> int:
-        highest, owner, version = taken_up(self.store, self.duty)
+        highest, owner, version = read_fence(self.store, self.duty)
         if highest != self.fence:
             raise StaleFenceError(highest)
         # Danger: checked alone, a fence that is taken up between the check and the write would not stop it.
         same = Write(
-            key_of(self.duty), json.dumps({"fence": highest, "owner": owner}).encode(), expect=version
+            get_fence_key(self.duty), json.dumps({"fence": highest, "owner": owner}).encode(), expect=version
         )
         try:
             return self.store.batch((*writes, same))
-        except Conflict:
-            if (highest := taken_up(self.store, self.duty)[0]) != self.fence:
+        except ConflictError:
+            if (highest := read_fence(self.store, self.duty)[0]) != self.fence:
                 raise StaleFenceError(highest) from None
             raise
 
--- a/roadpulley/store/format.py
+++ b/roadpulley/store/format.py
@@ -20,26 +20,28 @@
 from collections.abc import Iterator
 from dataclasses import asdict, dataclass
 
-FORMAT = 1
+FORMAT_VERSION = 1
 SEGMENT_MAGIC, FRAME_MAGIC, HINT_MAGIC = b"RPSG", b"RPFR", b"RPHT"
-HEADER = struct.Struct("<4sHHQII")
-FRAME = struct.Struct("<4sIIQQII")
-RECORD = struct.Struct("<BHIQI")
-HINT = struct.Struct(
+SEGMENT_HEADER = struct.Struct("<4sHHQII")
+FRAME_HEADER = struct.Struct("<4sIIQQII")
+RECORD_HEADER = struct.Struct("<BHIQI")
+HINT_HEADER = struct.Struct(
     "<4sHHQQII"
 )  # magic, format, 0, segment, its length, entries, crc of these and of all that follows
-ENTRY = struct.Struct("<BHIQQ")  # kind, key length, value length, version, offset of the record; then the key
+HINT_ENTRY = struct.Struct(
+    "<BHIQQ"
+)  # kind, key length, value length, version, offset of the record; then the key
 PUT, DELETE = 1, 2
-LONGEST_KEY = 0xFFFF
-LARGEST_VALUE = 64 * 1024 * 1024
-LARGEST_BODY = 128 * 1024 * 1024  # of a batch: it is held in memory more than once while it is written
+MAX_KEY_BYTES = 0xFFFF
+MAX_VALUE_BYTES = 64 * 1024 * 1024
+MAX_BATCH_BYTES = 128 * 1024 * 1024  # of a batch: it is held in memory more than once while it is written
 
 
-class Unreadable(Exception):
+class UnreadableError(Exception):
     """Bytes that are not what the format says. The text says what is wrong, in a few words."""
 
 
-class FromTheFuture(Unreadable):
+class NewerFormatError(UnreadableError):
     """Written by a later format: nothing is wrong with it, and this program must keep its hands off."""
 
 
@@ -52,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Head:
+class FrameHeader:
     """Of a frame."""
 
     length: int
@@ -67,7 +69,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class RecordMetadata:
     """Where a record stands, and what is known of it without reading it."""
 
     kind: int
@@ -78,30 +80,30 @@
 
     @property
     def size(self) -> int:
-        return RECORD.size + len(self.key) + self.value_length
+        return RECORD_HEADER.size + len(self.key) + self.value_length
 
 
 # ---- segments ----
 
 
 def pack_header(number: int, salt: int) -> bytes:
-    body = HEADER.pack(SEGMENT_MAGIC, FORMAT, 0, number, salt, 0)[:-4]
+    body = SEGMENT_HEADER.pack(SEGMENT_MAGIC, FORMAT_VERSION, 0, number, salt, 0)[:-4]
     return body + struct.pack("<I", zlib.crc32(body))
 
 
 def read_header(data: bytes, number: int) -> int:
-    """A segment's salt. Raises Unreadable."""
-    if len(data) < HEADER.size:
-        raise Unreadable(f"its header has {len(data)} of {HEADER.size} bytes")
-    magic, form, _, named, salt, crc = HEADER.unpack_from(data)
+    """A segment's salt. Raises UnreadableError."""
+    if len(data) < SEGMENT_HEADER.size:
+        raise UnreadableError(f"its header has {len(data)} of {SEGMENT_HEADER.size} bytes")
+    magic, form, _, named, salt, crc = SEGMENT_HEADER.unpack_from(data)
     if magic != SEGMENT_MAGIC:
-        raise Unreadable(f"it begins with {magic!r}, not with {SEGMENT_MAGIC!r}")
-    if form != FORMAT:
-        raise FromTheFuture(f"it has format {form}; this program reads format {FORMAT}")
-    if zlib.crc32(data[: HEADER.size - 4]) != crc:
-        raise Unreadable("its header's checksum does not fit")
+        raise UnreadableError(f"it begins with {magic!r}, not with {SEGMENT_MAGIC!r}")
+    if form != FORMAT_VERSION:
+        raise NewerFormatError(f"it has format {form}; this program reads format {FORMAT_VERSION}")
+    if zlib.crc32(data[: SEGMENT_HEADER.size - 4]) != crc:
+        raise UnreadableError("its header's checksum does not fit")
     if named != number:
-        raise Unreadable(f"it says that it is segment {named}")
+        raise UnreadableError(f"it says that it is segment {named}")
     return int(salt)
 
 
@@ -110,14 +112,16 @@
 
 def pack_record(record: Record, salt: int) -> bytes:
     rest = record.key + record.value
-    head = RECORD.pack(record.kind, len(record.key), len(record.value), record.version, 0)[:-4]
+    head = RECORD_HEADER.pack(record.kind, len(record.key), len(record.value), record.version, 0)[:-4]
     return head + struct.pack("<I", zlib.crc32(rest, zlib.crc32(head, salt))) + rest
 
 
 def pack_frame(records: list[Record], version: int, durable: int, salt: int) -> bytes:
     """One batch. `records` may have versions of their own: those that were copied from elsewhere."""
     body = b"".join(pack_record(record, salt) for record in records)
-    head = FRAME.pack(FRAME_MAGIC, len(body), len(records), version, durable, zlib.crc32(body, salt), 0)[:-4]
+    head = FRAME_HEADER.pack(
+        FRAME_MAGIC, len(body), len(records), version, durable, zlib.crc32(body, salt), 0
+    )[:-4]
     return head + struct.pack("<I", zlib.crc32(head, salt)) + body
 
 
@@ -125,48 +129,48 @@
     return pack_frame([], durable, durable, salt)
 
 
-def read_head(data: bytes | memoryview, salt: int) -> Head:
-    """Raises Unreadable."""
-    if len(data) < FRAME.size:
-        raise Unreadable(f"a frame's head has {len(data)} of {FRAME.size} bytes")
-    magic, length, count, version, durable, body_crc, crc = FRAME.unpack_from(data)
+def read_frame_header(data: bytes | memoryview, salt: int) -> FrameHeader:
+    """Raises UnreadableError."""
+    if len(data) < FRAME_HEADER.size:
+        raise UnreadableError(f"a frame's head has {len(data)} of {FRAME_HEADER.size} bytes")
+    magic, length, count, version, durable, body_crc, crc = FRAME_HEADER.unpack_from(data)
     if magic != FRAME_MAGIC:
-        raise Unreadable("no frame begins here")
-    if zlib.crc32(bytes(data[: FRAME.size - 4]), salt) != crc:
-        raise Unreadable("a frame's head has a checksum that does not fit")
-    return Head(length, count, version, durable, body_crc)
+        raise UnreadableError("no frame begins here")
+    if zlib.crc32(bytes(data[: FRAME_HEADER.size - 4]), salt) != crc:
+        raise UnreadableError("a frame's head has a checksum that does not fit")
+    return FrameHeader(length, count, version, durable, body_crc)
 
 
-def places(head: Head, body: bytes, offset: int, salt: int) -> list[Place]:
-    """The records of a frame whose body begins at an offset. Raises Unreadable."""
+def unpack_metadata(head: FrameHeader, body: bytes, offset: int, salt: int) -> list[RecordMetadata]:
+    """The records of a frame whose body begins at an offset. Raises UnreadableError."""
     if len(body) != head.length:
-        raise Unreadable(f"a frame has {len(body)} of {head.length} bytes")
+        raise UnreadableError(f"a frame has {len(body)} of {head.length} bytes")
     if zlib.crc32(body, salt) != head.body_crc:
-        raise Unreadable("a frame's checksum does not fit")
+        raise UnreadableError("a frame's checksum does not fit")
     found, at = [], 0
     for _ in range(head.count):
-        if at + RECORD.size > len(body):
-            raise Unreadable("a frame's records do not fill it as it says")
-        kind, key_length, value_length, version, _ = RECORD.unpack_from(body, at)
-        key = body[at + RECORD.size : at + RECORD.size + key_length]
-        found.append(Place(kind, key, version, offset + at, value_length))
-        at += RECORD.size + key_length + value_length
+        if at + RECORD_HEADER.size > len(body):
+            raise UnreadableError("a frame's records do not fill it as it says")
+        kind, key_length, value_length, version, _ = RECORD_HEADER.unpack_from(body, at)
+        key = body[at + RECORD_HEADER.size : at + RECORD_HEADER.size + key_length]
+        found.append(RecordMetadata(kind, key, version, offset + at, value_length))
+        at += RECORD_HEADER.size + key_length + value_length
     if at != len(body):
-        raise Unreadable("a frame's records do not fill it as it says")
+        raise UnreadableError("a frame's records do not fill it as it says")
     return found
 
 
 def read_record(data: bytes, salt: int) -> Record:
-    """A whole record as it stands on disk. Raises Unreadable."""
-    if len(data) < RECORD.size:
-        raise Unreadable(f"a record has {len(data)} bytes, fewer than its head")
-    kind, key_length, value_length, version, crc = RECORD.unpack_from(data)
-    if len(data) != RECORD.size + key_length + value_length:
-        raise Unreadable(f"a record has {len(data)} bytes, and says otherwise")
-    if zlib.crc32(data[RECORD.size :], zlib.crc32(data[: RECORD.size - 4], salt)) != crc:
-        raise Unreadable("a record's checksum does not fit")
-    split = RECORD.size + key_length
-    return Record(kind, data[RECORD.size : split], data[split:], version)
+    """A whole record as it stands on disk. Raises UnreadableError."""
+    if len(data) < RECORD_HEADER.size:
+        raise UnreadableError(f"a record has {len(data)} bytes, fewer than its head")
+    kind, key_length, value_length, version, crc = RECORD_HEADER.unpack_from(data)
+    if len(data) != RECORD_HEADER.size + key_length + value_length:
+        raise UnreadableError(f"a record has {len(data)} bytes, and says otherwise")
+    if zlib.crc32(data[RECORD_HEADER.size :], zlib.crc32(data[: RECORD_HEADER.size - 4], salt)) != crc:
+        raise UnreadableError("a record's checksum does not fit")
+    split = RECORD_HEADER.size + key_length
+    return Record(kind, data[RECORD_HEADER.size : split], data[split:], version)
 
 
 # ---- hints ----
@@ -180,33 +184,33 @@
     def __init__(self) -> None:
         self.count, self.entries = 0, bytearray()
 
-    def add(self, place: Place) -> None:
-        head = ENTRY.pack(place.kind, len(place.key), place.value_length, place.version, place.offset)
+    def add(self, place: RecordMetadata) -> None:
+        head = HINT_ENTRY.pack(place.kind, len(place.key), place.value_length, place.version, place.offset)
         self.entries += head + place.key
         self.count += 1
 
     def pack(self, number: int, length: int) -> bytes:
-        head = HINT.pack(HINT_MAGIC, FORMAT, 0, number, length, self.count, 0)[:-4]
+        head = HINT_HEADER.pack(HINT_MAGIC, FORMAT_VERSION, 0, number, length, self.count, 0)[:-4]
         return head + struct.pack("<I", zlib.crc32(self.entries, zlib.crc32(head))) + self.entries
 
 
-def read_hint(data: bytes, number: int, length: int) -> list[Place]:
-    """The records of a sealed segment of this number and length. Raises Unreadable."""
-    if len(data) < HINT.size:
-        raise Unreadable(f"its header has {len(data)} of {HINT.size} bytes")
-    magic, form, _, named, of_length, count, crc = HINT.unpack_from(data)
-    if magic != HINT_MAGIC or form != FORMAT:
-        raise Unreadable("it is no hint of this format")
+def read_hint(data: bytes, number: int, length: int) -> list[RecordMetadata]:
+    """The records of a sealed segment of this number and length. Raises UnreadableError."""
+    if len(data) < HINT_HEADER.size:
+        raise UnreadableError(f"its header has {len(data)} of {HINT_HEADER.size} bytes")
+    magic, form, _, named, of_length, count, crc = HINT_HEADER.unpack_from(data)
+    if magic != HINT_MAGIC or form != FORMAT_VERSION:
+        raise UnreadableError("it is no hint of this format")
     if (named, of_length) != (number, length):
-        raise Unreadable("it is of another segment")
-    if zlib.crc32(memoryview(data)[HINT.size :], zlib.crc32(data[: HINT.size - 4])) != crc:
-        raise Unreadable("its checksum does not fit")
-    found, at = [], HINT.size
-    unpack, size = ENTRY.unpack_from, ENTRY.size
+        raise UnreadableError("it is of another segment")
+    if zlib.crc32(memoryview(data)[HINT_HEADER.size :], zlib.crc32(data[: HINT_HEADER.size - 4])) != crc:
+        raise UnreadableError("its checksum does not fit")
+    found, at = [], HINT_HEADER.size
+    unpack, size = HINT_ENTRY.unpack_from, HINT_ENTRY.size
     for _ in range(count):
         kind, key_length, value_length, version, offset = unpack(data, at)
         at += size + key_length
-        found.append(Place(kind, data[at - key_length : at], version, offset, value_length))
+        found.append(RecordMetadata(kind, data[at - key_length : at], version, offset, value_length))
     return found
 
 
@@ -214,7 +218,7 @@
 
 
 @dataclass(frozen=True)
-class Sealed:
+class SealedSegment:
     """A segment that is never written again."""
 
     number: int
@@ -227,26 +231,31 @@
 class Manifest:
     """Which segments count. Replaced as a whole."""
 
-    sealed: tuple[Sealed, ...]
+    sealed: tuple[SealedSegment, ...]
     active: int  # the number of the segment that is written
     next_number: int
     version: int  # the last one that the active segment does not hold; it may have been compacted away
 
     def pack(self) -> bytes:
-        text = json.dumps({"format": FORMAT, **asdict(self)}, indent=1).encode()
+        text = json.dumps({"format": FORMAT_VERSION, **asdict(self)}, indent=1).encode()
         return b"%08x\n" % zlib.crc32(text) + text
 
     @classmethod
     def read(cls, data: bytes) -> Manifest:
-        """Raises Unreadable."""
+        """Raises UnreadableError."""
         crc, newline, text = data.partition(b"\n")
         if not newline or crc != b"%08x" % zlib.crc32(text):
-            raise Unreadable("its checksum does not fit")
+            raise UnreadableError("its checksum does not fit")
         raw = json.loads(text)
-        if raw["format"] != FORMAT:
-            raise FromTheFuture(f"it has format {raw['format']}; this program reads format {FORMAT}")
+        if raw["format"] != FORMAT_VERSION:
+            raise NewerFormatError(
+                f"it has format {raw['format']}; this program reads format {FORMAT_VERSION}"
+            )
         return cls(
-            tuple(Sealed(**each) for each in raw["sealed"]), raw["active"], raw["next_number"], raw["version"]
+            tuple(SealedSegment(**each) for each in raw["sealed"]),
+            raw["active"],
+            raw["next_number"],
+            raw["version"],
         )
 
 
@@ -258,21 +267,23 @@
     return f"{number:08d}.hint"
 
 
-def number_of(name: str, suffix: str) -> int | None:
+def parse_number(name: str, suffix: str) -> int | None:
     """Of a file's name; None if it is none of ours."""
     stem = name.removesuffix(suffix)
     return int(stem) if name.endswith(suffix) and len(stem) == 8 and stem.isdecimal() else None
 
 
-def frames(data: bytes, offset: int, salt: int) -> Iterator[tuple[int, Head]]:
+def find_frames(data: bytes, offset: int, salt: int) -> Iterator[tuple[int, FrameHeader]]:
     """Whole frames anywhere from an offset on, found by their magic: what follows damage."""
     at = data.find(FRAME_MAGIC, offset)
     while at >= 0:
         try:
-            head = read_head(data[at : at + FRAME.size], salt)
-            places(head, data[at + FRAME.size : at + FRAME.size + head.length], 0, salt)
-        except Unreadable:
+            head = read_frame_header(data[at : at + FRAME_HEADER.size], salt)
+            unpack_metadata(
+                head, data[at + FRAME_HEADER.size : at + FRAME_HEADER.size + head.length], 0, salt
+            )
+        except UnreadableError:
             at = data.find(FRAME_MAGIC, at + 1)
             continue
         yield at, head
-        at = data.find(FRAME_MAGIC, at + FRAME.size + head.length)
+        at = data.find(FRAME_MAGIC, at + FRAME_HEADER.size + head.length)
--- a/roadpulley/store/index.py
+++ b/roadpulley/store/index.py
@@ -13,14 +13,14 @@
 from sortedcontainers import SortedDict
 
 SIZE_BITS, OFFSET_BITS = 28, 40  # a record of 64 MiB and its key; a segment of a terabyte
-CHUNK = 256  # keys that a scan takes at a time
+CHUNK_KEYS = 256  # keys that a scan takes at a time
 
 
-def locate(segment: int, offset: int, size: int) -> int:
+def pack_location(segment: int, offset: int, size: int) -> int:
     return (segment << OFFSET_BITS | offset) << SIZE_BITS | size
 
 
-def located(location: int) -> tuple[int, int, int]:
+def unpack_location(location: int) -> tuple[int, int, int]:
     """Segment, offset and size."""
     rest, size = location >> SIZE_BITS, location & ((1 << SIZE_BITS) - 1)
     return rest >> OFFSET_BITS, rest & ((1 << OFFSET_BITS) - 1), size
@@ -65,8 +65,8 @@
         self, start: bytes, end: bytes | None, version: int | None = None
     ) -> tuple[list[tuple[bytes, int]], bytes | None]:
         """The next keys from `start` on and before `end`, and where to go on; None at the end."""
-        keys: list[bytes] = list(islice(self._keys(start, end), CHUNK))
-        following = keys[-1] + b"\0" if len(keys) == CHUNK else None
+        keys: list[bytes] = list(islice(self._keys(start, end), CHUNK_KEYS))
+        following = keys[-1] + b"\0" if len(keys) == CHUNK_KEYS else None
         if version is None:
             return [(key, self.now[key]) for key in keys], following
         gone = [k for k in self.before if start <= k and (end is None or k < end)]
@@ -102,7 +102,7 @@
         return False
 
 
-def end_of(prefix: bytes) -> bytes | None:
+def end_of_prefix(prefix: bytes) -> bytes | None:
     """The first key after all that begin with a prefix; None if none comes after them."""
     rest = prefix.rstrip(b"\xff")
     return rest[:-1] + bytes([rest[-1] + 1]) if rest else None
--- a/roadpulley/store/opening.py
+++ b/roadpulley/store/opening.py
@@ -6,11 +6,20 @@
 from typing import TYPE_CHECKING
 
 from . import format
-from .errors import Damaged, WrongFormat
-from .format import PUT, Manifest, Place, Sealed, Unreadable, hint_name, segment_name
-from .index import Index, locate, located
+from .errors import DamagedError, FormatVersionError
+from .format import PUT, Manifest, RecordMetadata, SealedSegment, UnreadableError, hint_name, segment_name
+from .index import Index, pack_location, unpack_location
 from .parts import MANIFEST, Segment
-from .recovery import Damage, Frame, Plan, Scan, plan, scan, sealed_damage, unknown
+from .recovery import (
+    Damage,
+    Frame,
+    RecoveryPlan,
+    SegmentScan,
+    find_orphaned_files,
+    find_sealed_damage,
+    plan_recovery,
+    scan_segment,
+)
 
 if TYPE_CHECKING:
     from .store import Store
@@ -27,7 +36,7 @@
         if MANIFEST not in names:
             if segments := [n for n in names if n.endswith(".seg") and self.counts(n)]:
                 lost = f"segments {', '.join(segments)} are there; see `roadpulley store repair --dry-run`"
-                raise Damaged([Damage(MANIFEST, 0, "it is not there", lost)])
+                raise DamagedError([Damage(MANIFEST, 0, "it is not there", lost)])
             return self.create()
         manifest = self.read_manifest()
         self.store.next_number = manifest.next_number
@@ -43,8 +52,8 @@
         found, decided = self.scan_active(manifest.active, manifest.version)
         damage += decided.damage
         if damage:
-            raise Damaged(damage)
-        for name in unknown(names, manifest):
+            raise DamagedError(damage)
+        for name in find_orphaned_files(names, manifest):
             self.store.files.unlink(name)
         for each, hint in unhinted:
             self.store._write_hint(each.number, each.length, hint)
@@ -59,7 +68,7 @@
         self.store.version = max(manifest.version, segment.last)
         self.store.index = Index((key, location) for key, location in where.items() if location is not None)
         for _, location in self.store.index.now.items():
-            number, _, size = located(location)
+            number, _, size = unpack_location(location)
             self.store.segments[number].live += size
         self.go_on(manifest, decided)
 
@@ -67,7 +76,7 @@
         """Whether a segment without a manifest may hold anything that was acknowledged."""
         file = self.store.files.open(name)
         try:
-            return file.size() > format.HEADER.size
+            return file.size() > format.SEGMENT_HEADER.size
         finally:
             file.close()
 
@@ -75,11 +84,11 @@
         file = self.store.files.open(MANIFEST)
         try:
             return Manifest.read(file.read(0, file.size()))
-        except format.FromTheFuture as error:
-            raise WrongFormat(f"{MANIFEST}: {error}") from error
-        except (Unreadable, ValueError, KeyError, TypeError) as error:
+        except format.NewerFormatError as error:
+            raise FormatVersionError(f"{MANIFEST}: {error}") from error
+        except (UnreadableError, ValueError, KeyError, TypeError) as error:
             lost = "which segments count is not known; see `roadpulley store repair --dry-run`"
-            raise Damaged([Damage(MANIFEST, 0, str(error), lost)]) from error
+            raise DamagedError([Damage(MANIFEST, 0, str(error), lost)]) from error
         finally:
             file.close()
 
@@ -94,7 +103,7 @@
 
     def load_sealed(
         self,
-        sealed: Sealed,
+        sealed: SealedSegment,
         names: Sequence[str],
         best: dict[bytes, int],
         where: dict[bytes, int | None],
@@ -107,18 +116,18 @@
         segment = Segment(sealed.number, file, 0, sealed.length)
         self.store.segments[sealed.number], self.store.sealed[sealed.number] = segment, sealed
         size = file.size()
-        if problem := sealed_damage(sealed, None, size):
+        if problem := find_sealed_damage(sealed, None, size):
             return problem
         try:
-            segment.salt = format.read_header(file.read(0, format.HEADER.size), sealed.number)
+            segment.salt = format.read_header(file.read(0, format.SEGMENT_HEADER.size), sealed.number)
             places = self.read_hint(sealed, names)
-        except format.FromTheFuture as error:
-            raise WrongFormat(f"{name}: {error}") from error
-        except Unreadable as error:
+        except format.NewerFormatError as error:
+            raise FormatVersionError(f"{name}: {error}") from error
+        except UnreadableError as error:
             return Damage(name, 0, str(error), f"versions {sealed.first} to {sealed.last} are lost")
         if places is None:
-            found = scan(file.read(0, sealed.length), sealed.number)
-            if problem := sealed_damage(sealed, found, size):
+            found = scan_segment(file.read(0, sealed.length), sealed.number)
+            if problem := find_sealed_damage(sealed, found, size):
                 return problem
             places = [place for frame in found.frames for place in frame.places]
             hint = format.Hint()
@@ -129,35 +138,35 @@
         segment.first, segment.last = sealed.first, sealed.last
         return None
 
-    def read_hint(self, sealed: Sealed, names: Sequence[str]) -> list[Place] | None:
+    def read_hint(self, sealed: SealedSegment, names: Sequence[str]) -> list[RecordMetadata] | None:
         """What a hint says; None if it is missing or spoilt, and the segment has to be read whole."""
         if hint_name(sealed.number) not in names:
             return None
         file = self.store.files.open(hint_name(sealed.number))
         try:
             return format.read_hint(file.read(0, file.size()), sealed.number, sealed.length)
-        except Unreadable:
+        except UnreadableError:
             return None
         finally:
             file.close()
 
-    def scan_active(self, number: int, known: int) -> tuple[Scan, Plan]:
+    def scan_active(self, number: int, known: int) -> tuple[SegmentScan, RecoveryPlan]:
         name = segment_name(number)
         if name not in self.store.files.names():
             missing = Damage(name, 0, "it is not there", f"all versions after {known} are lost")
-            return Scan(number), Plan(damage=[missing])
+            return SegmentScan(number), RecoveryPlan(damage=[missing])
         file = self.store.files.open(name)
         self.store.segments[number] = Segment(number, file, 0, 0)
         try:
-            found = scan(file.read(0, file.size()), number)
-        except format.FromTheFuture as error:
-            raise WrongFormat(f"{name}: {error}") from error
-        return found, plan(found, known)
+            found = scan_segment(file.read(0, file.size()), number)
+        except format.NewerFormatError as error:
+            raise FormatVersionError(f"{name}: {error}") from error
+        return found, plan_recovery(found, known)
 
     def note(
         self,
         segment: Segment,
-        places: Sequence[Place],
+        places: Sequence[RecordMetadata],
         best: dict[bytes, int],
         where: dict[bytes, int | None],
     ) -> None:
@@ -167,12 +176,12 @@
             if place.version >= seen(place.key, 0):
                 best[place.key] = place.version
                 size = place.size
-                where[place.key] = locate(number, place.offset, size) if place.kind == PUT else None
+                where[place.key] = pack_location(number, place.offset, size) if place.kind == PUT else None
             if place.version > segment.last:
                 segment.last = place.version
             segment.first = min(segment.first or place.version, place.version)
 
-    def go_on(self, manifest: Manifest, decided: Plan) -> None:
+    def go_on(self, manifest: Manifest, decided: RecoveryPlan) -> None:
         """Write on where the last process stopped, or in a new segment what it left unproven."""
         old = self.store.segments[manifest.active]
         if not decided.fresh:
--- a/roadpulley/store/parts.py
+++ b/roadpulley/store/parts.py
@@ -14,8 +14,8 @@
 
 log = logging.getLogger(__name__)
 
-SEGMENT_BYTES = 64 * 1024 * 1024
-DEAD_SHARE = 0.5  # of a sealed segment's bytes, from which on it is worth writing the rest again
+DEFAULT_SEGMENT_BYTES = 64 * 1024 * 1024
+DEFAULT_DEAD_RATIO = 0.5  # of a sealed segment's bytes, from which on it is worth writing the rest again
 MANIFEST = "MANIFEST"
 
 
@@ -32,11 +32,11 @@
 
 
 @dataclass(eq=False)
-class Pending:
+class PendingBatch:
     """A batch that waits to be written."""
 
     writes: tuple[Write, ...]
-    done: Callable[[Pending], None] | None = None  # called once, by the thread that wrote it
+    done: Callable[[PendingBatch], None] | None = None  # called once, by the thread that wrote it
     version: int = 0
     error: Exception | None = None
     over: bool = False
@@ -44,7 +44,7 @@
 
     @property
     def size(self) -> int:
-        return sum(len(w.key) + len(w.value or b"") + format.RECORD.size for w in self.writes)
+        return sum(len(w.key) + len(w.value or b"") + format.RECORD_HEADER.size for w in self.writes)
 
     def end(self, error: Exception | None = None) -> None:
         if not self.over:
@@ -75,19 +75,19 @@
 
     @property
     def dead_share(self) -> float:
-        room = self.length - format.HEADER.size
+        room = self.length - format.SEGMENT_HEADER.size
         return 1 - self.live / room if room > 0 else 0.0
 
 
 @dataclass(frozen=True)
 class Options:
-    segment_bytes: int = SEGMENT_BYTES
-    dead_share: float = DEAD_SHARE
+    segment_bytes: int = DEFAULT_SEGMENT_BYTES
+    dead_share: float = DEFAULT_DEAD_RATIO
     salt: Callable[[], int] = field(default=lambda: secrets.randbits(32))  # a test gives known ones
 
 
 @dataclass(frozen=True)
-class Stat:
+class StoreStats:
     keys: int
     version: int
     segments: int
@@ -97,19 +97,19 @@
     asked: int  # bytes of keys and values that were put since then
 
 
-def check(pending: Pending) -> None:
+def validate_batch(pending: PendingBatch) -> None:
     """Raises ValueError, naming the place."""
     if not pending.writes:
         raise ValueError("a batch of nothing: give at least one write")
     for number, write in enumerate(pending.writes):
         where = f"write {number}" if len(pending.writes) > 1 else "the write"
-        if len(write.key) > format.LONGEST_KEY:
-            raise ValueError(f"{where}: its key has {len(write.key)} bytes, {format.LONGEST_KEY} at most")
-        if write.value is not None and len(write.value) > format.LARGEST_VALUE:
-            most = format.LARGEST_VALUE
+        if len(write.key) > format.MAX_KEY_BYTES:
+            raise ValueError(f"{where}: its key has {len(write.key)} bytes, {format.MAX_KEY_BYTES} at most")
+        if write.value is not None and len(write.value) > format.MAX_VALUE_BYTES:
+            most = format.MAX_VALUE_BYTES
             raise ValueError(f"{where}: its value has {len(write.value)} bytes, {most} at most")
-    if pending.size > format.LARGEST_BODY:
-        raise ValueError(f"the batch has {pending.size} bytes, {format.LARGEST_BODY} at most")
+    if pending.size > format.MAX_BATCH_BYTES:
+        raise ValueError(f"the batch has {pending.size} bytes, {format.MAX_BATCH_BYTES} at most")
     keys: dict[bytes, int] = defaultdict(int)
     for write in pending.writes:
         keys[write.key] += 1
--- a/roadpulley/store/recovery.py
+++ b/roadpulley/store/recovery.py
@@ -15,18 +15,18 @@
 from dataclasses import dataclass, field
 
 from .format import (
-    FRAME,
-    HEADER,
-    Head,
+    FRAME_HEADER,
+    SEGMENT_HEADER,
+    FrameHeader,
     Manifest,
-    Place,
-    Sealed,
-    Unreadable,
-    frames,
-    places,
-    read_head,
+    RecordMetadata,
+    SealedSegment,
+    UnreadableError,
+    find_frames,
+    read_frame_header,
     read_header,
     segment_name,
+    unpack_metadata,
 )
 
 
@@ -46,16 +46,16 @@
 @dataclass(frozen=True)
 class Frame:
     offset: int
-    head: Head
-    places: tuple[Place, ...]
+    head: FrameHeader
+    places: tuple[RecordMetadata, ...]
 
     @property
     def end(self) -> int:
-        return self.offset + FRAME.size + self.head.length
+        return self.offset + FRAME_HEADER.size + self.head.length
 
 
 @dataclass
-class Scan:
+class SegmentScan:
     """What could be read of one segment."""
 
     number: int
@@ -64,7 +64,7 @@
     end: int = 0  # of the last whole frame, or of the header
     size: int = 0  # of the file
     problem: str = ""  # what is wrong at `end`; "" if the file ends there
-    later: list[tuple[int, Head]] = field(default_factory=list)  # whole frames after that
+    later: list[tuple[int, FrameHeader]] = field(default_factory=list)  # whole frames after that
 
     @property
     def durable(self) -> int:
@@ -77,26 +77,26 @@
         return max((frame.head.version for frame in self.frames), default=0)
 
 
-def scan(data: bytes, number: int) -> Scan:
-    """Read a segment from its bytes. Raises FromTheFuture."""
-    found = Scan(number, size=len(data))
+def scan_segment(data: bytes, number: int) -> SegmentScan:
+    """Read a segment from its bytes. Raises NewerFormatError."""
+    found = SegmentScan(number, size=len(data))
     try:
-        found.salt = read_header(data[: HEADER.size], number)
-    except Unreadable as error:
-        if type(error) is not Unreadable:
+        found.salt = read_header(data[: SEGMENT_HEADER.size], number)
+    except UnreadableError as error:
+        if type(error) is not UnreadableError:
             raise
         found.problem = str(error)
         return found
-    at = found.end = HEADER.size
+    at = found.end = SEGMENT_HEADER.size
     while at < len(data):
         try:
-            head = read_head(data[at : at + FRAME.size], found.salt)
-            body_at = at + FRAME.size
+            head = read_frame_header(data[at : at + FRAME_HEADER.size], found.salt)
+            body_at = at + FRAME_HEADER.size
             body = data[body_at : body_at + head.length]
-            frame = Frame(at, head, tuple(places(head, body, body_at, found.salt)))
-        except Unreadable as error:
+            frame = Frame(at, head, tuple(unpack_metadata(head, body, body_at, found.salt)))
+        except UnreadableError as error:
             found.problem = str(error)
-            found.later = list(frames(data, at + 1, found.salt))
+            found.later = list(find_frames(data, at + 1, found.salt))
             break
         found.frames.append(frame)
         at = found.end = frame.end
@@ -104,7 +104,7 @@
 
 
 @dataclass
-class Plan:
+class RecoveryPlan:
     """How to go on after opening."""
 
     keep: int = 0  # bytes of the last segment that stay as they are
@@ -118,7 +118,7 @@
         return bool(self.damage)
 
 
-def sealed_damage(sealed: Sealed, found: Scan | None, size: int) -> Damage | None:
+def find_sealed_damage(sealed: SealedSegment, found: SegmentScan | None, size: int) -> Damage | None:
     """What is wrong with a sealed segment, if anything: as scanned, or by its size alone."""
     name = segment_name(sealed.number)
     lost = f"what it holds of versions {sealed.first} to {sealed.last} is lost from there on"
@@ -129,31 +129,33 @@
     return None
 
 
-def plan(found: Scan, known: int) -> Plan:
+def plan_recovery(found: SegmentScan, known: int) -> RecoveryPlan:
     """For the last segment. `known` is the last version that the sealed ones hold."""
     name = segment_name(found.number)
     if not found.salt and found.problem:
         # Danger: it was synced with its header before the manifest named it.
-        return Plan(damage=[Damage(name, 0, found.problem, "all that it holds is lost")])
+        return RecoveryPlan(damage=[Damage(name, 0, found.problem, "all that it holds is lost")])
     durable = found.durable
     if found.problem and durable > max(known, found.last):
         first = max(known, found.last) + 1
         after = ", ".join(str(head.version) for _, head in found.later if not head.is_mark) or "none"
         lost = f"versions from {first} to {durable} were acknowledged; whole frames after it: {after}"
-        return Plan(damage=[Damage(name, found.end, found.problem, lost)])
+        return RecoveryPlan(damage=[Damage(name, found.end, found.problem, lost)])
     if not found.problem and durable > max(known, found.last):
         what = f"it ends here, and proves version {durable} durable"
-        return Plan(damage=[Damage(name, found.end, what, f"versions from {found.last + 1} are lost")])
+        return RecoveryPlan(
+            damage=[Damage(name, found.end, what, f"versions from {found.last + 1} are lost")]
+        )
     # Danger: a mark at the end proves what stands before it and not itself; were it counted as kept, a crash
     # could leave a hole there. It is written again.
     proven = [f for f in found.frames if f.head.version <= durable and not f.head.is_mark]
-    keep = max([HEADER.size, *(frame.end for frame in proven)])
+    keep = max([SEGMENT_HEADER.size, *(frame.end for frame in proven)])
     rewrite = [f for f in found.frames if f.head.version > durable and not f.head.is_mark]
     cut = found.size - found.end
-    return Plan(keep, rewrite, cut, fresh=bool(rewrite or cut))
+    return RecoveryPlan(keep, rewrite, cut, fresh=bool(rewrite or cut))
 
 
-def unknown(names: Iterable[str], manifest: Manifest) -> list[str]:
+def find_orphaned_files(names: Iterable[str], manifest: Manifest) -> list[str]:
     """Files that the manifest does not name: left by a crash, and holding nothing that counts."""
     live = {s.number for s in manifest.sealed} | {manifest.active}
     keep = {f"{number:08d}" for number in live}
--- a/roadpulley/store/store.py
+++ b/roadpulley/store/store.py
@@ -14,14 +14,14 @@
 from pathlib import Path
 
 from . import format
-from .compaction import choose, compact
-from .errors import Closed, Conflict, Damaged, Failed, Locked, WriteFailed
+from .compaction import choose_segments, compact
+from .errors import ClosedError, ConflictError, DamagedError, LockedError, StoreFailedError, WriteFailedError
 from .files import DiskFiles, Files
-from .format import DELETE, PUT, Manifest, Record, Sealed, Unreadable, hint_name, segment_name
-from .index import Index, end_of, locate, located
+from .format import DELETE, PUT, Manifest, Record, SealedSegment, UnreadableError, hint_name, segment_name
+from .index import Index, end_of_prefix, pack_location, unpack_location
 from .opening import Opening
-from .parts import MANIFEST, Options, Pending, Segment, Stat, Write, check
-from .recovery import Damage, Plan
+from .parts import MANIFEST, Options, PendingBatch, Segment, StoreStats, Write, validate_batch
+from .recovery import Damage, RecoveryPlan
 
 log = logging.getLogger(__name__)
 
@@ -36,15 +36,15 @@
         self.lock = threading.Lock()  # of the index, the segments' books and the queue
         self.committing = threading.Lock()  # held by the one that writes
         self.compacting = threading.Lock()
-        self.queue: deque[Pending] = deque()
+        self.queue: deque[PendingBatch] = deque()
         self.segments: dict[int, Segment] = {}
-        self.sealed: dict[int, Sealed] = {}
+        self.sealed: dict[int, SealedSegment] = {}
         self.index = Index()
         self.version = self.next_number = 0
         self.sealed_version = 0  # the last version that the active segment does not hold
         self.failure: str | None = None
         self.closed = False
-        self.recovered: Plan | None = None  # what opening found
+        self.recovered: RecoveryPlan | None = None  # what opening found
         self.written = self.asked = 0
 
     # ---- opening and closing ----
@@ -53,13 +53,13 @@
     def open(cls, folder: Path | str | Files, options: Options | None = None) -> Store:
         """The store of a folder, made where there is none.
 
-        Raises Locked, WrongFormat, Damaged (nothing was changed) and OSError.
+        Raises LockedError, FormatVersionError, DamagedError (nothing was changed) and OSError.
         """
         files: Files = DiskFiles(folder) if isinstance(folder, str | Path) else folder
         store = cls(files, options or Options())
         files.make()
         if not files.lock():
-            raise Locked(f"{folder} is open in another process; one at a time may have it")
+            raise LockedError(f"{folder} is open in another process; one at a time may have it")
         try:
             Opening(store).load()
         except BaseException:
@@ -75,7 +75,7 @@
             self.closed = True
             waiting, self.queue = list(self.queue), deque()
         for pending in waiting:
-            pending.end(Closed("the store was closed before this was written"))
+            pending.end(ClosedError("the store was closed before this was written"))
         self._release()
 
     def _release(self) -> None:
@@ -94,7 +94,10 @@
     # ---- writing ----
 
     def put(self, key: bytes, value: bytes, expect: int | None = None) -> int:
-        """Write one key; gives its version. Raises Conflict, WriteFailed, Failed, Closed, ValueError."""
+        """Write one key and return its new version.
+
+        Raises ConflictError, WriteFailedError, StoreFailedError, ClosedError, ValueError.
+        """
         return self.batch([Write(key, value, expect)])
 
     def delete(self, key: bytes, expect: int | None = None) -> int:
@@ -116,7 +119,7 @@
             raise pending.error
         return pending.version
 
-    def _lead(self, pending: Pending) -> None:
+    def _lead(self, pending: PendingBatch) -> None:
         """Write what waits, this batch with it. The caller has taken `committing`, and loses it here."""
         try:
             while not pending.over:
@@ -144,13 +147,15 @@
         finally:
             self._pass_on()
 
-    def enqueue(self, writes: Sequence[Write], done: Callable[[Pending], None] | None = None) -> Pending:
-        """Have a batch wait for `flush`. Raises ValueError, Closed."""
-        pending = Pending(tuple(writes), done)
-        check(pending)
+    def enqueue(
+        self, writes: Sequence[Write], done: Callable[[PendingBatch], None] | None = None
+    ) -> PendingBatch:
+        """Have a batch wait for `flush`. Raises ValueError, ClosedError."""
+        pending = PendingBatch(tuple(writes), done)
+        validate_batch(pending)
         with self.lock:
             if self.closed:
-                raise Closed("the store is closed")
+                raise ClosedError("the store is closed")
             self.queue.append(pending)
         return pending
 
@@ -160,8 +165,8 @@
             while self.queue:
                 self._commit()
 
-    def _take_group(self) -> list[Pending]:
-        group: list[Pending] = []
+    def _take_group(self) -> list[PendingBatch]:
+        group: list[PendingBatch] = []
         size = 0
         with self.lock:
             while self.queue and (not group or size + self.queue[0].size <= GROUP_BYTES):
@@ -176,18 +181,18 @@
             self._write_group(group)
         except BaseException as error:
             for pending in group:
-                pending.end(error if isinstance(error, Exception) else Failed(repr(error)))
+                pending.end(error if isinstance(error, Exception) else StoreFailedError(repr(error)))
             if not isinstance(error, Exception):
                 raise
         finally:
             for pending in group:
-                pending.end(Failed("it was not written"))  # only if something above forgot it
+                pending.end(StoreFailedError("it was not written"))  # only if something above forgot it
 
-    def _write_group(self, group: list[Pending]) -> None:
+    def _write_group(self, group: list[PendingBatch]) -> None:
         if self.failure is not None:
-            raise Failed(self.failure)
+            raise StoreFailedError(self.failure)
         data: list[bytes] = []
-        written: list[tuple[Pending, bytes]] = []
+        written: list[tuple[PendingBatch, bytes]] = []
         versions: dict[bytes, int] = {}  # of keys that earlier batches of the group write; 0: deleted
         version = self.version
         for pending in group:
@@ -219,7 +224,7 @@
         if self.active.length >= self.options.segment_bytes and self.failure is None:
             self._rotate()
 
-    def _check_expected(self, pending: Pending, versions: dict[bytes, int]) -> None:
+    def _check_expected(self, pending: PendingBatch, versions: dict[bytes, int]) -> None:
         for write in pending.writes:
             if write.expect is None:
                 continue
@@ -228,21 +233,21 @@
                 record = self._read(write.key, None)
                 found = record.version if record else 0
             if found != write.expect:
-                raise Conflict(write.key, write.expect, found)
+                raise ConflictError(write.key, write.expect, found)
 
     def _append(self, data: bytes) -> None:
-        """Write and sync at the end of the active segment. Raises WriteFailed, Failed."""
+        """Write and sync at the end of the active segment. Raises WriteFailedError, StoreFailedError."""
         segment = self.active
         try:
             segment.file.write(segment.length, data)
         except OSError as error:
             self._take_back(segment)
-            raise WriteFailed(f"{segment_name(segment.number)}: {error.strerror or error}") from error
+            raise WriteFailedError(f"{segment_name(segment.number)}: {error.strerror or error}") from error
         try:
             segment.file.sync()
         except OSError as error:
             self.failure = f"{segment_name(segment.number)} could not be synced: {error.strerror or error}"
-            raise Failed(self.failure) from error
+            raise StoreFailedError(self.failure) from error
         self.written += len(data)
 
     def _take_back(self, segment: Segment) -> None:
@@ -255,15 +260,15 @@
 
     def _take_in(self, segment: Segment, frame: bytes, version: int) -> None:
         """Let the index know of a frame at the segment's end, which is synced."""
-        head = format.read_head(frame[: format.FRAME.size], segment.salt)
-        at = segment.length + format.FRAME.size
-        found = format.places(head, frame[format.FRAME.size :], at, segment.salt)
+        head = format.read_frame_header(frame[: format.FRAME_HEADER.size], segment.salt)
+        at = segment.length + format.FRAME_HEADER.size
+        found = format.unpack_metadata(head, frame[format.FRAME_HEADER.size :], at, segment.salt)
         with self.lock:
             for place in found:
-                here = locate(segment.number, place.offset, place.size) if place.kind == PUT else None
+                here = pack_location(segment.number, place.offset, place.size) if place.kind == PUT else None
                 old = self.index.set(place.key, here, version)
                 if old is not None:
-                    number, _, size = located(old)
+                    number, _, size = unpack_location(old)
                     if number in self.segments:
                         self.segments[number].live -= size
                 segment.live += place.size if here is not None else 0
@@ -314,21 +319,24 @@
 
     def _rotate(self) -> None:
         """Seal the active segment and go on in a new one, unless the disk won't have it: then later."""
-        with suppress(OSError, Failed):
+        with suppress(OSError, StoreFailedError):
             self._seal(self.active, None)
 
     def _seal(self, old: Segment, segment: Segment | None) -> None:
-        """Go on in another segment. Raises OSError where all is as it was, Failed where that is not known."""
+        """Seal the active segment `old` and continue in another one, by default a new one.
+
+        Raises OSError if nothing changed, and StoreFailedError if it is unknown whether anything changed.
+        """
         try:
             old.file.sync()  # its last mark too: what is sealed is whole
         except OSError as error:
             self.failure = f"{segment_name(old.number)} could not be synced: {error.strerror or error}"
-            raise Failed(self.failure) from error
+            raise StoreFailedError(self.failure) from error
         segment = segment or self._new_segment()
         before = self.sealed_version
         self.sealed_version = max(before, old.last)
         if old.last:  # else it holds nothing, and goes
-            self.sealed[old.number] = Sealed(old.number, old.length, old.first, old.last)
+            self.sealed[old.number] = SealedSegment(old.number, old.length, old.first, old.last)
         self.active = segment
         try:
             self._write_manifest()
@@ -352,7 +360,7 @@
     def _write_manifest(self) -> None:
         """Replace it: write, sync, rename, sync the folder.
 
-        Raises OSError where the old one stands, and Failed where which one stands is not known.
+        Raises OSError where the old one stands, and StoreFailedError where which one stands is not known.
         """
         manifest = Manifest(
             tuple(self.sealed.values()), self.active.number, self.next_number, self.sealed_version
@@ -373,7 +381,7 @@
             # Danger: both manifests name what was written so far. What came after would be in one of them
             # only.
             self.failure = f"{MANIFEST} could not be replaced: {error.strerror or error}"
-            raise Failed(self.failure) from error
+            raise StoreFailedError(self.failure) from error
 
     def _write_hint(self, number: int, length: int, hint: format.Hint) -> None:
         """Of a sealed segment. It only saves time, so that failing does no harm, and it needs no sync."""
@@ -394,7 +402,7 @@
     # ---- reading ----
 
     def get(self, key: bytes) -> bytes | None:
-        """A key's value, or None. Raises Damaged, Closed, OSError."""
+        """A key's value, or None. Raises DamagedError, ClosedError, OSError."""
         record = self._read(key, None)
         return record.value if record else None
 
@@ -413,13 +421,13 @@
         """One state of all keys, as it is now. Close it: what it needs stays on disk until then."""
         with self.lock:
             if self.closed:
-                raise Closed("the store is closed")
+                raise ClosedError("the store is closed")
             self.index.hold(self.version)
             return Snapshot(self, self.version)
 
     def _scan(self, prefix: bytes, start: bytes, end: bytes | None, version: int | None) -> Iterator[Record]:
         at: bytes | None = max(start, prefix)
-        last = end_of(prefix)
+        last = end_of_prefix(prefix)
         stop = min(last, end) if last is not None and end is not None else last if end is None else end
         while at is not None:
             with self.lock:
@@ -431,7 +439,7 @@
 
     def _check_open(self) -> None:
         if self.closed:
-            raise Closed("the store is closed")
+            raise ClosedError("the store is closed")
 
     def _read(self, key: bytes, version: int | None) -> Record | None:
         with self.lock:
@@ -439,7 +447,7 @@
             location = self.index.get(key, version)
             if location is None:
                 return None
-            number, offset, size = located(location)
+            number, offset, size = unpack_location(location)
             segment = self.segments[number]
             segment.users += 1
         with self._using(segment):
@@ -447,11 +455,11 @@
         try:
             record = format.read_record(data, segment.salt)
             if record.key != key:
-                raise Unreadable("the record of another key stands there")
+                raise UnreadableError("the record of another key stands there")
             return record
-        except Unreadable as error:
+        except UnreadableError as error:
             lost = f"the value of {key!r} is lost"
-            raise Damaged([Damage(segment_name(number), offset, str(error), lost)]) from error
+            raise DamagedError([Damage(segment_name(number), offset, str(error), lost)]) from error
 
     @contextmanager
     def _using(self, segment: Segment) -> Iterator[None]:
@@ -481,19 +489,19 @@
         """Write what counts of old segments anew, and remove them; whether it was done.
 
         Those of which more than `dead_share` is dead, or all. `stop` is asked all along; stopped or failed,
-        all is as before. Raises OSError, WriteFailed, Damaged.
+        all is as before. Raises OSError, WriteFailedError, DamagedError.
         """
         with self.compacting:
             return compact(self, everything, stop)
 
     def worth_compacting(self) -> bool:
         """Whether `compact(everything=False)` would find anything to do."""
-        return bool(choose(self, everything=False))
+        return bool(choose_segments(self, everything=False))
 
-    def stat(self) -> Stat:
+    def stat(self) -> StoreStats:
         with self.lock:
             here = [s for s in self.segments.values() if not s.retired]
-            return Stat(
+            return StoreStats(
                 len(self.index.now),
                 self.version,
                 len(here),
@@ -521,7 +529,7 @@
 
     def _check(self) -> None:
         if not self.open:
-            raise Closed("the snapshot is closed")
+            raise ClosedError("the snapshot is closed")
 
     def close(self) -> None:
         if self.open:
--- a/roadpulley/usage/books.py
+++ b/roadpulley/usage/books.py
@@ -18,7 +18,7 @@
 
 from roadpulley.checks import ValidationError
 from roadpulley.store import Store, Write
-from roadpulley.store.fences import Fenced
+from roadpulley.store.fences import FencedStore
 
 from .tally import Batch, Row, Sum
 
@@ -36,7 +36,7 @@
 class Books:
     """The one that has the store open. Raises StoreError where it cannot write; nothing is taken in then."""
 
-    def __init__(self, store: Store | Fenced) -> None:
+    def __init__(self, store: Store | FencedStore) -> None:
         self.store = store
 
     def take(self, batch: Batch) -> Taken:
--- a/roadpulley/usage/pushing.py
+++ b/roadpulley/usage/pushing.py
@@ -21,7 +21,7 @@
 import httpx
 
 from roadpulley.fences import StaleFenceError
-from roadpulley.store import Conflict, Write
+from roadpulley.store import ConflictError, Write
 
 from .books import Books
 from .periods import Periods, table
@@ -146,7 +146,7 @@
     def _write(self, *writes: Write) -> bool:
         try:
             self.store.batch(writes)
-        except Conflict:
+        except ConflictError:
             return False
         return True
 
--- a/tests/fleet/test_works.py
+++ b/tests/fleet/test_works.py
@@ -53,14 +53,14 @@
 
 def test_fenced_write_is_rejected_after_a_higher_claim(tmp_path: Path) -> None:
     with Store.open(tmp_path) as store:
-        assert fences.claim(store, "d", 5, "a") is None
-        fenced_store = fences.Fenced(store, "d", 5)
+        assert fences.claim_fence(store, "d", 5, "a") is None
+        fenced_store = fences.FencedStore(store, "d", 5)
         fenced_store.put(b"k", b"1")
-        assert fences.claim(store, "d", 5, "a") is None  # its own claim, repeated
-        assert fences.claim(store, "d", 5, "b") == 5  # another holding with the same fence
-        assert fences.claim(store, "d", 4, "a") == 5
+        assert fences.claim_fence(store, "d", 5, "a") is None  # its own claim, repeated
+        assert fences.claim_fence(store, "d", 5, "b") == 5  # another holding with the same fence
+        assert fences.claim_fence(store, "d", 4, "a") == 5
         fenced_store.put(b"k", b"2")
-        assert fences.claim(store, "d", 9, "b") is None
+        assert fences.claim_fence(store, "d", 9, "b") is None
         with pytest.raises(StaleFenceError) as low:
             fenced_store.put(b"k", b"3")
         assert low.value.highest == 9
@@ -71,17 +71,17 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with Store.open(tmp_path) as store:
-        fences.claim(store, "d", 5, "a")
+        fences.claim_fence(store, "d", 5, "a")
         write = Store.batch
 
         def claim_then_write(self: Store, writes: tuple[Write, ...]) -> int:
             monkeypatch.setattr(Store, "batch", write)
-            assert fences.claim(store, "d", 6, "b") is None
+            assert fences.claim_fence(store, "d", 6, "b") is None
             return write(self, writes)
 
         monkeypatch.setattr(Store, "batch", claim_then_write)
         with pytest.raises(StaleFenceError):
-            fences.Fenced(store, "d", 5).put(b"k", b"late")
+            fences.FencedStore(store, "d", 5).put(b"k", b"late")
         assert store.get(b"k") is None
 
 
@@ -148,7 +148,7 @@
     assert found[-1].end <= now < found[-1].end + 24
     assert PeriodCloser("close", settings).claim(4, "b") is None
     with Store.open(settings.store) as store, pytest.raises(StaleFenceError):
-        late = Periods(Books(fences.Fenced(store, "close", 3)))
+        late = Periods(Books(fences.FencedStore(store, "close", 3)))
         late.close("late", found[-1].end, now + 1, now + 1, 1)
     with Store.open(settings.store) as store:
         assert Periods(Books(store)).all() == found
--- a/tests/store/test_store_care.py
+++ b/tests/store/test_store_care.py
@@ -15,10 +15,10 @@
 import pytest
 
 from roadpulley.cli import main
-from roadpulley.store import Conflict, Damaged, Locked, Options, Store, Write
+from roadpulley.store import ConflictError, DamagedError, LockedError, Options, Store, Write
 from roadpulley.store.aio import AsyncStore
-from roadpulley.store.backup import NotEmpty, backup
-from roadpulley.store.care import look, rescue
+from roadpulley.store.backup import NotEmptyError, backup
+from roadpulley.store.care import inspect_store, write_salvaged
 from roadpulley.store.files import DiskFiles
 from roadpulley.store.format import segment_name
 from roadpulley.testbed.disk import MemoryDisk, MemoryFile
@@ -82,7 +82,7 @@
         said = subprocess.run(command, capture_output=True, text=True, timeout=30)
         assert said.returncode == 1
         assert "is open in another process; one at a time may have it" in said.stderr
-        with pytest.raises(Locked):
+        with pytest.raises(LockedError):
             Store.open(tmp_path / "s")
 
 
@@ -115,7 +115,7 @@
         stop.set()
         writer.join()
         store.close()
-    with pytest.raises(NotEmpty):
+    with pytest.raises(NotEmptyError):
         backup(DiskFiles(tmp_path / "s"), DiskFiles(tmp_path / "copy1"))
 
 
@@ -153,12 +153,12 @@
         store.delete(b"k4")
     content = disk.content[disk.entries[segment_name(1)]]
     content[content.index(b"value 2")] ^= 1
-    with pytest.raises(Damaged, match="00000001.seg at byte .* versions from 3 to 6 were acknowledged"):
+    with pytest.raises(DamagedError, match="00000001.seg at byte .* versions from 3 to 6 were acknowledged"):
         Store.open(disk)
-    found = look(disk)
+    found = inspect_store(disk)
     assert len(found.damage) == 1
     target = MemoryDisk()
-    assert rescue(found, target) == 3
+    assert write_salvaged(found, target) == 3
     with Store.open(target) as saved:
         assert state(saved) == {b"k0": b"value 0", b"k1": b"value 1", b"k3": b"value 3"}
 
@@ -166,9 +166,9 @@
 def test_without_a_manifest_all_segments_are_read(tmp_path: Path) -> None:
     right = write(tmp_path / "s")
     (tmp_path / "s" / "MANIFEST").unlink()
-    found = look(DiskFiles(tmp_path / "s"))
+    found = inspect_store(DiskFiles(tmp_path / "s"))
     assert "MANIFEST at byte 0: it is not there" in str(found.damage[0])
-    rescue(found, DiskFiles(tmp_path / "t"))
+    write_salvaged(found, DiskFiles(tmp_path / "t"))
     with Store.open(tmp_path / "t") as saved:
         assert state(saved) == right
 
@@ -223,7 +223,7 @@
         async with asyncio.timeout(20):
             versions = await asyncio.gather(*(store.put(b"k%d" % n, b"%d" % n) for n in range(200)))
             assert sorted(versions) == list(range(1, 201))
-            with pytest.raises(Conflict):
+            with pytest.raises(ConflictError):
                 await store.put(b"k1", b"x", expect=1_000)
             assert await store.get(b"k7") == b"7" and await store.get(b"none") is None
             entry = await store.entry(b"k8")
--- a/tests/store/test_store_damage.py
+++ b/tests/store/test_store_damage.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from roadpulley.store import Damaged, Locked, Options, Store, Write, WrongFormat
+from roadpulley.store import DamagedError, FormatVersionError, LockedError, Options, Store, Write
 from roadpulley.store.format import segment_name
 from roadpulley.testbed.disk import MemoryDisk
 
@@ -52,7 +52,7 @@
             before = {n: bytes(disk.content[i]) for n, i in disk.entries.items()}
             try:
                 found = reopened(disk)
-            except Damaged as error:
+            except DamagedError as error:
                 assert not name.endswith(".hint"), name
                 assert name in str(error)
                 assert before == {
@@ -84,7 +84,7 @@
                     continue
                 try:
                     assert reopened(disk) == states[-1], (name, at)
-                except (Damaged, WrongFormat) as error:
+                except (DamagedError, FormatVersionError) as error:
                     noticed += 1
                     assert name in str(error)
     assert noticed > 500
@@ -101,11 +101,11 @@
     disk.content[inode][at] ^= 1
     with Store.open(disk, SMALL) as store:  # its hint is whole, so values are not read
         with pytest.raises(
-            Damaged, match=r"00000001.seg at byte \d+: .*checksum.*the value of b'key' is lost"
+            DamagedError, match=r"00000001.seg at byte \d+: .*checksum.*the value of b'key' is lost"
         ):
             store.get(b"key")
         assert store.get(b"other") is not None
-        with pytest.raises(Damaged, match="00000001.seg"):
+        with pytest.raises(DamagedError, match="00000001.seg"):
             store.compact()
         assert store.get(b"other") is not None
 
@@ -118,7 +118,7 @@
         if name.endswith(".hint"):
             reopened(disk)
             continue
-        with pytest.raises(Damaged, match=f"{name} at byte 0: it is not there"):
+        with pytest.raises(DamagedError, match=f"{name} at byte 0: it is not there"):
             reopened(disk)
 
 
@@ -127,7 +127,7 @@
     first = min(name for name in whole.names() if name.endswith(".seg"))
     disk = whole.copy()
     disk.content[disk.entries[first]][4] = 9
-    with pytest.raises(WrongFormat, match=f"{first}: it has format 9; this program reads format 1"):
+    with pytest.raises(FormatVersionError, match=f"{first}: it has format 9; this program reads format 1"):
         reopened(disk)
     text = (
         whole.content[whole.entries["MANIFEST"]].partition(b"\n")[2].replace(b'"format": 1', b'"format": 2')
@@ -135,14 +135,14 @@
     disk = whole.copy()
     disk.content[disk.entries["MANIFEST"]] = bytearray(b"%08x\n" % zlib.crc32(text) + text)
     before = {n: bytes(disk.content[i]) for n, i in disk.entries.items()}
-    with pytest.raises(WrongFormat, match="MANIFEST: it has format 2; this program reads format 1"):
+    with pytest.raises(FormatVersionError, match="MANIFEST: it has format 2; this program reads format 1"):
         reopened(disk)
     assert before == {n: bytes(disk.content[i]) for n, i in disk.entries.items()}
 
 
 def test_one_at_a_time() -> None:
     disk = MemoryDisk()
-    with Store.open(disk, SMALL), pytest.raises(Locked):
+    with Store.open(disk, SMALL), pytest.raises(LockedError):
         Store.open(disk, SMALL)
     Store.open(disk, SMALL).close()
 
--- a/tests/store/test_store_faults.py
+++ b/tests/store/test_store_faults.py
@@ -10,8 +10,16 @@
 
 import pytest
 
-from roadpulley.store import Closed, Conflict, Failed, Options, Store, Write, WriteFailed
-from roadpulley.store.parts import Pending
+from roadpulley.store import (
+    ClosedError,
+    ConflictError,
+    Options,
+    Store,
+    StoreFailedError,
+    Write,
+    WriteFailedError,
+)
+from roadpulley.store.parts import PendingBatch
 from roadpulley.testbed.disk import ALL, NOTHING, Chance, MemoryDisk, Op
 
 SMALL = Options(segment_bytes=400, salt=lambda: 7)
@@ -43,7 +51,7 @@
     store = Store.open(disk, SMALL)
     store.put(b"a", b"1")
     fault = Once(disk, "write", how)
-    with pytest.raises(WriteFailed, match="00000001.seg: "):
+    with pytest.raises(WriteFailedError, match="00000001.seg: "):
         store.put(b"a", b"2" * 30)
     assert fault.hit and store.get(b"a") == b"1"
     assert store.put(b"b", b"3") == 2
@@ -57,10 +65,10 @@
     store = Store.open(disk, SMALL)
     store.put(b"a", b"1")
     disk.fault = lambda op: 20 if op.what == "write" else EIO if op.what == "truncate" else None
-    with pytest.raises(WriteFailed):
+    with pytest.raises(WriteFailedError):
         store.put(b"a", b"2" * 30)
     disk.fault = lambda op: None
-    with pytest.raises(Failed, match="a part could not be taken back"):
+    with pytest.raises(StoreFailedError, match="a part could not be taken back"):
         store.put(b"a", b"3")
     assert store.get(b"a") == b"1"
     store.close()
@@ -74,11 +82,11 @@
     store = Store.open(disk, SMALL)
     store.put(b"a", b"1")
     fault = Once(disk, "sync", EIO)
-    with pytest.raises(Failed, match="00000001.seg could not be synced"):
+    with pytest.raises(StoreFailedError, match="00000001.seg could not be synced"):
         store.put(b"a", b"2")
     assert fault.hit
     for _ in range(2):
-        with pytest.raises(Failed):
+        with pytest.raises(StoreFailedError):
             store.put(b"c", b"4")
     assert state(store) == {b"a": b"1"}
     store.close()
@@ -113,12 +121,12 @@
             store.put(key, value)
             sure[key] = value
             doubtful.pop(key, None)
-        except Failed:
+        except StoreFailedError:
             doubtful.setdefault(key, set()).add(value)
-        except WriteFailed:
+        except WriteFailedError:
             pass
         if number % 6 == 5:
-            with contextlib.suppress(OSError, Failed):
+            with contextlib.suppress(OSError, StoreFailedError):
                 store.compact()
     assert state(store) == sure
     store.close()
@@ -177,20 +185,24 @@
     disk = MemoryDisk()
     store = Store.open(disk, SMALL)
     one = store.put(b"a", b"1", expect=0)
-    with pytest.raises(Conflict, match="b'a' has version 1; it was expected not to be there"):
+    with pytest.raises(ConflictError, match="b'a' has version 1; it was expected not to be there"):
         store.put(b"a", b"2", expect=0)
-    with pytest.raises(Conflict, match="b'b' is not there; version 7 was expected"):
+    with pytest.raises(ConflictError, match="b'b' is not there; version 7 was expected"):
         store.batch([Write(b"c", b"x"), Write(b"b", b"x", expect=7)])
     # In one group: the second sees what the first is about to write.
     group = [store.enqueue([Write(b"a", b"%d" % n, expect=one)]) for n in range(3)]
     other = store.enqueue([Write(b"d", b"4")])
     store.flush()
-    assert [type(p.error) for p in group] == [type(None), Conflict, Conflict] and other.error is None
+    assert [type(p.error) for p in group] == [
+        type(None),
+        ConflictError,
+        ConflictError,
+    ] and other.error is None
     assert state(store) == {b"a": b"0", b"d": b"4"}
     gone = store.delete(b"a", expect=group[0].version)
     assert store.put(b"a", b"new", expect=0) == gone + 1
     store.close()
-    with pytest.raises(Closed):
+    with pytest.raises(ClosedError):
         store.put(b"a", b"1")
     store.close()
 
@@ -223,7 +235,7 @@
 
 
 def test_who_can_not_be_told_does_not_keep_the_others_of_its_group_from_it() -> None:
-    def broken(pending: Pending) -> None:
+    def broken(pending: PendingBatch) -> None:
         raise RuntimeError("its loop is closed")
 
     with Store.open(MemoryDisk(), SMALL) as store:
@@ -285,7 +297,7 @@
             assert held.get(b"k0") == right[b"k0"] and store.get(b"k0") is None
         assert not any(segment.retired for segment in store.segments.values())
         assert not store.index.before
-        with pytest.raises(Closed, match="the snapshot is closed"):
+        with pytest.raises(ClosedError, match="the snapshot is closed"):
             held.get(b"k0")
 
 
--- a/tests/store/test_store_format.py
+++ b/tests/store/test_store_format.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 
 from roadpulley.store import format
-from roadpulley.store.format import DELETE, PUT, Manifest, Record, Sealed, Unreadable
-from roadpulley.store.recovery import plan, scan
+from roadpulley.store.format import DELETE, PUT, Manifest, Record, SealedSegment, UnreadableError
+from roadpulley.store.recovery import plan_recovery, scan_segment
 
 records = st.builds(
     lambda key, value, version: Record(DELETE if value is None else PUT, key, value or b"", version),
@@ -26,7 +26,7 @@
 @given(st.lists(records, min_size=1, max_size=5), salts)
 def test_a_segment_is_read_as_it_was_written(batch: list[Record], salt: int) -> None:
     data = segment(format.pack_frame(batch, 5, 4, salt), format.pack_mark(5, salt), salt=salt)
-    found = scan(data, 3)
+    found = scan_segment(data, 3)
     assert (found.problem, found.end, found.durable, found.salt) == ("", len(data), 5, salt)
     places = found.frames[0].places
     assert [format.read_record(data[p.offset : p.offset + p.size], salt) for p in places] == batch
@@ -35,10 +35,10 @@
 @given(st.lists(records, min_size=1, max_size=3), st.data())
 def test_no_changed_byte_of_a_frame_passes(batch: list[Record], data: st.DataObject) -> None:
     whole = bytearray(segment(format.pack_frame(batch, 5, 4, 9)))
-    at = data.draw(st.integers(format.HEADER.size, len(whole) - 1))
+    at = data.draw(st.integers(format.SEGMENT_HEADER.size, len(whole) - 1))
     whole[at] ^= data.draw(st.integers(1, 255))
-    found = scan(bytes(whole), 3)
-    assert found.problem and not found.frames and found.end == format.HEADER.size
+    found = scan_segment(bytes(whole), 3)
+    assert found.problem and not found.frames and found.end == format.SEGMENT_HEADER.size
 
 
 @given(records, salts, salts)
@@ -46,55 +46,57 @@
     """A value may hold a whole store: its frames begin as ours do."""
     inner = format.pack_frame([record], 7, 6, other)
     data = segment(b"torn", format.pack_frame([Record(PUT, b"k", inner, 1)], 1, 0, salt)[:-1], salt=salt)
-    assert not scan(data, 3).later or salt == other
+    assert not scan_segment(data, 3).later or salt == other
 
 
 def test_a_frame_after_damage_is_found_and_says_what_was_durable() -> None:
     one, two, three = (format.pack_frame([Record(PUT, b"k", b"v" * n, n)], n, n - 1, 9) for n in (1, 2, 3))
-    torn = scan(segment(one, two[:-1] + b"?", three), 3)
+    torn = scan_segment(segment(one, two[:-1] + b"?", three), 3)
     assert torn.problem == "a frame's checksum does not fit" and torn.durable == 2
-    (damage,) = plan(torn, 0).damage
-    assert (damage.file, damage.offset) == ("00000003.seg", format.HEADER.size + len(one))
+    (damage,) = plan_recovery(torn, 0).damage
+    assert (damage.file, damage.offset) == ("00000003.seg", format.SEGMENT_HEADER.size + len(one))
     assert "versions from 2 to 2 were acknowledged" in damage.lost
     # Both were written before either was synced: nobody was told of them.
     three = format.pack_frame([Record(PUT, b"k", b"v", 3)], 3, 1, 9)
-    cut = plan(scan(segment(one, two[:-1] + b"?", three), 3), 0)
+    cut = plan_recovery(scan_segment(segment(one, two[:-1] + b"?", three), 3), 0)
     assert not cut.damage and cut.cut == len(two) + len(three) and [f.head.version for f in cut.rewrite] == []
 
 
 def test_what_nothing_proves_durable_is_written_again() -> None:
     one, two = (format.pack_frame([Record(PUT, b"k", b"v", n)], n, n - 1, 9) for n in (1, 2))
-    found = plan(scan(segment(one, two), 3), 0)
-    assert [f.head.version for f in found.rewrite] == [2] and found.keep == format.HEADER.size + len(one)
-    marked = plan(scan(segment(one, two, format.pack_mark(2, 9)), 3), 0)
+    found = plan_recovery(scan_segment(segment(one, two), 3), 0)
+    assert [f.head.version for f in found.rewrite] == [2] and found.keep == format.SEGMENT_HEADER.size + len(
+        one
+    )
+    marked = plan_recovery(scan_segment(segment(one, two, format.pack_mark(2, 9)), 3), 0)
     assert not marked.rewrite and not marked.fresh and not marked.cut and marked.keep > found.keep
 
 
 def test_the_last_batch_is_not_taken_for_a_torn_end_once_a_mark_follows_it() -> None:
     one = format.pack_frame([Record(PUT, b"k", b"v", 1)], 1, 0, 9)
     data = bytearray(segment(one, format.pack_mark(1, 9)))
-    data[format.HEADER.size + len(one) - 1] ^= 1
-    assert plan(scan(bytes(data), 3), 0).damage
+    data[format.SEGMENT_HEADER.size + len(one) - 1] ^= 1
+    assert plan_recovery(scan_segment(bytes(data), 3), 0).damage
 
 
-@pytest.mark.parametrize("cut", range(format.HEADER.size))
+@pytest.mark.parametrize("cut", range(format.SEGMENT_HEADER.size))
 def test_a_segment_without_its_header_is_damage(cut: int) -> None:
-    (damage,) = plan(scan(segment()[:cut], 3), 0).damage
+    (damage,) = plan_recovery(scan_segment(segment()[:cut], 3), 0).damage
     assert damage.offset == 0
 
 
 def test_a_later_format_is_told_apart_from_damage() -> None:
     head = bytearray(segment())
-    head[4] = format.FORMAT + 1
-    with pytest.raises(format.FromTheFuture, match="format 2; this program reads format 1"):
-        scan(bytes(head), 3)
-    with pytest.raises(Unreadable, match="it says that it is segment 3"):
+    head[4] = format.FORMAT_VERSION + 1
+    with pytest.raises(format.NewerFormatError, match="format 2; this program reads format 1"):
+        scan_segment(bytes(head), 3)
+    with pytest.raises(UnreadableError, match="it says that it is segment 3"):
         format.read_header(segment(), 4)
 
 
 @given(st.lists(records, max_size=5))
 def test_a_hint_is_read_as_it_was_written_and_no_changed_byte_passes(batch: list[Record]) -> None:
-    found = scan(segment(format.pack_frame(batch or [Record(PUT, b"", b"", 1)], 5, 4, 9)), 3)
+    found = scan_segment(segment(format.pack_frame(batch or [Record(PUT, b"", b"", 1)], 5, 4, 9)), 3)
     hint = format.Hint()
     for place in found.frames[0].places:
         hint.add(place)
@@ -103,19 +105,19 @@
     for at in range(len(data)):
         changed = bytearray(data)
         changed[at] ^= 0x55
-        with pytest.raises(Unreadable):
+        with pytest.raises(UnreadableError):
             format.read_hint(bytes(changed), 3, found.end)
-    for wrong in (data[:-1], data[: format.HINT.size], b""):
+    for wrong in (data[:-1], data[: format.HINT_HEADER.size], b""):
         if wrong != data:
-            with pytest.raises(Unreadable):
+            with pytest.raises(UnreadableError):
                 format.read_hint(wrong, 3, found.end)
 
 
 def test_a_manifest_is_read_as_it_was_written_and_no_changed_byte_passes() -> None:
-    made = Manifest((Sealed(1, 900, 1, 7), Sealed(4, 30, 8, 9)), 5, 6, 9)
+    made = Manifest((SealedSegment(1, 900, 1, 7), SealedSegment(4, 30, 8, 9)), 5, 6, 9)
     data = made.pack()
     assert Manifest.read(data) == made
     for at in range(len(data)):
         for changed in (data[:at], data[:at] + bytes([data[at] ^ 0x11]) + data[at + 1 :]):
-            with pytest.raises(Unreadable):
+            with pytest.raises(UnreadableError):
                 Manifest.read(changed)
--- a/tests/store/test_store_machine.py
+++ b/tests/store/test_store_machine.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from roadpulley.store import Conflict, Options, Snapshot, Store, Write, WriteFailed
+from roadpulley.store import ConflictError, Options, Snapshot, Store, Write, WriteFailedError
 from roadpulley.testbed.disk import Chance, MemoryDisk, Op
 
 keys = st.sampled_from([b"", b"a", b"aa", b"ab", b"b", b"\xff", b"\xff\xff"])
@@ -50,7 +50,7 @@
         try:
             self.note(writes, self.store.batch(writes))
             assert right
-        except Conflict as error:
+        except ConflictError as error:
             assert not right and error.found == version
 
     @rule(writes=batches, room=st.integers(0, 100))
@@ -62,7 +62,7 @@
         try:
             self.store.batch(writes)
             raise AssertionError("it was acknowledged")
-        except WriteFailed:
+        except WriteFailedError:
             pass
         finally:
             self.disk.fault = lambda op: None
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -24,7 +24,7 @@
 from roadpulley.fleet.members.messages import MemberState
 from roadpulley.operations import handover
 from roadpulley.plans import book, records, reserve, terms
-from roadpulley.store.format import Manifest, Sealed
+from roadpulley.store.format import Manifest, SealedSegment
 from roadpulley.testbed import ledger
 from roadpulley.usage import periods, push
 
@@ -134,7 +134,9 @@
             dataclasses.asdict(reconfiguration.ChangeRequest({"a": "127.0.0.1:1"}, "b"))
         ),
         "plans": plan_records(),
-        "manifest": keys(json.loads(Manifest((Sealed(1, 2, 3, 4),), 5, 6, 7).pack().partition(b"\n")[2])),
+        "manifest": keys(
+            json.loads(Manifest((SealedSegment(1, 2, 3, 4),), 5, 6, 7).pack().partition(b"\n")[2])
+        ),
         "usage": attributes(periods.Period, push.Lease, push.Receipt),
         "ledger": ledger_form(),
     }
