--- a/roadpulley/__main__.py
+++ b/roadpulley/__main__.py
@@ -28,10 +28,10 @@
 from .core.settings import ConfigError, GatewayConfig, load_config, load_replacement
 from .edges.request_parser import RequestParser
 from .edges.resp_server import RespServer
-from .operations.address import OperatorAddress
-from .operations.life import Life
+from .operations.controller import Life
 from .operations.lifecycle import Event, Lifecycle, Times
-from .operations.listening import listening
+from .operations.listen_retry import listening
+from .operations.operator_server import OperatorAddress
 
 if TYPE_CHECKING:
     from .operations.link import Link
--- a/tests/operations/test_in_service.py
+++ b/tests/operations/test_in_service.py
@@ -12,8 +12,8 @@
 
 from roadpulley.edges import connection, resp_server
 from roadpulley.edges.resp_server import RespServer
-from roadpulley.operations import address as operators
-from roadpulley.operations.life import OUTCOMES
+from roadpulley.operations import operator_server as operators
+from roadpulley.operations.controller import OUTCOMES
 
 
 def free_port() -> int:
