--- a/roadpulley/cli/fleet.py
+++ b/roadpulley/cli/fleet.py
@@ -21,7 +21,7 @@
 
 if TYPE_CHECKING:
     from roadpulley.fleet.agent import Agent
-    from roadpulley.workers.service import Service
+    from roadpulley.workers.service import SupervisorService
 
 END_S = 8.0  # that an ending gateway waits until its duties are handed over
 WORDS = "Instances that know each other, and the duties that one of them holds at a time."
@@ -94,17 +94,17 @@
 
 def workers_use(agent: Agent, settings: dict[str, Any]) -> None:
     """Tell the workers of a gateway what of the fleet is for them. Raises ValidationError."""
-    from roadpulley.workers.worker import BESIDE, COUNTS, ORDERS, VERDICTS
+    from roadpulley.workers.worker import AGENT_SOCKET_ENV, COUNTER_ENV, ORDERS_ENV, VERDICT_INTERVAL_ENV
 
-    os.environ[BESIDE] = str(agent.worker_socket.path.resolve())
+    os.environ[AGENT_SOCKET_ENV] = str(agent.worker_socket.path.resolve())
     if agent.settings.counts is not None:
-        os.environ[COUNTS] = "1"
+        os.environ[COUNTER_ENV] = "1"
     if agent.settings.rights is not None:
         rights(agent, settings)
     if (verdicts := agent.settings.verdicts) is not None:
-        os.environ[VERDICTS] = str(verdicts.report_interval_s)
+        os.environ[VERDICT_INTERVAL_ENV] = str(verdicts.report_interval_s)
     if (orders := agent.settings.orders) is not None:
-        os.environ[ORDERS] = json.dumps(asdict(orders.follower_settings))
+        os.environ[ORDERS_ENV] = json.dumps(asdict(orders.follower_settings))
         lasts(settings, orders.open_lease_s)
 
 
@@ -121,7 +121,7 @@
 
     Raises ValidationError.
     """
-    from roadpulley.workers.worker import RIGHTS_TOLD, with_rights
+    from roadpulley.workers.worker import RIGHTS_ENV, apply_rights
 
     found = agent.settings.rights
     assert found is not None
@@ -130,24 +130,24 @@
         "limits": {n: [one.rate, one.burst] for n, one in found.limits.items()},
     }
     try:
-        with_rights(settings, told)
+        apply_rights(settings, told)
     except ValueError as error:
         wrong, _, right = str(error).partition("; ")
         raise ValidationError("rights.limits", wrong, right) from error
-    os.environ[RIGHTS_TOLD] = json.dumps(told)
+    os.environ[RIGHTS_ENV] = json.dumps(told)
 
 
-async def beside(service: Service, agent: Agent) -> None:
+async def beside(service: SupervisorService, agent: Agent) -> None:
     """A gateway's supervisor, with an instance of the fleet on the same loop.
 
     No request passes here, and no worker waits for it: if it breaks, the gateway goes on without.
     """
-    running = asyncio.ensure_future(agent.run(service.leaving))
+    running = asyncio.ensure_future(agent.run(service.stopping))
     running.add_done_callback(ended)
     try:
         await service.run()
     finally:
-        service.leaving.set()
+        service.stopping.set()
         await asyncio.wait({running}, timeout=END_S)
 
 
--- a/roadpulley/cli/serve.py
+++ b/roadpulley/cli/serve.py
@@ -53,7 +53,7 @@
 
 def run(args: argparse.Namespace) -> int:
     from roadpulley.core.settings import load_config
-    from roadpulley.workers.service import Service
+    from roadpulley.workers.service import SupervisorService
 
     path = args.config or os.environ.get("LB_CONFIG")
     form = "%(asctime)s %(levelname)s %(name)s: %(message)s"
@@ -62,9 +62,9 @@
     agent: Agent | None = None
 
     async def supervise() -> None:
-        service = Service(str(path), lambda: workers(args.workers))
+        service = SupervisorService(str(path), lambda: workers(args.workers))
         try:
-            service.door.move(load_config(str(path)).listen)
+            service.listener.rebind(load_config(str(path)).listen)
         except OSError as error:
             right = "give an address of this machine that nobody else listens on"
             raise ValidationError(f"{path}: listen", f"cannot be taken ({error.strerror})", right) from error
--- a/roadpulley/tenants/authentication.py
+++ b/roadpulley/tenants/authentication.py
@@ -8,96 +8,101 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-MOST_WRONG = 3  # secrets of one connection; then it is closed. By name, a stranger could lock a tenant out
-ARITY = b"-ERR wrong number of arguments for '%b' command\r\n"
-NOAUTH = b"-NOAUTH Authentication required.\r\n"
-HELLO_FIRST = (
+MAX_FAILED_ATTEMPTS = (
+    3  # secrets of one connection; then it is closed. By name, a stranger could lock a tenant out
+)
+WRONG_ARITY_ERROR = b"-ERR wrong number of arguments for '%b' command\r\n"
+NOAUTH_ERROR = b"-NOAUTH Authentication required.\r\n"
+HELLO_NOAUTH_ERROR = (
     b"-NOAUTH HELLO must be called with the client already authenticated, otherwise the HELLO <proto> AUTH "
     b"<user> <pass> option can be used to authenticate the client at the same time.\r\n"
 )
-WRONG = b"-WRONGPASS invalid username-password pair or user is disabled.\r\n"
-NOPROTO = b"-NOPROTO unsupported protocol version\r\n"
-ANOTHER = b"-ERR this connection is another tenant's: open a new one\r\n"
-OK, PONG = b"+OK\r\n", b"+PONG\r\n"
+WRONGPASS_ERROR = b"-WRONGPASS invalid username-password pair or user is disabled.\r\n"
+NOPROTO_ERROR = b"-NOPROTO unsupported protocol version\r\n"
+OTHER_TENANT_ERROR = b"-ERR this connection is another tenant's: open a new one\r\n"
+OK_REPLY = b"+OK\r\n"
+PONG_REPLY = b"+PONG\r\n"
 
 
 @dataclass(frozen=True)
-class Said:
+class Reply:
     """The answer to one command, and what follows from it."""
 
-    answer: bytes
+    content: bytes
     close: bool = False
 
 
-class Door:
+class ConnectionAuthenticator:
     """`fits` says whether a tenant's name and secret belong together, and the tenant is not suspended."""
 
-    def __init__(self, fits: Callable[[str, str], bool], version: str = "") -> None:
-        self.fits, self.version = fits, version
+    def __init__(self, verify: Callable[[str, str], bool], version: str = "") -> None:
+        self.verify, self.version = verify, version
         self.tenant: str | None = None  # whose the connection is
-        self.wrong = 0
+        self.failed_attempts = 0
 
-    def hear(self, args: list[bytes]) -> Said | None:
+    def handle_command(self, args: list[bytes]) -> Reply | None:
         """Answer a command; None, once it is a tenant's, for one that its gateway has to answer."""
-        verb = args[0].upper() if args else b""
-        if verb == b"QUIT":
-            return Said(OK, close=True)
-        if verb == b"PING":
-            return self._ping(args)
-        if verb == b"AUTH":
-            return self._auth(args[1:])
-        if verb == b"HELLO":
-            return self._hello(args[1:])
-        return None if self.tenant is not None else Said(NOAUTH)
-
-    def _ping(self, args: list[bytes]) -> Said:
+        command = args[0].upper() if args else b""
+        if command == b"QUIT":
+            return Reply(OK_REPLY, close=True)
+        if command == b"PING":
+            return self._handle_ping(args)
+        if command == b"AUTH":
+            return self._handle_auth(args[1:])
+        if command == b"HELLO":
+            return self._handle_hello(args[1:])
+        return None if self.tenant is not None else Reply(NOAUTH_ERROR)
+
+    def _handle_ping(self, args: list[bytes]) -> Reply:
         if len(args) > 2:
-            return Said(ARITY % b"ping")
-        return Said(bulk(args[1]) if len(args) == 2 else PONG)
+            return Reply(WRONG_ARITY_ERROR % b"ping")
+        return Reply(encode_bulk_string(args[1]) if len(args) == 2 else PONG_REPLY)
 
-    def _auth(self, args: list[bytes]) -> Said:
+    def _handle_auth(self, args: list[bytes]) -> Reply:
         if len(args) != 2:
-            return Said(ARITY % b"auth")
-        return self._try(*args) or Said(OK)
+            return Reply(WRONG_ARITY_ERROR % b"auth")
+        return self._authenticate(*args) or Reply(OK_REPLY)
 
-    def _try(self, name: bytes, secret: bytes) -> Said | None:
+    def _authenticate(self, name: bytes, secret: bytes) -> Reply | None:
         """What is wrong with a name and a secret; None if they fit."""
         tenant = name.decode("utf-8", "surrogateescape")
-        if not self.fits(tenant, secret.decode("utf-8", "surrogateescape")):
-            self.wrong += 1
-            return Said(WRONG, close=self.wrong >= MOST_WRONG)
+        if not self.verify(tenant, secret.decode("utf-8", "surrogateescape")):
+            self.failed_attempts += 1
+            return Reply(WRONGPASS_ERROR, close=self.failed_attempts >= MAX_FAILED_ATTEMPTS)
         if self.tenant not in (None, tenant):
             # Danger: what is open on the connection is counted for the first one.
-            return Said(ANOTHER)
+            return Reply(OTHER_TENANT_ERROR)
         self.tenant = tenant
         return None
 
-    def _hello(self, args: list[bytes]) -> Said:
+    def _handle_hello(self, args: list[bytes]) -> Reply:
         if args and args[0] != b"2":
-            return Said(NOPROTO)
-        rest = args[1:]
-        while rest:
-            option = rest[0].upper()
-            if option == b"AUTH" and len(rest) >= 3:
-                if problem := self._try(rest[1], rest[2]):
+            return Reply(NOPROTO_ERROR)
+        options = args[1:]
+        while options:
+            option = options[0].upper()
+            if option == b"AUTH" and len(options) >= 3:
+                if problem := self._authenticate(options[1], options[2]):
                     return problem
-                rest = rest[3:]
-            elif option == b"SETNAME" and len(rest) >= 2:
-                rest = rest[2:]
+                options = options[3:]
+            elif option == b"SETNAME" and len(options) >= 2:
+                options = options[2:]
             else:
-                return Said(b"-ERR Syntax error in HELLO option '%b'\r\n" % printable(rest[0]))
+                return Reply(b"-ERR Syntax error in HELLO option '%b'\r\n" % replace_unprintable(options[0]))
         if self.tenant is None:
-            return Said(HELLO_FIRST)
-        pairs: tuple[bytes | int, ...] = (b"server", b"roadpulley", b"version", self.version.encode())
-        pairs += (b"proto", 2, b"mode", b"standalone", b"role", b"master")
-        said = b"".join(b":%d\r\n" % each if isinstance(each, int) else bulk(each) for each in pairs)
-        return Said(b"*%d\r\n" % len(pairs) + said)
+            return Reply(HELLO_NOAUTH_ERROR)
+        fields: tuple[bytes | int, ...] = (b"server", b"roadpulley", b"version", self.version.encode())
+        fields += (b"proto", 2, b"mode", b"standalone", b"role", b"master")
+        items = b"".join(
+            b":%d\r\n" % each if isinstance(each, int) else encode_bulk_string(each) for each in fields
+        )
+        return Reply(b"*%d\r\n" % len(fields) + items)
 
 
-def bulk(value: bytes) -> bytes:
+def encode_bulk_string(value: bytes) -> bytes:
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
-def printable(raw: bytes) -> bytes:
+def replace_unprintable(raw: bytes) -> bytes:
     """What may stand in an error line: a stranger must not write lines of his own into it."""
     return bytes(c if 32 <= c < 127 else 63 for c in raw[:32])
--- a/roadpulley/tenants/fair_queue.py
+++ b/roadpulley/tenants/fair_queue.py
@@ -26,105 +26,108 @@
 class Flow(Generic[T]):
     name: str
     weight: float
-    waiting: deque[T] = field(default_factory=deque)
-    balance: float = 0.0  # microseconds; below 0 it owes
-    seen: int = 0  # the round up to which its balance was credited
-    spent: float = 0.0  # of all time
+    queue: deque[T] = field(default_factory=deque)
+    balance_us: float = 0.0  # microseconds; below 0 it owes
+    credited_round: int = 0  # the round up to which its balance was credited
+    total_cost_us: float = 0.0  # of all time
 
 
-class Fair(Generic[T]):
+class FairQueue(Generic[T]):
     """Queues by flow. `take` gives the next, `charge` says what it cost."""
 
-    def __init__(self, quantum: float = QUANTUM_US) -> None:
-        self.quantum = quantum
+    def __init__(self, quantum_us: float = QUANTUM_US) -> None:
+        self.quantum_us = quantum_us
         self.flows: dict[str, Flow[T]] = {}
         self.ring: deque[Flow[T]] = deque()  # those with something waiting; the first has its turn
         self.round = 0  # how often every flow of the ring has had its turn
-        self.left = 0  # turns of this round
+        self.remaining_turns = 0  # turns of this round
 
     def __len__(self) -> int:
-        return sum(len(flow.waiting) for flow in self.ring)
+        return sum(len(flow.queue) for flow in self.ring)
 
-    def weigh(self, name: str, weight: float) -> None:
+    def set_weight(self, name: str, weight: float) -> None:
         """Make a flow, or change its weight from its next turn on. Raises ValueError."""
         if not 0 < weight < math.inf:
             raise ValueError(f"{name} has weight {weight}: give one over 0")
         if name in self.flows:
             self.flows[name].weight = weight
         else:
-            self.flows[name] = Flow(name, weight, seen=self.round)
+            self.flows[name] = Flow(name, weight, credited_round=self.round)
 
-    def add(self, name: str, item: T) -> None:
+    def enqueue(self, name: str, item: T) -> None:
         """Have an item wait. Raises KeyError for a flow that `weigh` has not made."""
         flow = self.flows[name]
-        flow.waiting.append(item)
-        if len(flow.waiting) == 1:
-            missed, flow.seen = self.round - flow.seen, self.round
-            flow.balance = min(0.0, flow.balance + missed * self.quantum * flow.weight)
+        flow.queue.append(item)
+        if len(flow.queue) == 1:
+            missed_rounds, flow.credited_round = self.round - flow.credited_round, self.round
+            flow.balance_us = min(0.0, flow.balance_us + missed_rounds * self.quantum_us * flow.weight)
             self.ring.append(flow)
             if len(self.ring) == 1:
-                self._begin()
+                self._start_turn()
 
-    def take(self) -> tuple[str, T] | None:
+    def dequeue(self) -> tuple[str, T] | None:
         """The next item; None where nothing waits. Nobody waits for a debt while the core is free."""
         if not self.ring:
             return None
-        if self.ring[0].balance <= 0:
-            self._turn_to_one_that_may()
+        if self.ring[0].balance_us <= 0:
+            self._advance_to_flow_with_credit()
         flow = self.ring[0]
-        item = flow.waiting.popleft()
-        if not flow.waiting:
-            flow.seen, flow.balance = self.round, 0.0  # credit that is left; what this one costs comes yet
+        item = flow.queue.popleft()
+        if not flow.queue:
+            flow.credited_round, flow.balance_us = (
+                self.round,
+                0.0,
+            )  # credit that is left; what this one costs comes yet
             self.ring.popleft()
-            self.left -= 1
+            self.remaining_turns -= 1
             if self.ring:
-                self._begin()
+                self._start_turn()
         return flow.name, item
 
-    def charge(self, name: str, cost: float) -> None:
+    def charge(self, name: str, cost_us: float) -> None:
         """What an item of a flow has cost, microseconds; of one that was forgotten, nothing."""
         flow = self.flows.get(name)
         if flow is not None:
-            flow.balance -= cost
-            flow.spent += cost
+            flow.balance_us -= cost_us
+            flow.total_cost_us += cost_us
 
-    def forget(self, name: str) -> list[T]:
+    def remove_flow(self, name: str) -> list[T]:
         """Drop a flow; gives what waited in it, for each to get its answer."""
         flow = self.flows.pop(name, None)
         if flow is None:
             return []
-        if flow.waiting:
+        if flow.queue:
             first = self.ring[0] is flow
             self.ring.remove(flow)
-            self.left -= 1
+            self.remaining_turns -= 1
             if first and self.ring:
-                self._begin()
-        return list(flow.waiting)
+                self._start_turn()
+        return list(flow.queue)
 
     # ---- rounds ----
 
-    def _begin(self) -> None:
+    def _start_turn(self) -> None:
         """The turn of the ring's first."""
-        if self.left <= 0:
+        if self.remaining_turns <= 0:
             self.round += 1
-            self.left = len(self.ring)
+            self.remaining_turns = len(self.ring)
         flow = self.ring[0]
-        flow.balance, flow.seen = flow.balance + self.quantum * flow.weight, self.round
+        flow.balance_us, flow.credited_round = flow.balance_us + self.quantum_us * flow.weight, self.round
 
-    def _pass(self) -> None:
+    def _end_turn(self) -> None:
         self.ring.rotate(-1)
-        self.left -= 1
-        self._begin()
+        self.remaining_turns -= 1
+        self._start_turn()
 
-    def _turn_to_one_that_may(self) -> None:
+    def _advance_to_flow_with_credit(self) -> None:
         for _ in range(len(self.ring)):
-            self._pass()
-            if self.ring[0].balance > 0:
+            self._end_turn()
+            if self.ring[0].balance_us > 0:
                 return
         # All would only pay for rounds: those are left out.
-        rounds = min(int(-flow.balance / (self.quantum * flow.weight)) for flow in self.ring)
+        rounds = min(int(-flow.balance_us / (self.quantum_us * flow.weight)) for flow in self.ring)
         for flow in self.ring:
-            flow.balance += rounds * self.quantum * flow.weight
+            flow.balance_us += rounds * self.quantum_us * flow.weight
         self.round += rounds
-        while self.ring[0].balance <= 0:
-            self._pass()
+        while self.ring[0].balance_us <= 0:
+            self._end_turn()
--- a/roadpulley/workers/service.py
+++ b/roadpulley/workers/service.py
@@ -13,31 +13,41 @@
 
 from roadpulley.core.settings import Address, ConfigError, load_config
 
-from .supervisor import Action, Drain, Finished, Kill, Limits, Refuse, Say, Start, Supervisor
+from .supervisor import (
+    Action,
+    DrainWorker,
+    KillWorker,
+    LogMessage,
+    RefuseConnections,
+    ReportFinished,
+    StartWorker,
+    Supervisor,
+    SupervisorSettings,
+)
 
 log = logging.getLogger("roadpulley.workers")
 
 
 @dataclass(eq=False)
-class Running:
+class WorkerProcess:
     process: asyncio.subprocess.Process
     version: int
     tasks: list[asyncio.Task[None]]
 
 
-def bound(address: Address) -> socket.socket:
+def bind_socket(address: Address) -> socket.socket:
     """A TCP socket bound there that does not listen yet. Raises OSError."""
-    new = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
+    bound_socket = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     try:
-        new.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        new.bind(address)
+        bound_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        bound_socket.bind(address)
     except OSError:
-        new.close()
+        bound_socket.close()
         raise
-    return new
+    return bound_socket
 
 
-class Door:
+class ListeningSocket:
     """The one listening socket of all workers. It outlives each of them, and what waits at it with it.
 
     It is bound here and listens only once a worker asks for that, so that nobody waits where nobody serves.
@@ -47,19 +57,19 @@
         self.address: Address | None = None
         self.socket: socket.socket | None = None
 
-    def move(self, address: Address) -> None:
+    def rebind(self, address: Address) -> None:
         """Bind anew, if it is another address; those who have the old socket keep it. Raises OSError."""
         if address == self.address:
             return
-        new = bound(address)
+        bound_socket = bind_socket(address)
         if not address[1]:
             # Danger: a socket that is shut loses a port that the kernel chose; one that is asked for stays.
-            with new:
-                new = bound(new.getsockname()[:2])
+            with bound_socket:
+                bound_socket = bind_socket(bound_socket.getsockname()[:2])
         self.close()
-        self.socket, self.address = new, address
+        self.socket, self.address = bound_socket, address
 
-    def refuse(self) -> None:
+    def refuse_connections(self) -> None:
         """Connections are refused until the next worker listens: they can go elsewhere at once."""
         try:
             if self.socket is not None:
@@ -73,101 +83,103 @@
             self.socket = self.address = None
 
 
-class Service:
+class SupervisorService:
     """`count` gives the number of workers wanted, and is asked again at each replacement."""
 
-    def __init__(self, config: str, count: Callable[[], int], limits: Limits | None = None) -> None:
-        self.config, self.count = config, count
-        self.limits = limits or Limits()
-        self.machine = Supervisor(count(), self.limits)
+    def __init__(
+        self, config: str, get_worker_count: Callable[[], int], settings: SupervisorSettings | None = None
+    ) -> None:
+        self.config, self.get_worker_count = config, get_worker_count
+        self.settings = settings or SupervisorSettings()
+        self.supervisor = Supervisor(get_worker_count(), self.settings)
         self.loop = asyncio.get_running_loop()
-        self.running: dict[int, Running] = {}
-        self.owed: dict[int, signal.Signals] = {}  # to processes that are still being made
+        self.processes: dict[int, WorkerProcess] = {}
+        self.pending_signals: dict[int, signal.Signals] = {}  # to processes that are still being made
         self.timer: asyncio.TimerHandle | None = None
-        self.door = Door()
+        self.listener = ListeningSocket()
         self.finished = asyncio.Event()
-        self.leaving = asyncio.Event()  # it was told to end
+        self.stopping = asyncio.Event()  # it was told to end
 
     async def run(self) -> None:
         """Keep the workers running until they are told to end and have ended. Raises OSError, ConfigError."""
-        self.door.move(load_config(self.config).listen)
+        self.listener.rebind(load_config(self.config).listen)
         for signum in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(signum, self.stop)
-        self.loop.add_signal_handler(signal.SIGHUP, self.replace)
-        self.do(self.machine.tick(self.loop.time()))
+        self.loop.add_signal_handler(signal.SIGHUP, self.replace_workers)
+        self.perform(self.supervisor.tick(self.loop.time()))
         try:
             await self.finished.wait()
         finally:
-            self.door.close()
-            for each in self.running.values():  # only a fault of this process leaves any
-                each.process.kill()
-            await asyncio.gather(*(each.process.wait() for each in self.running.values()))
+            self.listener.close()
+            for worker in self.processes.values():  # only a fault of this process leaves any
+                worker.process.kill()
+            await asyncio.gather(*(worker.process.wait() for worker in self.processes.values()))
 
     # ---- from outside ----
 
     def stop(self) -> None:
         log.info("ending")
-        self.leaving.set()
-        self.do(self.machine.stop(self.loop.time()))
+        self.stopping.set()
+        self.perform(self.supervisor.stop(self.loop.time()))
 
-    def replace(self) -> None:
+    def replace_workers(self) -> None:
         """Bring in what the configuration says now: the number of workers, and each worker anew."""
         try:
-            count = self.count()
+            worker_count = self.get_worker_count()
         except Exception as error:  # whatever is wrong with it, those that run go on
             return log.error("not replaced, the workers stay as they are: %s", error)
         try:
-            self.door.move(load_config(self.config).listen)
+            self.listener.rebind(load_config(self.config).listen)
         except (ConfigError, OSError) as error:  # the machine sees that no second worker starts with it
             log.error("the address stays as it is: %s", error)
         now = self.loop.time()
-        if count != self.machine.count:
-            self.do(self.machine.resize(now, count))
-        self.do(self.machine.replace(now))
+        if worker_count != self.supervisor.worker_count:
+            self.perform(self.supervisor.resize(now, worker_count))
+        self.perform(self.supervisor.replace_workers(now))
 
     # ---- actions ----
 
-    def do(self, actions: list[Action]) -> None:
+    def perform(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Start(slot, version):
-                    self.loop.create_task(self.start(slot, version))
-                case Drain(slot):
-                    self.signal(slot, signal.SIGTERM)
-                case Kill(slot, _):
-                    self.signal(slot, signal.SIGKILL)
-                case Refuse():
-                    self.door.refuse()
-                case Say(words):
-                    log.info("%s", words)
-                case Finished():
+                case StartWorker(slot, version):
+                    self.loop.create_task(self.start_worker(slot, version))
+                case DrainWorker(slot):
+                    self.signal_worker(slot, signal.SIGTERM)
+                case KillWorker(slot, _):
+                    self.signal_worker(slot, signal.SIGKILL)
+                case RefuseConnections():
+                    self.listener.refuse_connections()
+                case LogMessage(text):
+                    log.info("%s", text)
+                case ReportFinished():
                     self.finished.set()
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        due = self.machine.next_at()
-        if due < float("inf") and not self.finished.is_set():
-            self.timer = self.loop.call_at(max(due, self.loop.time()) + 0.001, self.tick)
+        deadline = self.supervisor.next_deadline()
+        if deadline < float("inf") and not self.finished.is_set():
+            self.timer = self.loop.call_at(max(deadline, self.loop.time()) + 0.001, self.tick)
 
     def tick(self) -> None:
-        self.do(self.machine.tick(self.loop.time()))
+        self.perform(self.supervisor.tick(self.loop.time()))
 
-    def signal(self, slot: int, number: signal.Signals) -> None:
-        running = self.running.get(slot)
-        if running is None:
+    def signal_worker(self, slot: int, signal_number: signal.Signals) -> None:
+        worker = self.processes.get(slot)
+        if worker is None:
             # Danger: its process is still being made. A signal that was dropped would leave the slot waiting
             # for an end that nobody has asked for.
-            self.owed[slot] = number
+            self.pending_signals[slot] = signal_number
             return
         try:
-            running.process.send_signal(number)
+            worker.process.send_signal(signal_number)
         except ProcessLookupError:
             pass  # its end is on its way here
 
-    async def start(self, slot: int, version: int) -> None:
-        assert self.door.socket is not None
-        listener = self.door.socket.fileno()
-        ours, theirs = os.pipe()
+    async def start_worker(self, slot: int, version: int) -> None:
+        assert self.listener.socket is not None
+        listener_fd = self.listener.socket.fileno()
+        read_fd, write_fd = os.pipe()
         try:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -177,49 +189,51 @@
                     **os.environ,
                     "LB_CONFIG": self.config,
                     "ROADPULLEY_WORKER": str(slot),
-                    "ROADPULLEY_WORKERS": str(self.machine.count),
-                    "ROADPULLEY_LISTEN_FD": str(listener),
-                    "ROADPULLEY_BEAT_FD": str(theirs),
-                    "ROADPULLEY_BEAT_S": str(self.limits.beat_s),
+                    "ROADPULLEY_WORKERS": str(self.supervisor.worker_count),
+                    "ROADPULLEY_LISTEN_FD": str(listener_fd),
+                    "ROADPULLEY_BEAT_FD": str(write_fd),
+                    "ROADPULLEY_BEAT_S": str(self.settings.heartbeat_interval_s),
                 },
                 stdin=asyncio.subprocess.DEVNULL,
-                pass_fds=(theirs, listener),
+                pass_fds=(write_fd, listener_fd),
             )
         except OSError as error:
-            os.close(ours)
-            return self.do(
-                self.machine.ended(self.loop.time(), slot, f"could not be started: {error.strerror}")
+            os.close(read_fd)
+            return self.perform(
+                self.supervisor.handle_exit(self.loop.time(), slot, f"could not be started: {error.strerror}")
             )
         finally:
-            os.close(theirs)
-        running = self.running[slot] = Running(process, version, [])
-        running.tasks = [
-            self.loop.create_task(self.listen(slot, ours)),
-            self.loop.create_task(self.wait(slot, running)),
+            os.close(write_fd)
+        worker = self.processes[slot] = WorkerProcess(process, version, [])
+        worker.tasks = [
+            self.loop.create_task(self.read_messages(slot, read_fd)),
+            self.loop.create_task(self.wait_for_exit(slot, worker)),
         ]
-        if owed := self.owed.pop(slot, None):
-            self.signal(slot, owed)
+        if pending_signal := self.pending_signals.pop(slot, None):
+            self.signal_worker(slot, pending_signal)
 
-    async def listen(self, slot: int, fd: int) -> None:
+    async def read_messages(self, slot: int, fd: int) -> None:
         reader = asyncio.StreamReader()
         transport, _ = await self.loop.connect_read_pipe(
             lambda: asyncio.StreamReaderProtocol(reader), os.fdopen(fd, "rb")
         )
         try:
             while line := await reader.readline():
-                words = line.split()
-                if words[0] == b"serves":
-                    log.info("worker %d serves at port %s", slot, words[1].decode())
-                    self.do(self.machine.served(self.loop.time(), slot))
-                elif words[0] == b"closes":
-                    self.do(self.machine.closed(self.loop.time(), slot))
-                elif words[0] == b"beat":
-                    self.do(self.machine.beat(self.loop.time(), slot, float(words[1]) / 1000))
+                fields = line.split()
+                if fields[0] == b"serves":
+                    log.info("worker %d serves at port %s", slot, fields[1].decode())
+                    self.perform(self.supervisor.handle_serving(self.loop.time(), slot))
+                elif fields[0] == b"closes":
+                    self.perform(self.supervisor.handle_closed(self.loop.time(), slot))
+                elif fields[0] == b"beat":
+                    self.perform(
+                        self.supervisor.handle_heartbeat(self.loop.time(), slot, float(fields[1]) / 1000)
+                    )
         finally:
             transport.close()
 
-    async def wait(self, slot: int, running: Running) -> None:
-        code = await running.process.wait()
-        if self.running.get(slot) is running:
-            del self.running[slot]
-        self.do(self.machine.ended(self.loop.time(), slot, f"code {code}"))
+    async def wait_for_exit(self, slot: int, worker: WorkerProcess) -> None:
+        exit_code = await worker.process.wait()
+        if self.processes.get(slot) is worker:
+            del self.processes[slot]
+        self.perform(self.supervisor.handle_exit(self.loop.time(), slot, f"code {exit_code}"))
--- a/roadpulley/workers/supervisor.py
+++ b/roadpulley/workers/supervisor.py
@@ -36,54 +36,60 @@
 
 
 @dataclass(frozen=True)
-class Limits:
+class SupervisorSettings:
     """Seconds. Settings of a supervisor; see docs/design/scale-up.md."""
 
-    start_s: float = 15.0  # from its start until a worker must serve
-    beat_s: float = 0.25  # between two beats
-    hang_s: float = 3.0  # without a beat: the process lives and does nothing
-    stuck_s: float = 5.0  # a request open for longer than any deadline: the loop turns and answers nobody
-    drain_s: float = 4.0  # after SIGTERM: the longest deadline that is waited for, and a second
-    confirm_s: float = 0.25  # between the look that finds a worker overdue and the one that has it killed
-    first_wait_s: float = 0.1
-    longest_wait_s: float = 30.0
-    steady_s: float = 10.0  # having served for this long, a worker's next end starts the waits anew
-    give_up_after: int = 8  # ends in a row without serving, of a replacement's first worker: it is called off
+    start_timeout_s: float = 15.0  # from its start until a worker must serve
+    heartbeat_interval_s: float = 0.25  # between two beats
+    heartbeat_timeout_s: float = 3.0  # without a beat: the process lives and does nothing
+    max_request_age_s: float = (
+        5.0  # a request open for longer than any deadline: the loop turns and answers nobody
+    )
+    drain_timeout_s: float = 4.0  # after SIGTERM: the longest deadline that is waited for, and a second
+    confirmation_delay_s: float = (
+        0.25  # between the look that finds a worker overdue and the one that has it killed
+    )
+    initial_backoff_s: float = 0.1
+    max_backoff_s: float = 30.0
+    stable_after_s: float = 10.0  # having served for this long, a worker's next end starts the waits anew
+    max_failed_starts: int = (
+        8  # ends in a row without serving, of a replacement's first worker: it is called off
+    )
 
 
 @dataclass(frozen=True)
-class Start:
+class StartWorker:
     slot: int
     version: int
 
 
 @dataclass(frozen=True)
-class Drain:
+class DrainWorker:
     slot: int
 
 
 @dataclass(frozen=True)
-class Kill:
+class KillWorker:
     slot: int
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True)
-class Refuse:
+class RefuseConnections:
     """Nobody accepts connections any more."""
 
 
 @dataclass(frozen=True)
-class Say:
-    words: str
+class LogMessage:
+    text: str
 
 
 @dataclass(frozen=True)
-class Finished:
+class ReportFinished:
     """All workers have ended; nothing more will come."""
 
 
-Action = Start | Drain | Kill | Refuse | Say | Finished
+Action = StartWorker | DrainWorker | KillWorker | RefuseConnections | LogMessage | ReportFinished
 
 
 @dataclass
@@ -91,209 +97,232 @@
     number: int
     state: State = State.IDLE
     version: int = 0  # of what runs in it
-    due: float = 0.0  # idle: when to start; else: when its patience ends
-    suspected_at: float | None = None  # the first look that found it overdue, or nearly so
+    deadline: float = 0.0  # idle: when to start; else: when its patience ends
+    first_overdue_at: float | None = None  # the first look that found it overdue, or nearly so
     is_stuck: bool = False  # its last beat told of a request that is open for too long
-    served_at: float | None = None  # since when it serves
-    beat_at: float = 0.0
-    oldest: float = 0.0  # age of its oldest open request, seconds
+    serving_since: float | None = None  # since when it serves
+    heartbeat_at: float = 0.0
+    oldest_age_s: float = 0.0  # age of its oldest open request, seconds
     failures: int = 0  # ends in a row without having served steadily
-    accepts: bool = False  # connections, from the socket of all
-    leaving: bool = False  # not wanted any more once it has ended
+    is_accepting: bool = False  # connections, from the socket of all
+    remove_on_exit: bool = False  # not wanted any more once it has ended
 
 
 @dataclass
 class Supervisor:
-    count: int
-    limits: Limits = field(default_factory=Limits)
+    worker_count: int
+    settings: SupervisorSettings = field(default_factory=SupervisorSettings)
 
     def __post_init__(self) -> None:
-        self.slots: dict[int, Slot] = {n: Slot(n) for n in range(self.count)}
+        self.slots: dict[int, Slot] = {n: Slot(n) for n in range(self.worker_count)}
         self.version = 1
-        self.stopping = self.finished = False
-        self.replacing: int | None = None  # the slot that is being replaced just now
+        self.is_stopping = self.is_finished = False
+        self.replacing_slot: int | None = None  # the slot that is being replaced just now
 
     # ---- events ----
 
     def tick(self, now: float) -> list[Action]:
         """Time has passed: everything that is due. Call it at `next_at` at the latest."""
-        out: list[Action] = []
+        actions: list[Action] = []
         for slot in list(self.slots.values()):
-            self._look(now, slot, out)
-        self._replace_next(now, out)
-        self._finish(out)
-        return out
+            self._check_slot(now, slot, actions)
+        self._replace_next_worker(now, actions)
+        self._finish_stop(actions)
+        return actions
 
-    def served(self, now: float, number: int) -> list[Action]:
+    def handle_serving(self, now: float, number: int) -> list[Action]:
         """A worker says that it serves."""
         slot = self.slots.get(number)
         if slot is not None and slot.state is State.STARTING:
-            slot.state, slot.served_at, slot.beat_at, slot.oldest = State.SERVING, now, now, 0.0
-            slot.suspected_at, slot.is_stuck = None, False
-            if self.replacing == number:
-                self.replacing = None
+            slot.state, slot.serving_since, slot.heartbeat_at, slot.oldest_age_s = (
+                State.SERVING,
+                now,
+                now,
+                0.0,
+            )
+            slot.first_overdue_at, slot.is_stuck = None, False
+            if self.replacing_slot == number:
+                self.replacing_slot = None
         if slot is not None and slot.state is not State.IDLE:
-            slot.accepts = True  # also one that was told to end before it served
+            slot.is_accepting = True  # also one that was told to end before it served
         return self.tick(now)
 
-    def beat(self, now: float, number: int, oldest: float) -> list[Action]:
+    def handle_heartbeat(self, now: float, number: int, oldest_age_s: float) -> list[Action]:
         slot = self.slots.get(number)
-        out: list[Action] = []
+        actions: list[Action] = []
         if slot is not None and slot.state is State.SERVING:
-            slot.beat_at, slot.oldest, slot.suspected_at = now, oldest, None
+            slot.heartbeat_at, slot.oldest_age_s, slot.first_overdue_at = now, oldest_age_s, None
             # Danger: a worker that was not run for some seconds beats before it has ended what is overdue.
-            was_stuck, slot.is_stuck = slot.is_stuck, oldest > self.limits.stuck_s
+            was_stuck, slot.is_stuck = slot.is_stuck, oldest_age_s > self.settings.max_request_age_s
             if was_stuck and slot.is_stuck:
-                self._kill(slot, f"a request is open for {oldest:.1f} s", out)
-        return out + self.tick(now)
+                self._kill_worker(slot, f"a request is open for {oldest_age_s:.1f} s", actions)
+        return actions + self.tick(now)
 
-    def closed(self, now: float, number: int) -> list[Action]:
+    def handle_closed(self, now: float, number: int) -> list[Action]:
         """A worker says that it accepts no more connections."""
-        out: list[Action] = []
+        actions: list[Action] = []
         if slot := self.slots.get(number):
-            self._accepts_no_more(slot, out)
-        return out + self.tick(now)
+            self._stop_accepting(slot, actions)
+        return actions + self.tick(now)
 
-    def ended(self, now: float, number: int, how: str) -> list[Action]:
+    def handle_exit(self, now: float, number: int, exit_reason: str) -> list[Action]:
         """A worker's process has ended."""
-        slot, out = self.slots.get(number), list[Action]()
+        slot, actions = self.slots.get(number), list[Action]()
         if slot is None or slot.state is State.IDLE:
-            return out
-        self._accepts_no_more(slot, out)
-        called = slot.state is State.DRAINING
-        steady = slot.served_at is not None and now - slot.served_at >= self.limits.steady_s
-        if called:
+            return actions
+        self._stop_accepting(slot, actions)
+        was_requested = slot.state is State.DRAINING
+        was_stable = (
+            slot.serving_since is not None and now - slot.serving_since >= self.settings.stable_after_s
+        )
+        if was_requested:
             slot.failures = 0
         else:
-            slot.failures = 1 if steady else slot.failures + 1
-            out.append(Say(f"worker {number} ended: {how}"))
-        slot.state, slot.served_at = State.IDLE, None
-        slot.due = now if called else now + self.wait(slot.failures)
-        if slot.leaving or self.stopping:
+            slot.failures = 1 if was_stable else slot.failures + 1
+            actions.append(LogMessage(f"worker {number} ended: {exit_reason}"))
+        slot.state, slot.serving_since = State.IDLE, None
+        slot.deadline = now if was_requested else now + self.compute_backoff(slot.failures)
+        if slot.remove_on_exit or self.is_stopping:
             del self.slots[number]
-            self.replacing = None if self.replacing == number else self.replacing
-        elif self.replacing == number and slot.failures >= self.limits.give_up_after:
-            self.replacing = None
-            out.append(Say(f"worker {number} does not start as version {self.version}: not replaced further"))
-            self._call_off()
-        return out + self.tick(now)
-
-    def replace(self, now: float) -> list[Action]:
+            self.replacing_slot = None if self.replacing_slot == number else self.replacing_slot
+        elif self.replacing_slot == number and slot.failures >= self.settings.max_failed_starts:
+            self.replacing_slot = None
+            actions.append(
+                LogMessage(f"worker {number} does not start as version {self.version}: not replaced further")
+            )
+            self._abort_replacement()
+        return actions + self.tick(now)
+
+    def replace_workers(self, now: float) -> list[Action]:
         """Bring in a new version: every worker in turn."""
-        if self.stopping:
+        if self.is_stopping:
             return []
         self.version += 1
-        return [Say(f"replacing workers, version {self.version}"), *self.tick(now)]
+        return [LogMessage(f"replacing workers, version {self.version}"), *self.tick(now)]
 
-    def resize(self, now: float, count: int) -> list[Action]:
+    def resize(self, now: float, worker_count: int) -> list[Action]:
         """Change the number of workers; those beyond it are drained."""
-        out: list[Action] = [Say(f"{count} workers wanted")]
-        if not self.stopping:
-            self.count = count
-            for number in range(count):
-                self.slots.setdefault(number, Slot(number, due=now)).leaving = False
-            for slot in [s for s in self.slots.values() if s.number >= count]:
-                slot.leaving = True
-                self._end(now, slot, out)
-        return out + self.tick(now)
+        actions: list[Action] = [LogMessage(f"{worker_count} workers wanted")]
+        if not self.is_stopping:
+            self.worker_count = worker_count
+            for number in range(worker_count):
+                self.slots.setdefault(number, Slot(number, deadline=now)).remove_on_exit = False
+            for slot in [s for s in self.slots.values() if s.number >= worker_count]:
+                slot.remove_on_exit = True
+                self._remove_slot(now, slot, actions)
+        return actions + self.tick(now)
 
     def stop(self, now: float) -> list[Action]:
         """Drain all at once, and end."""
-        out: list[Action] = []
-        self.stopping = True
+        actions: list[Action] = []
+        self.is_stopping = True
         for slot in list(self.slots.values()):
-            self._end(now, slot, out)
-        return out + self.tick(now)
+            self._remove_slot(now, slot, actions)
+        return actions + self.tick(now)
 
     # ---- questions ----
 
-    def next_at(self) -> float:
+    def next_deadline(self) -> float:
         """When `tick` must be called next; infinity if only an event can change anything."""
         times = [float("inf")]
         for slot in self.slots.values():
             if slot.state is State.IDLE:
-                times.append(slot.due)
+                times.append(slot.deadline)
             elif slot.state is not State.ENDING:
-                times.append(self._look_at(slot))
+                times.append(self._get_next_check_at(slot))
         return min(times)
 
-    def wait(self, failures: int) -> float:
+    def compute_backoff(self, failures: int) -> float:
         """How long to wait after so many ends in a row; nothing before the first."""
         if failures <= 0:
             return 0.0
-        return min(self.limits.longest_wait_s, self.limits.first_wait_s * 2.0 ** min(failures - 1, 30))
+        return min(
+            self.settings.max_backoff_s, self.settings.initial_backoff_s * 2.0 ** min(failures - 1, 30)
+        )
 
     # ---- inside ----
 
-    def _look(self, now: float, slot: Slot, out: list[Action]) -> None:
-        if slot.state is State.IDLE and now >= slot.due and not self.stopping:
+    def _check_slot(self, now: float, slot: Slot, actions: list[Action]) -> None:
+        if slot.state is State.IDLE and now >= slot.deadline and not self.is_stopping:
             slot.state, slot.version = State.STARTING, self.version
-            slot.due, slot.suspected_at = now + self.limits.start_s, None
-            out.append(Start(slot.number, slot.version))
+            slot.deadline, slot.first_overdue_at = now + self.settings.start_timeout_s, None
+            actions.append(StartWorker(slot.number, slot.version))
         elif slot.state is State.STARTING and self._is_overdue(now, slot):
-            self._kill(slot, f"it did not serve within {self.limits.start_s:g} s", out)
+            self._kill_worker(slot, f"it did not serve within {self.settings.start_timeout_s:g} s", actions)
         elif slot.state is State.DRAINING and self._is_overdue(now, slot):
-            self._kill(slot, f"it did not end within {self.limits.drain_s:g} s", out)
+            self._kill_worker(slot, f"it did not end within {self.settings.drain_timeout_s:g} s", actions)
         elif slot.state is State.SERVING and self._is_overdue(now, slot):
-            self._kill(slot, f"no beat for {now - slot.beat_at:.1f} s", out)
+            self._kill_worker(slot, f"no beat for {now - slot.heartbeat_at:.1f} s", actions)
 
-    def _due(self, slot: Slot) -> float:
+    def _get_deadline(self, slot: Slot) -> float:
         """When the time of a worker is up."""
-        return slot.beat_at + self.limits.hang_s if slot.state is State.SERVING else slot.due
+        return (
+            slot.heartbeat_at + self.settings.heartbeat_timeout_s
+            if slot.state is State.SERVING
+            else slot.deadline
+        )
 
-    def _look_at(self, slot: Slot) -> float:
+    def _get_next_check_at(self, slot: Slot) -> float:
         """When to look at a worker next: first shortly before its time is up, then when it is."""
-        due, confirm = self._due(slot), self.limits.confirm_s
-        return due - confirm if slot.suspected_at is None else max(due, slot.suspected_at + confirm)
+        deadline, confirmation_s = self._get_deadline(slot), self.settings.confirmation_delay_s
+        return (
+            deadline - confirmation_s
+            if slot.first_overdue_at is None
+            else max(deadline, slot.first_overdue_at + confirmation_s)
+        )
 
     def _is_overdue(self, now: float, slot: Slot) -> bool:
-        if now < self._look_at(slot):
+        if now < self._get_next_check_at(slot):
             return False
-        if slot.suspected_at is None:
-            slot.suspected_at = now
-        return now >= self._look_at(slot)
+        if slot.first_overdue_at is None:
+            slot.first_overdue_at = now
+        return now >= self._get_next_check_at(slot)
 
-    def _kill(self, slot: Slot, why: str, out: list[Action]) -> None:
+    def _kill_worker(self, slot: Slot, reason: str, actions: list[Action]) -> None:
         slot.state = State.ENDING
-        out += [Say(f"worker {slot.number} is killed: {why}"), Kill(slot.number, why)]
+        actions += [LogMessage(f"worker {slot.number} is killed: {reason}"), KillWorker(slot.number, reason)]
 
-    def _accepts_no_more(self, slot: Slot, out: list[Action]) -> None:
-        if slot.accepts:
-            slot.accepts = False
-            if not any(s.accepts for s in self.slots.values()):
-                out.append(Refuse())
+    def _stop_accepting(self, slot: Slot, actions: list[Action]) -> None:
+        if slot.is_accepting:
+            slot.is_accepting = False
+            if not any(s.is_accepting for s in self.slots.values()):
+                actions.append(RefuseConnections())
 
-    def _end(self, now: float, slot: Slot, out: list[Action]) -> None:
+    def _remove_slot(self, now: float, slot: Slot, actions: list[Action]) -> None:
         """Have a slot empty: at once if nobody is there, else by a drain."""
         if slot.state is State.IDLE:
             del self.slots[slot.number]
-            self.replacing = None if self.replacing == slot.number else self.replacing
+            self.replacing_slot = None if self.replacing_slot == slot.number else self.replacing_slot
         elif slot.state in (State.STARTING, State.SERVING):
-            self._drain(now, slot, out)
+            self._drain_worker(now, slot, actions)
 
-    def _drain(self, now: float, slot: Slot, out: list[Action]) -> None:
-        slot.state, slot.due, slot.suspected_at = State.DRAINING, now + self.limits.drain_s, None
-        out.append(Drain(slot.number))
+    def _drain_worker(self, now: float, slot: Slot, actions: list[Action]) -> None:
+        slot.state, slot.deadline, slot.first_overdue_at = (
+            State.DRAINING,
+            now + self.settings.drain_timeout_s,
+            None,
+        )
+        actions.append(DrainWorker(slot.number))
 
-    def _replace_next(self, now: float, out: list[Action]) -> None:
+    def _replace_next_worker(self, now: float, actions: list[Action]) -> None:
         """Drain the next worker of an old version, if all others serve."""
-        if self.stopping or self.replacing is not None:
+        if self.is_stopping or self.replacing_slot is not None:
             return
-        wanted = [s for s in self.slots.values() if not s.leaving]
-        if any(s.state is not State.SERVING for s in wanted):
+        remaining_slots = [s for s in self.slots.values() if not s.remove_on_exit]
+        if any(s.state is not State.SERVING for s in remaining_slots):
             return
-        old = next((s for s in wanted if s.version != self.version), None)
-        if old is not None:
-            self.replacing = old.number
-            self._drain(now, old, out)
+        outdated = next((s for s in remaining_slots if s.version != self.version), None)
+        if outdated is not None:
+            self.replacing_slot = outdated.number
+            self._drain_worker(now, outdated, actions)
 
-    def _call_off(self) -> None:
+    def _abort_replacement(self) -> None:
         """The others stay what they are; the one that does not start goes on trying, ever more slowly."""
         for slot in self.slots.values():
             if slot.state is State.SERVING:
                 slot.version = self.version
 
-    def _finish(self, out: list[Action]) -> None:
-        if self.stopping and not self.slots and not self.finished:
-            self.finished = True
-            out.append(Finished())
+    def _finish_stop(self, actions: list[Action]) -> None:
+        if self.is_stopping and not self.slots and not self.is_finished:
+            self.is_finished = True
+            actions.append(ReportFinished())
--- a/roadpulley/workers/worker.py
+++ b/roadpulley/workers/worker.py
@@ -30,66 +30,69 @@
     from roadpulley.usage.meter import Meter, Versions
 
 
-BESIDE = "ROADPULLEY_BESIDE"  # the socket of the instance of a fleet
-RIGHTS_TOLD = "ROADPULLEY_RIGHTS_TOLD"  # the ceilings that its rights are of
-COUNTS = "ROADPULLEY_COUNTS"  # set where it counts
-VERDICTS = "ROADPULLEY_VERDICTS"  # seconds between two words of what is seen, where it is told
-ORDERS = "ROADPULLEY_ORDERS"  # how orders of operators are followed, where they are
+AGENT_SOCKET_ENV = "ROADPULLEY_BESIDE"  # the socket of the instance of a fleet
+RIGHTS_ENV = "ROADPULLEY_RIGHTS_TOLD"  # the ceilings that its rights are of
+COUNTER_ENV = "ROADPULLEY_COUNTS"  # set where it counts
+VERDICT_INTERVAL_ENV = "ROADPULLEY_VERDICTS"  # seconds between two words of what is seen, where it is rights
+ORDERS_ENV = "ROADPULLEY_ORDERS"  # how orders of operators are followed, where they are
 
 
-def with_rights(settings: dict[str, Any], told: dict[str, Any]) -> dict[str, Any]:
+def apply_rights(settings: dict[str, Any], fleet_rights: dict[str, Any]) -> dict[str, Any]:
     """The settings of a gateway that spends a part of its ceilings by rights. Raises ValueError.
 
     Danger: where a ceiling was lowered here and not in the fleet's file, its rights would go beyond it.
     """
     for plan in settings.get("packages") or ():
-        here = [float(plan.get("neverOverRate") or 0), float(plan.get("hardBurst") or 0)]
-        there = told["limits"].get(str(plan["name"]), [0.0, 0.0])
-        if here != there:
-            right = "give both files the same"
-            raise ValueError(f"the ceiling of {plan['name']} is {here}, in the fleet's file {there}; {right}")
-    return {**settings, "rights": told["part"]}
-
-
-def load() -> GatewayConfig:
+        gateway_ceiling = [float(plan.get("neverOverRate") or 0), float(plan.get("hardBurst") or 0)]
+        fleet_ceiling = fleet_rights["limits"].get(str(plan["name"]), [0.0, 0.0])
+        if gateway_ceiling != fleet_ceiling:
+            remedy = "give both files the same"
+            raise ValueError(
+                f"the ceiling of {plan['name']} is {gateway_ceiling}, "
+                f"in the fleet's file {fleet_ceiling}; {remedy}"
+            )
+    return {**settings, "rights": fleet_rights["part"]}
+
+
+def load_gateway_config() -> GatewayConfig:
     """The gateway's configuration with this worker's place. Raises ConfigError."""
     path = os.environ["LB_CONFIG"]
     try:
         raw: Any = json.loads(Path(path).read_text())
-        place = {
+        worker_index = {
             "worker": int(os.environ["ROADPULLEY_WORKER"]),
             "workers": int(os.environ["ROADPULLEY_WORKERS"]),
         }
-        if told := os.environ.get(RIGHTS_TOLD):
-            raw["settings"] = with_rights(raw["settings"], json.loads(told))
+        if fleet_rights := os.environ.get(RIGHTS_ENV):
+            raw["settings"] = apply_rights(raw["settings"], json.loads(fleet_rights))
         # An operators' address belongs to one process; which worker would hear a call is chance.
-        return replace(parse_config({**raw, **place}), admin=None)
+        return replace(parse_config({**raw, **worker_index}), admin=None)
     except (OSError, ValueError, TypeError) as error:
         raise ConfigError(f"{path}: {error}") from error
 
 
-class Heart:
-    def __init__(self, fd: int, beat_s: float) -> None:
-        self.fd, self.beat_s = fd, beat_s
+class Heartbeat:
+    def __init__(self, fd: int, interval_s: float) -> None:
+        self.fd, self.interval_s = fd, interval_s
         self.driver: Driver | None = None
         os.set_blocking(fd, False)
 
-    def say(self, words: str) -> None:
+    def write_message(self, message: str) -> None:
         try:
-            os.write(self.fd, f"{words}\n".encode())
+            os.write(self.fd, f"{message}\n".encode())
         except BlockingIOError:
             pass  # nobody reads: the supervisor itself hangs
         except OSError:
             os.kill(os.getpid(), signal.SIGTERM)  # it is gone: nobody would start this one again
 
-    async def beat(self) -> None:
+    async def send_heartbeats(self) -> None:
         while True:
-            await asyncio.sleep(self.beat_s)
+            await asyncio.sleep(self.interval_s)
             if self.driver is not None:
-                self.say(f"beat {self.driver.get_oldest_request_age_ms():.0f}")
+                self.write_message(f"beat {self.driver.get_oldest_request_age_ms():.0f}")
 
 
-def follow(settings: str, driver: Driver) -> Versions:
+def follow_plans(settings: str, driver: Driver) -> Versions:
     """Go by the feed of plans from now on; gives what holds for whom. Raises ConfigError."""
     from roadpulley.checks import ValidationError
     from roadpulley.plans.settings import read_settings
@@ -104,7 +107,7 @@
     return watch.follower.versions
 
 
-def count(settings: str, name: str, driver: Driver, versions: Versions | None) -> Meter:
+def start_metering(settings: str, name: str, driver: Driver, versions: Versions | None) -> Meter:
     """Count what is sent on from now on. Raises ConfigError."""
     from roadpulley.checks import ValidationError
     from roadpulley.usage.meter import Meter, settings_only
@@ -118,50 +121,50 @@
     return meter
 
 
-async def beside(socket: str) -> AgentLink:
+async def connect_agent(socket_path: str) -> AgentLink:
     """The way to the instance of the fleet on this machine. Raises ConfigError."""
     from roadpulley.fleet.agent_link import AgentLink
 
-    found = AgentLink(Path(socket))
+    found = AgentLink(Path(socket_path))
     try:
         await found.open()
     except OSError as error:
-        raise ConfigError(f"{socket}: {error}") from error
+        raise ConfigError(f"{socket_path}: {error}") from error
     return found
 
 
-def use_fleet(line: AgentLink, driver: Driver) -> None:
+def use_fleet(agent_link: AgentLink, driver: Driver) -> None:
     """Spend rights of its limits, and count with it, as the supervisor said."""
-    if told := os.environ.get(RIGHTS_TOLD):
+    if fleet_rights := os.environ.get(RIGHTS_ENV):
         from roadpulley.fleet.orders.client import LimitSpender
         from roadpulley.fleet.orders.even_shares import EvenShares
         from roadpulley.fleet.rights.client import RightsClient
 
-        even = EvenShares(1.0 - json.loads(told)["part"], driver.settings.gateways)
-        driver.rights = LimitSpender(RightsClient(line), even)
-    if say := os.environ.get(VERDICTS):
+        even_shares = EvenShares(1.0 - json.loads(fleet_rights)["part"], driver.settings.gateways)
+        driver.rights = LimitSpender(RightsClient(agent_link), even_shares)
+    if interval_s := os.environ.get(VERDICT_INTERVAL_ENV):
         from roadpulley.fleet.verdicts.client import VerdictClient
 
-        driver.attempt_observer = VerdictClient(line, driver, float(say))
-    if terms := os.environ.get(ORDERS):
-        follow_orders(line, driver, json.loads(terms))
-    if os.environ.get(COUNTS):
+        driver.attempt_observer = VerdictClient(agent_link, driver, float(interval_s))
+    if follower_settings := os.environ.get(ORDERS_ENV):
+        follow_orders(agent_link, driver, json.loads(follower_settings))
+    if os.environ.get(COUNTER_ENV):
         from roadpulley.fleet.counts.client import ReplicatedCounter
 
-        driver.counter = ReplicatedCounter(line, driver.timers, driver.settings.counter_timeout)
+        driver.counter = ReplicatedCounter(agent_link, driver.timers, driver.settings.counter_timeout)
 
 
-def follow_orders(line: AgentLink, driver: Driver, terms: dict[str, Any]) -> None:
+def follow_orders(agent_link: AgentLink, driver: Driver, follower_settings: dict[str, Any]) -> None:
     from roadpulley.fleet.orders.client import LimitSpender, OrderClient, to_orders_changed
     from roadpulley.fleet.orders.follower import FollowerSettings
     from roadpulley.fleet.orders.messages import Order
 
-    def changed(orders: tuple[Order, ...]) -> None:
+    def handle_orders_changed(orders: tuple[Order, ...]) -> None:
         if isinstance(driver.rights, LimitSpender):
             driver.rights.set_orders(orders)
         driver.handle_event(to_orders_changed(orders))
 
-    OrderClient(line, FollowerSettings(**terms), changed)
+    OrderClient(agent_link, FollowerSettings(**follower_settings), handle_orders_changed)
 
 
 async def run() -> None:
@@ -169,40 +172,44 @@
     for signum in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signum, stop.set)
     loop.add_signal_handler(signal.SIGHUP, lambda: None)  # the supervisor's
-    config = load()
+    config = load_gateway_config()
     meters: list[Meter] = []
-    line = await beside(path) if (path := os.environ.get(BESIDE)) else None
-    heart = Heart(int(os.environ["ROADPULLEY_BEAT_FD"]), float(os.environ["ROADPULLEY_BEAT_S"]))
-    beating = loop.create_task(heart.beat())
+    agent_link = await connect_agent(path) if (path := os.environ.get(AGENT_SOCKET_ENV)) else None
+    heartbeat = Heartbeat(int(os.environ["ROADPULLEY_BEAT_FD"]), float(os.environ["ROADPULLEY_BEAT_S"]))
+    heartbeat_task = loop.create_task(heartbeat.send_heartbeats())
 
     def attach(driver: Driver) -> None:
-        heart.driver = driver
-        if line is not None:
-            use_fleet(line, driver)
+        heartbeat.driver = driver
+        if agent_link is not None:
+            use_fleet(agent_link, driver)
         plans, usage = os.environ.get("ROADPULLEY_PLANS"), os.environ.get("ROADPULLEY_USAGE")
-        versions = follow(plans, driver) if plans else None
+        versions = follow_plans(plans, driver) if plans else None
         if usage:
-            meters.append(count(usage, f"{config.name}.{os.environ['ROADPULLEY_WORKER']}", driver, versions))
+            meters.append(
+                start_metering(usage, f"{config.name}.{os.environ['ROADPULLEY_WORKER']}", driver, versions)
+            )
 
     listener = socket.socket(fileno=int(os.environ["ROADPULLEY_LISTEN_FD"]))
     await serve(
         config,
         stop,
-        ready=lambda port: heart.say(f"serves {port}"),
+        ready=lambda port: heartbeat.write_message(f"serves {port}"),
         attach=attach,
         listener=listener,
-        closing=lambda: heart.say("closes"),
+        closing=lambda: heartbeat.write_message("closes"),
     )
     for meter in meters:
         await meter.close()
-    if line is not None:
-        line.close()
-    beating.cancel()
+    if agent_link is not None:
+        agent_link.close()
+    heartbeat_task.cancel()
 
 
 def main() -> int:
-    form = "%(asctime)s %(levelname)s %(name)s[" + os.environ.get("ROADPULLEY_WORKER", "?") + "]: %(message)s"
-    logging.basicConfig(level=logging.INFO, stream=sys.stderr, format=form)
+    log_format = (
+        "%(asctime)s %(levelname)s %(name)s[" + os.environ.get("ROADPULLEY_WORKER", "?") + "]: %(message)s"
+    )
+    logging.basicConfig(level=logging.INFO, stream=sys.stderr, format=log_format)
     try:
         uvloop.run(run())
     except ConfigError as error:
--- a/tests/tenants/test_authentication.py
+++ b/tests/tenants/test_authentication.py
@@ -7,35 +7,38 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from roadpulley.tenants.authentication import MOST_WRONG, Door, Said
-from roadpulley.tenants.credentials import authenticate, first
+from roadpulley.tenants.authentication import MAX_FAILED_ATTEMPTS, ConnectionAuthenticator, Reply
+from roadpulley.tenants.credentials import authenticate, create_credentials
 
-CREDENTIALS, SECRET = first()
-OTHER, OTHER_SECRET = first()
+CREDENTIALS, SECRET = create_credentials()
+OTHER, OTHER_SECRET = create_credentials()
 KNOWN = {"firm": CREDENTIALS, "other": OTHER}
 
 
-def door() -> Door:
-    return Door(lambda name, secret: authenticate(KNOWN, name, secret, 0.0), "1.2")
+def create_authenticator() -> ConnectionAuthenticator:
+    return ConnectionAuthenticator(lambda name, secret: authenticate(KNOWN, name, secret, 0.0), "1.2")
 
 
-def say(at: Door, *words: str) -> object:
+def send_command(authenticator: ConnectionAuthenticator, *words: str) -> object:
     """The answer as a client library reads it; None where the gateway behind the door answers."""
-    said = at.hear([word.encode("utf-8", "surrogateescape") for word in words])
-    return None if said is None else read(said)
+    reply = authenticator.handle_command([word.encode("utf-8", "surrogateescape") for word in words])
+    return None if reply is None else parse_reply(reply)
 
 
-def read(said: Said) -> object:
+def parse_reply(reply: Reply) -> object:
     reader = hiredis.Reader()
-    reader.feed(said.answer)
-    got = reader.gets()
+    reader.feed(reply.content)
+    parsed = reader.gets()
     assert reader.gets() is False, "more than one answer"
-    return got
+    return parsed
 
 
 def test_a_stranger_is_let_ping_and_quit_and_nothing_else() -> None:
-    at = door()
-    assert say(at, "PING") == b"PONG" and say(at, "ping", "x\r\ny") == b"x\r\ny"
+    authenticator = create_authenticator()
+    assert (
+        send_command(authenticator, "PING") == b"PONG"
+        and send_command(authenticator, "ping", "x\r\ny") == b"x\r\ny"
+    )
     for words in (
         ("API.READ", "a", "b", "c"),
         ("GET", "x"),
@@ -43,28 +46,34 @@
         ("",),
         ("SELECT", "0"),
     ):
-        assert str(say(at, *words)).startswith("NOAUTH")
-    assert at.hear([]) == at.hear([b"GET"])
-    said = at.hear([b"QUIT"])
-    assert said is not None and said.close and read(said) == b"OK" and at.tenant is None
+        assert str(send_command(authenticator, *words)).startswith("NOAUTH")
+    assert authenticator.handle_command([]) == authenticator.handle_command([b"GET"])
+    reply = authenticator.handle_command([b"QUIT"])
+    assert reply is not None and reply.close and parse_reply(reply) == b"OK" and authenticator.tenant is None
 
 
 def test_auth_opens_it_and_what_follows_is_the_gateway_s() -> None:
-    at = door()
-    assert say(at, "AUTH", "firm", SECRET) == b"OK" and at.tenant == "firm"
-    assert say(at, "API.READ", "a", "b", "c") is None
-    assert say(at, "AUTH", "firm", SECRET) == b"OK"
-    assert "another tenant's" in str(say(at, "AUTH", "other", OTHER_SECRET)) and at.tenant == "firm"
+    authenticator = create_authenticator()
+    assert send_command(authenticator, "AUTH", "firm", SECRET) == b"OK" and authenticator.tenant == "firm"
+    assert send_command(authenticator, "API.READ", "a", "b", "c") is None
+    assert send_command(authenticator, "AUTH", "firm", SECRET) == b"OK"
+    assert (
+        "another tenant's" in str(send_command(authenticator, "AUTH", "other", OTHER_SECRET))
+        and authenticator.tenant == "firm"
+    )
 
 
 def test_hello_opens_it_too_and_says_what_a_client_library_asks_for() -> None:
-    at = door()
-    assert str(say(at, "HELLO", "2")).startswith("NOAUTH HELLO must be called")
-    assert str(say(at, "HELLO", "3", "AUTH", "firm", SECRET)).startswith("NOPROTO") and at.tenant is None
-    got = say(at, "hello", "2", "auth", "firm", SECRET, "SETNAME", "me")
-    assert isinstance(got, list)
-    assert dict(zip(got[::2], got[1::2], strict=True))[b"proto"] == 2 and at.tenant == "firm"
-    assert isinstance(say(at, "HELLO"), list)
+    authenticator = create_authenticator()
+    assert str(send_command(authenticator, "HELLO", "2")).startswith("NOAUTH HELLO must be called")
+    assert (
+        str(send_command(authenticator, "HELLO", "3", "AUTH", "firm", SECRET)).startswith("NOPROTO")
+        and authenticator.tenant is None
+    )
+    parsed = send_command(authenticator, "hello", "2", "auth", "firm", SECRET, "SETNAME", "me")
+    assert isinstance(parsed, list)
+    assert dict(zip(parsed[::2], parsed[1::2], strict=True))[b"proto"] == 2 and authenticator.tenant == "firm"
+    assert isinstance(send_command(authenticator, "HELLO"), list)
 
 
 @pytest.mark.parametrize(
@@ -78,8 +87,8 @@
     ],
 )
 def test_what_is_said_wrongly_is_told(words: tuple[str, ...], answer: str) -> None:
-    at = door()
-    assert str(say(at, *words)) == answer and at.tenant is None
+    authenticator = create_authenticator()
+    assert str(send_command(authenticator, *words)) == answer and authenticator.tenant is None
 
 
 def test_wrong_secrets_end_the_connection_and_shut_nobody_out() -> None:
@@ -88,16 +97,22 @@
         ("AUTH", "nobody", SECRET),
         ("HELLO", "2", "AUTH", "firm", OTHER_SECRET),
     ):
-        at = door()
-        closes = [said.close for _ in range(MOST_WRONG) if (said := at.hear([w.encode() for w in wrong]))]
-        assert closes == [False] * (MOST_WRONG - 1) + [True] and at.tenant is None
-    assert say(door(), "AUTH", "firm", SECRET) == b"OK"  # whoever guessed, the tenant itself still comes in
+        authenticator = create_authenticator()
+        closes = [
+            reply.close
+            for _ in range(MAX_FAILED_ATTEMPTS)
+            if (reply := authenticator.handle_command([w.encode() for w in wrong]))
+        ]
+        assert closes == [False] * (MAX_FAILED_ATTEMPTS - 1) + [True] and authenticator.tenant is None
+    assert (
+        send_command(create_authenticator(), "AUTH", "firm", SECRET) == b"OK"
+    )  # whoever guessed, the tenant itself still comes in
 
 
 @given(st.lists(st.binary(max_size=40), max_size=6))
 def test_nothing_that_is_said_opens_it_or_breaks_the_protocol(args: list[bytes]) -> None:
     for verb in ([], [b"AUTH"], [b"HELLO", b"2"], [b"HELLO", b"2", b"AUTH"], [b"PING"]):
-        at = door()
-        said = at.hear([*verb, *args])
-        assert said is not None and at.tenant is None
-        read(said)
+        authenticator = create_authenticator()
+        reply = authenticator.handle_command([*verb, *args])
+        assert reply is not None and authenticator.tenant is None
+        parse_reply(reply)
--- a/tests/tenants/test_fair_queue.py
+++ b/tests/tenants/test_fair_queue.py
@@ -11,25 +11,25 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from roadpulley.tenants.fair_queue import QUANTUM_US, Fair
+from roadpulley.tenants.fair_queue import QUANTUM_US, FairQueue
 
 Costs = dict[str, tuple[float, float]]  # of a flow: its weight, and the mean cost of its commands
 
 
 def spend(flows: Costs, total: float, seed: int = 1) -> Counter[str]:
     """All always have something waiting; what each spent until the core has done so much."""
-    rng, fair, spent = random.Random(seed), Fair[int](), Counter[str]()
+    rng, fair_queue, spent = random.Random(seed), FairQueue[int](), Counter[str]()
     for name, (weight, _) in flows.items():
-        fair.weigh(name, weight)
-        fair.add(name, 0)
-        fair.add(name, 1)
+        fair_queue.set_weight(name, weight)
+        fair_queue.enqueue(name, 0)
+        fair_queue.enqueue(name, 1)
     while sum(spent.values()) < total:
-        taken = fair.take()
-        assert taken is not None
-        cost = flows[taken[0]][1] * rng.uniform(0.5, 1.5)
-        spent[taken[0]] += cost  # type: ignore[assignment]
-        fair.charge(taken[0], cost)
-        fair.add(taken[0], 0)
+        dequeued = fair_queue.dequeue()
+        assert dequeued is not None
+        cost = flows[dequeued[0]][1] * rng.uniform(0.5, 1.5)
+        spent[dequeued[0]] += cost  # type: ignore[assignment]
+        fair_queue.charge(dequeued[0], cost)
+        fair_queue.enqueue(dequeued[0], 0)
     return spent
 
 
@@ -62,100 +62,111 @@
 
 def test_one_command_at_a_time_does_not_go_free() -> None:
     """Its queue is empty after each: forgetting its debt then would give it ten times its share."""
-    fair, spent = Fair[str](), Counter[str]()
-    fair.weigh("steady", 1)
-    fair.weigh("sly", 1)
+    fair_queue, spent = FairQueue[str](), Counter[str]()
+    fair_queue.set_weight("steady", 1)
+    fair_queue.set_weight("sly", 1)
     for _ in range(20_000):
-        while len(fair.flows["steady"].waiting) < 5:
-            fair.add("steady", "x")
-        if not fair.flows["sly"].waiting:
-            fair.add("sly", "x")
-        taken = fair.take()
-        assert taken is not None
-        cost = 10_000 if taken[0] == "sly" else 100
-        fair.charge(taken[0], cost)
-        spent[taken[0]] += cost
+        while len(fair_queue.flows["steady"].queue) < 5:
+            fair_queue.enqueue("steady", "x")
+        if not fair_queue.flows["sly"].queue:
+            fair_queue.enqueue("sly", "x")
+        dequeued = fair_queue.dequeue()
+        assert dequeued is not None
+        cost = 10_000 if dequeued[0] == "sly" else 100
+        fair_queue.charge(dequeued[0], cost)
+        spent[dequeued[0]] += cost
     assert spent["sly"] < 1.1 * spent["steady"]
 
 
-@pytest.mark.parametrize(("away", "debt_left"), [(20_000, False), (2_000, True)])
-def test_a_debt_fades_as_fast_as_if_its_flow_had_waited(away: int, debt_left: bool) -> None:
-    fair = Fair[str]()
-    fair.weigh("busy", 1)
-    fair.weigh("debtor", 1)
-    fair.add("debtor", "x")
-    fair.take()
-    fair.charge("debtor", 10_000)
-    for number in range(away // 100 + 50):
-        fair.add("busy", "x")
-        fair.add("busy", "x")
-        if number == away // 100:
-            fair.add("debtor", "x")
+@pytest.mark.parametrize(("idle_cost_us", "debt_left"), [(20_000, False), (2_000, True)])
+def test_a_debt_fades_as_fast_as_if_its_flow_had_waited(idle_cost_us: int, debt_left: bool) -> None:
+    fair_queue = FairQueue[str]()
+    fair_queue.set_weight("busy", 1)
+    fair_queue.set_weight("debtor", 1)
+    fair_queue.enqueue("debtor", "x")
+    fair_queue.dequeue()
+    fair_queue.charge("debtor", 10_000)
+    for number in range(idle_cost_us // 100 + 50):
+        fair_queue.enqueue("busy", "x")
+        fair_queue.enqueue("busy", "x")
+        if number == idle_cost_us // 100:
+            fair_queue.enqueue("debtor", "x")
             break
-        fair.take()
-        fair.charge("busy", 100)
+        fair_queue.dequeue()
+        fair_queue.charge("busy", 100)
     following = []
     for _ in range(20):
-        taken = fair.take()
-        assert taken is not None
-        following.append(taken[0])
-        fair.charge(taken[0], 100)
+        dequeued = fair_queue.dequeue()
+        assert dequeued is not None
+        following.append(dequeued[0])
+        fair_queue.charge(dequeued[0], 100)
     assert ("debtor" in following) != debt_left
 
 
 def test_idle_shares_are_lent_and_not_saved() -> None:
-    fair = Fair[int]()
-    fair.weigh("busy", 1)
-    fair.weigh("late", 1)
+    fair_queue = FairQueue[int]()
+    fair_queue.set_weight("busy", 1)
+    fair_queue.set_weight("late", 1)
     for number in range(1_000):
-        fair.add("busy", number)
-        assert fair.take() == ("busy", number)  # alone, it never waits
-        fair.charge("busy", 300)
+        fair_queue.enqueue("busy", number)
+        assert fair_queue.dequeue() == ("busy", number)  # alone, it never waits
+        fair_queue.charge("busy", 300)
     for number in range(200):
-        fair.add("busy", number)
-        fair.add("late", number)
+        fair_queue.enqueue("busy", number)
+        fair_queue.enqueue("late", number)
     order = []
     for _ in range(200):
-        taken = fair.take()
-        assert taken is not None
-        order.append(taken[0])
-        fair.charge(taken[0], 100)
-    late = order.count("late")
-    assert 85 <= late <= 135  # its share from now on, and nothing for the time it was away; old debts fade
+        dequeued = fair_queue.dequeue()
+        assert dequeued is not None
+        order.append(dequeued[0])
+        fair_queue.charge(dequeued[0], 100)
+    late_count = order.count("late")
+    assert (
+        85 <= late_count <= 135
+    )  # its share from now on, and nothing for the time it was away; old debts fade
 
 
 def test_what_is_charged_late_is_paid_as_well() -> None:
-    fair = Fair[int]()
+    fair_queue = FairQueue[int]()
     for name in ("a", "b"):
-        fair.weigh(name, 1)
+        fair_queue.set_weight(name, 1)
         for number in range(100):
-            fair.add(name, number)
-    fair.charge("a", 20 * QUANTUM_US)  # of an answer that came back
+            fair_queue.enqueue(name, number)
+    fair_queue.charge("a", 20 * QUANTUM_US)  # of an answer that came back
     first = [
-        taken[0] for taken in (fair.take() for _ in range(12)) if taken and not fair.charge(taken[0], 500)
+        dequeued[0]
+        for dequeued in (fair_queue.dequeue() for _ in range(12))
+        if dequeued and not fair_queue.charge(dequeued[0], 500)
     ]
     assert set(first) == {"b"}
 
 
 def test_a_forgotten_flow_gives_back_what_waited() -> None:
-    fair = Fair[int]()
+    fair_queue = FairQueue[int]()
     for name in ("a", "b", "c"):
-        fair.weigh(name, 1)
+        fair_queue.set_weight(name, 1)
         for number in range(3):
-            fair.add(name, number)
-    assert fair.forget("a") == [0, 1, 2] and fair.forget("a") == [] and fair.forget("none") == []
-    fair.charge("a", 100)
-    assert len(fair) == 6
+            fair_queue.enqueue(name, number)
+    assert (
+        fair_queue.remove_flow("a") == [0, 1, 2]
+        and fair_queue.remove_flow("a") == []
+        and fair_queue.remove_flow("none") == []
+    )
+    fair_queue.charge("a", 100)
+    assert len(fair_queue) == 6
     with pytest.raises(KeyError):
-        fair.add("a", 1)
-    assert Counter(taken[0] for taken in (fair.take() for _ in range(6)) if taken) == {"b": 3, "c": 3}
-    assert fair.take() is None
+        fair_queue.enqueue("a", 1)
+    assert Counter(dequeued[0] for dequeued in (fair_queue.dequeue() for _ in range(6)) if dequeued) == {
+        "b": 3,
+        "c": 3,
+    }
+    assert fair_queue.dequeue() is None
 
 
 @pytest.mark.parametrize("weight", [0, -1, float("nan"), float("inf")])
 def test_a_weight_that_is_none_is_told(weight: float) -> None:
     with pytest.raises(ValueError, match="a has weight .*: give one over 0"):
-        Fair[int]().weigh("a", weight)
+        FairQueue[int]().set_weight("a", weight)
 
 
 class Queues(RuleBasedStateMachine):
@@ -163,46 +174,46 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.fair, self.model, self.serial = Fair[int](), dict[str, deque[int]](), 0
+        self.fair_queue, self.model, self.serial = FairQueue[int](), dict[str, deque[int]](), 0
 
     names = st.sampled_from("abcd")
 
     @rule(name=names, weight=st.floats(0.01, 100))
     def weigh(self, name: str, weight: float) -> None:
-        self.fair.weigh(name, weight)
+        self.fair_queue.set_weight(name, weight)
         self.model.setdefault(name, deque())
 
     @rule(name=names)
     def add(self, name: str) -> None:
         self.serial += 1
         if name in self.model:
-            self.fair.add(name, self.serial)
+            self.fair_queue.enqueue(name, self.serial)
             self.model[name].append(self.serial)
 
     @rule(cost=st.floats(0, 1e7))
     def take(self, cost: float) -> None:
-        taken = self.fair.take()
-        if taken is None:
+        dequeued = self.fair_queue.dequeue()
+        if dequeued is None:
             assert not any(self.model.values())
             return
-        assert self.model[taken[0]].popleft() == taken[1]
-        self.fair.charge(taken[0], cost)
+        assert self.model[dequeued[0]].popleft() == dequeued[1]
+        self.fair_queue.charge(dequeued[0], cost)
 
     @rule(name=names, cost=st.floats(0, 1e7))
     def charge(self, name: str, cost: float) -> None:
-        self.fair.charge(name, cost)
+        self.fair_queue.charge(name, cost)
 
     @rule(name=names)
     def forget(self, name: str) -> None:
-        assert self.fair.forget(name) == list(self.model.pop(name, ()))
+        assert self.fair_queue.remove_flow(name) == list(self.model.pop(name, ()))
 
     @invariant()
-    def sound(self) -> None:
-        assert len(self.fair) == sum(map(len, self.model.values()))
-        assert {f.name for f in self.fair.ring} == {n for n, waiting in self.model.items() if waiting}
-        for flow in self.fair.flows.values():
-            assert flow.balance <= 2 * self.fair.quantum * 100
-            assert flow.waiting or flow.balance <= 0
+    def queue_matches_model(self) -> None:
+        assert len(self.fair_queue) == sum(map(len, self.model.values()))
+        assert {f.name for f in self.fair_queue.ring} == {n for n, waiting in self.model.items() if waiting}
+        for flow in self.fair_queue.flows.values():
+            assert flow.balance_us <= 2 * self.fair_queue.quantum_us * 100
+            assert flow.queue or flow.balance_us <= 0
 
 
 TestQueues = Queues.TestCase
--- a/tests/workers/test_service.py
+++ b/tests/workers/test_service.py
@@ -11,7 +11,7 @@
 import uvloop
 
 from roadpulley.testbed import terms
-from roadpulley.workers.service import Door, Service
+from roadpulley.workers.service import ListeningSocket, SupervisorService
 
 
 def test_a_stop_while_processes_are_still_being_made_reaches_them(tmp_path: Path) -> None:
@@ -20,54 +20,54 @@
     config.write_text(json.dumps(raw))
 
     async def work() -> None:
-        service = Service(str(config), lambda: 2)
+        service = SupervisorService(str(config), lambda: 2)
         running = asyncio.create_task(service.run())
         await asyncio.sleep(0)  # the starts are asked for, and no process is there
-        assert not service.running
+        assert not service.processes
         service.stop()
-        assert len(service.owed) == 2
+        assert len(service.pending_signals) == 2
         async with asyncio.timeout(
-            service.limits.drain_s * 0.75
+            service.settings.drain_timeout_s * 0.75
         ):  # not by the kill that ends what is overdue
             await running
-        assert not service.running and not service.owed
+        assert not service.processes and not service.pending_signals
 
     uvloop.run(work())
 
 
 def test_what_waits_at_the_door_outlives_the_worker_that_listened() -> None:
     """Connected while a worker accepts, it is taken by the next; refused only once nobody listens."""
-    door = Door()
-    door.move(("127.0.0.1", 0))
-    assert door.socket is not None
-    address = door.socket.getsockname()
+    listener = ListeningSocket()
+    listener.rebind(("127.0.0.1", 0))
+    assert listener.socket is not None
+    address = listener.socket.getsockname()
     with pytest.raises(ConnectionRefusedError):  # bound, and nobody serves
         socket.create_connection(address, timeout=5).close()
-    first = door.socket.dup()
+    first = listener.socket.dup()
     first.listen(8)
     with socket.create_connection(address, timeout=5) as client:
         first.close()
-        second = door.socket.dup()
+        second = listener.socket.dup()
         accepted, _ = second.accept()
         accepted.sendall(b"+PONG")
         assert client.recv(5) == b"+PONG"
         accepted.close()
-    door.refuse()
-    door.refuse()  # at any time
+    listener.refuse_connections()
+    listener.refuse_connections()  # at any time
     with pytest.raises(ConnectionRefusedError):
         socket.create_connection(address, timeout=5).close()
     second.listen(8)  # as a worker does when it starts
     socket.create_connection(address, timeout=5).close()
     second.close()
-    door.close()
+    listener.close()
 
 
 def test_an_address_that_is_taken_leaves_the_door_as_it_was() -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
-        door = Door()
-        door.move(("127.0.0.1", 0))
-        before = door.socket
+        listener = ListeningSocket()
+        listener.rebind(("127.0.0.1", 0))
+        before = listener.socket
         with pytest.raises(OSError):
-            door.move(taken.getsockname())
-        assert door.socket is before and before is not None and before.fileno() >= 0
-        door.close()
+            listener.rebind(taken.getsockname())
+        assert listener.socket is before and before is not None and before.fileno() >= 0
+        listener.close()
--- a/tests/workers/test_worker_hard_cases.py
+++ b/tests/workers/test_worker_hard_cases.py
@@ -15,7 +15,7 @@
 from roadpulley.testbed.installation import Installation
 from roadpulley.testbed.ledger import Ended
 from roadpulley.testbed.quotas import uses
-from roadpulley.workers.supervisor import Limits
+from roadpulley.workers.supervisor import SupervisorSettings
 
 pytestmark = pytest.mark.timeout(120)
 
@@ -35,7 +35,7 @@
         await until(lambda: serves(world) == 3)
         workers, supervisor = workers_of(world), world.gateways["n0"]
         supervisor.signal(signal.SIGSTOP)
-        await asyncio.sleep(Limits().hang_s + 0.4)
+        await asyncio.sleep(SupervisorSettings().heartbeat_timeout_s + 0.4)
         supervisor.signal(signal.SIGCONT)
         await asyncio.sleep(1.0)  # it judges within the confirmation of 0.25 s
         assert workers_of(world) == workers and "is killed" not in log_of(world)
