--- a/roadpulley/__main__.py
+++ b/roadpulley/__main__.py
@@ -28,10 +28,10 @@
 from .core.settings import ConfigError, GatewayConfig, load_config, load_replacement
 from .edges.request_parser import RequestParser
 from .edges.resp_server import RespServer
-from .operations.controller import Life
-from .operations.lifecycle import Event, Lifecycle, Times
-from .operations.listen_retry import listening
-from .operations.operator_server import OperatorAddress
+from .operations.controller import LifecycleController
+from .operations.lifecycle import DrainTimes, Event, Lifecycle
+from .operations.listen_retry import listen_with_retries
+from .operations.operator_server import OperatorServer
 
 if TYPE_CHECKING:
     from .operations.link import Link
@@ -75,21 +75,21 @@
         self,
         config: GatewayConfig,
         load: Callable[[GatewayConfig], GatewayConfig],
-        life: Life,
+        controller: LifecycleController,
         discovery: DiscoveryClient,
         counter: CounterClient | None,
     ) -> None:
-        self.config, self.load, self.life = config, load, life
+        self.config, self.load, self.controller = config, load, controller
         self.discovery, self.counter = discovery, counter
 
     def __call__(self) -> None:
         try:
             config = self.load(self.config)
         except ConfigError as error:
-            self.life.configurations[1] += 1
+            self.controller.reload_counts[1] += 1
             return log.error("reload failed, the current configuration stays in effect: %s", error)
         self.apply(config)
-        self.life.configurations[0] += 1
+        self.controller.reload_counts[0] += 1
         log.info("reloaded: classes %s", ", ".join(c.name for c in config.settings.classes))
 
     def apply(self, config: GatewayConfig) -> None:
@@ -100,14 +100,14 @@
         previous, self.config = self.config, config
         if config.listen != previous.listen or config.admin != previous.admin:
             log.warning("changes of listen and admin take effect only after a restart")
-        driver, settings = self.life.driver, config.settings
+        driver, settings = self.controller.driver, config.settings
         if config.raw_settings != previous.raw_settings:
-            self.life.server.set_parser(RequestParser(settings, config.workers))
+            self.controller.server.set_parser(RequestParser(settings, config.workers))
             driver.backends.set_timeouts(
                 config.connect_timeout_ms, config.keepalive_ms, settings.rules.drain_grace
             )
             driver.apply_settings(settings, config.max_open_requests)
-            self.life.machine.times = lifecycle_times(settings)
+            self.controller.lifecycle.drain_times = lifecycle_times(settings)
         if config.discovery != self.discovery.address:
             self.discovery.move(config.discovery)
         if self.counter is not None and config.counter is not None:
@@ -115,10 +115,10 @@
             self.counter.move(config.counter)
 
 
-def lifecycle_times(settings: Settings) -> Times:
+def lifecycle_times(settings: Settings) -> DrainTimes:
     """The times of a drain, in milliseconds."""
     keep_open_s, exit_s = compute_drain_times(settings)
-    return Times(keep_open_s * 1000, exit_s * 1000)
+    return DrainTimes(keep_open_s * 1000, exit_s * 1000)
 
 
 def compute_drain_times(settings: Settings) -> tuple[float, float]:
@@ -226,15 +226,15 @@
         memory_bytes,
         stats,
     )
-    life = Life(Lifecycle(lifecycle_times(config.settings)), timers, driver, server)
-    link_to_peer = await open_link(config, driver, life) if link else None
+    controller = LifecycleController(Lifecycle(lifecycle_times(config.settings)), timers, driver, server)
+    link_to_peer = await open_link(config, driver, controller) if link else None
     stopped = loop.create_task(stop.wait())
-    operators = OperatorAddress(loop, life.answer)
+    operators = OperatorServer(loop, controller.answer_call)
     if config.admin is not None:
-        await listening("admin", config.admin, partial(operators.listen, config.admin), stopped)
+        await listen_with_retries("admin", config.admin, partial(operators.listen, config.admin), stopped)
     watch = loop.create_task(discovery.run())
     if reload_trigger is not None and load is not None:
-        reload_trigger.set_callback(ConfigReloader(config, load, life, discovery, counter))
+        reload_trigger.set_callback(ConfigReloader(config, load, controller, discovery, counter))
     # The agent's list is in effect from the start, and the saved list may be outdated.
     list_received = loop.create_task(discovery.initial_list_received.wait())
     await asyncio.wait(
@@ -242,9 +242,11 @@
     )
     list_received.cancel()
     log.info("list %s after %.0f ms", "heard" if list_received.done() else "not heard", now_ms() - started_at)
-    port = await listening("listen", config.listen, partial(server.listen, *config.listen, listener), stopped)
+    port = await listen_with_retries(
+        "listen", config.listen, partial(server.listen, *config.listen, listener), stopped
+    )
     if port is None:
-        life.give(Event.STOP)  # before any client could connect
+        controller.dispatch_event(Event.STOP_REQUESTED)  # before any client could connect
     else:
         driver.start_lag_monitor()
         if attach is not None:
@@ -252,9 +254,9 @@
         gc.collect()
         gc.freeze()  # exempts the loaded modules from garbage collection pauses
         gc.set_threshold(*GC_THRESHOLDS)
-        life.give(Event.READY)
+        controller.dispatch_event(Event.STARTUP_COMPLETED)
         if link_to_peer is not None:
-            await link_to_peer.serves()
+            await link_to_peer.announce_serving()
         log.info(
             "%s serves at %s:%d after %.0f ms", config.name, config.listen[0], port, now_ms() - started_at
         )
@@ -265,8 +267,8 @@
             stopped.cancel()
             # The watch ends only by an exception. A visible crash is better than a stale list.
             watch.result()
-        life.give(Event.STOP)
-    await wait_for_drain(life, server, driver, closing)
+        controller.dispatch_event(Event.STOP_REQUESTED)
+    await wait_for_drain(controller, server, driver, closing)
     stopped.cancel()
     if link_to_peer is not None:
         await link_to_peer.close()
@@ -278,16 +280,16 @@
 
 
 async def wait_for_drain(
-    life: Life, server: RespServer, driver: Driver, closing: Callable[[], None] | None
+    controller: LifecycleController, server: RespServer, driver: Driver, closing: Callable[[], None] | None
 ) -> None:
     """Wait until the accepted connections have ended, and fail the requests that are still open by then."""
-    await life.left.wait()
+    await controller.accepting_ended.wait()
     if closing is not None:
         closing()
     drained = asyncio.ensure_future(server.all_closed.wait())
-    ended = asyncio.ensure_future(life.ended.wait())
+    ended = asyncio.ensure_future(controller.ended.wait())
     await asyncio.wait({drained, ended}, return_when=asyncio.FIRST_COMPLETED)
-    life.give(Event.EMPTY if drained.done() else Event.TIME)
+    controller.dispatch_event(Event.CLIENTS_DISCONNECTED if drained.done() else Event.TIMER_FIRED)
     ended.cancel()
     if driver.requests:
         log.warning("%d requests still open at shutdown", len(driver.requests))
@@ -297,15 +299,15 @@
     drained.cancel()
 
 
-async def open_link(config: GatewayConfig, driver: Driver, life: Life) -> Link:
+async def open_link(config: GatewayConfig, driver: Driver, controller: LifecycleController) -> Link:
     """Open the link to the preceding and the next process, and take over the state of the preceding one."""
     from .operations.link import Link
 
     def on_takeover(serves: bool) -> None:
-        life.give(Event.SUCCEEDED if serves else Event.ALONE)
+        controller.dispatch_event(Event.SUCCESSOR_STARTED if serves else Event.SUCCESSOR_LOST)
 
     link = Link(f"{config.name}@{config.listen[0]}:{config.listen[1]}", driver, on_takeover)
-    await link.inherit()
+    await link.take_over()
     return link
 
 
--- a/roadpulley/operations/__init__.py
+++ b/roadpulley/operations/__init__.py
@@ -1,1 +1,1 @@
-"""This process's own life: when it takes clients, what operators call, and the figures they read."""
+"""The lifecycle of the gateway process, the operators' calls, the metrics, and handover between processes."""
--- a/roadpulley/operations/controller.py
+++ b/roadpulley/operations/controller.py
@@ -1,4 +1,4 @@
-"""Acts on the lifecycle: the edge, the module and the operators are each told what holds now."""
+"""Applies the lifecycle to the client edge and the decision module, and answers the operators' calls."""
 
 from __future__ import annotations
 
@@ -13,73 +13,87 @@
 from roadpulley.core.driver import Driver
 from roadpulley.edges.resp_server import RespServer
 
-from .calls import Call, error, figures, ok
-from .lifecycle import Event, Lifecycle, Stance, State
+from .calls import Call, format_error, format_metrics, format_ok
+from .lifecycle import Event, Lifecycle, ServingPolicy, State
 
 log = logging.getLogger(__name__)
 
-OUTCOMES = "fulfilled", "throttled", "faulted"  # as operators call what tallies count
+OUTCOMES = (
+    "fulfilled",
+    "throttled",
+    "faulted",
+)  # metric names of the counts in RequestStats.answers
 
 
-class Life:
-    """One process: its lifecycle beside what that speaks for."""
+class LifecycleController:
+    """Connects the lifecycle of this process with the parts that it controls."""
 
-    def __init__(self, machine: Lifecycle, timers: Timers, driver: Driver, server: RespServer) -> None:
-        self.machine, self.timers, self.driver, self.server = machine, timers, driver, server
-        self.left = asyncio.Event()  # nothing more is accepted, for good
+    def __init__(self, lifecycle: Lifecycle, timers: Timers, driver: Driver, server: RespServer) -> None:
+        self.lifecycle, self.timers, self.driver, self.server = lifecycle, timers, driver, server
+        self.accepting_ended = asyncio.Event()  # set once no more connections will ever be accepted
         self.ended = asyncio.Event()
-        self.stance: Stance | None = None
-        self.configurations = [0, 0]  # taken, turned down
+        self.policy: ServingPolicy | None = None
+        self.reload_counts = [0, 0]  # configurations accepted and rejected
 
-    def give(self, event: Event) -> None:
-        before = self.machine.state
-        stance = self.machine.on(now_ms(), event)
-        if self.machine.state is not before:
-            connected, open_ = len(self.server.connections), len(self.driver.requests)
-            log.info("%s, was %s: %d connections, %d requests open",
-                     self.machine.state.value, before.value, connected, open_)  # fmt: skip
-            self.watch()
-        if stance != self.stance:
-            self.take(stance)
+    def dispatch_event(self, event: Event) -> None:
+        """Pass an event to the lifecycle and apply what changes."""
+        previous = self.lifecycle.state
+        policy = self.lifecycle.handle_event(now_ms(), event)
+        if self.lifecycle.state is not previous:
+            connection_count, request_count = len(self.server.connections), len(self.driver.requests)
+            log.info(
+                "%s, was %s: %d connections, %d requests open",
+                self.lifecycle.state.value,
+                previous.value,
+                connection_count,
+                request_count,
+            )
+            self.schedule_timer()
+        if policy != self.policy:
+            self.apply_policy(policy)
 
-    def take(self, stance: Stance) -> None:
-        takes = self.stance is None or self.stance.takes
-        self.stance = stance
-        if stance.takes != takes:
-            self.driver.handle_event(api.AdmissionChanged(stance.takes))
-        if self.machine.state in (State.LEAVING, State.ENDED):
-            self.left.set()
-        if stance.ended:
+    def apply_policy(self, policy: ServingPolicy) -> None:
+        """Apply a policy to the decision module and to the server for clients."""
+        took_requests = self.policy is None or self.policy.takes_requests
+        self.policy = policy
+        if policy.takes_requests != took_requests:
+            self.driver.handle_event(api.AdmissionChanged(policy.takes_requests))
+        if self.lifecycle.state in (State.LEAVING, State.ENDED):
+            self.accepting_ended.set()
+        if policy.is_ended:
             return self.ended.set()
-        if self.server.listener is not None or not stance.accepts:
-            self.server.set_admission(stance.says_yes, stance.accepts, stance.keeps)
+        if self.server.listener is not None or not policy.accepts:
+            self.server.set_admission(policy.answers_ping, policy.accepts, policy.keeps_idle)
 
-    def watch(self) -> None:
-        due = self.machine.due()
-        if due < math.inf:
-            self.timers.call_at(due, partial(self.give, Event.TIME))
+    def schedule_timer(self) -> None:
+        """Start a timer for the deadline of the current state, if it has one."""
+        deadline = self.lifecycle.next_deadline()
+        if deadline < math.inf:
+            self.timers.call_at(deadline, partial(self.dispatch_event, Event.TIMER_FIRED))
 
     # ---- operators ----
 
-    def answer(self, call: Call) -> bytes:
+    def answer_call(self, call: Call) -> bytes:
+        """Carry out an operator's call and return the answer."""
         if call is Call.METRICS:
-            return figures(self.figures())
+            return format_metrics(self.collect_metrics())
         if call is Call.STATUS:
-            state = self.machine.state.value
-            return ok(state) if self.machine.takes_clients else error(state)
-        self.give(Event.PAUSE if call is Call.PAUSE else Event.RESUME)
-        if self.machine.state in (State.LEAVING, State.STOPPING, State.ENDED):
-            return error("this process is ending")
-        return ok(self.machine.state.value)
+            state = self.lifecycle.state.value
+            return format_ok(state) if self.lifecycle.is_serving else format_error(state)
+        self.dispatch_event(Event.PAUSE_REQUESTED if call is Call.PAUSE else Event.RESUME_REQUESTED)
+        if self.lifecycle.state in (State.LEAVING, State.STOPPING, State.ENDED):
+            return format_error("this process is ending")
+        return format_ok(self.lifecycle.state.value)
 
-    def figures(self) -> Iterator[tuple[str, int]]:
-        tallies, fleet = self.server.request_stats, self.driver.gateway.fleet
-        for name, counts in tallies.answers.items():
+    def collect_metrics(self) -> Iterator[tuple[str, int]]:
+        """The current metrics, as names and values."""
+        stats, fleet = self.server.request_stats, self.driver.gateway.fleet
+        for name, counts in stats.answers.items():
             for outcome, count in zip(OUTCOMES, counts, strict=True):
                 yield f"operations.{name}.{outcome}", count
-        yield "relayed", tallies.attempts_sent
+        yield "relayed", stats.attempts_sent
         yield "open_requests", len(self.driver.requests)
         yield "registry_entries", len(fleet.backends)
         yield "out_of_rotation", self.driver.gateway.count_avoided(now_ms())
-        yield "cfg_accepted", self.configurations[0]
-        yield "cfg_invalid", self.configurations[1]
+        yield "cfg_accepted", self.reload_counts[0]
+        yield "cfg_invalid", self.reload_counts[1]
--- a/roadpulley/operations/handover.py
+++ b/roadpulley/operations/handover.py
@@ -1,7 +1,7 @@
-"""The messages of the link between two processes of one gateway: one JSON object a line, strict and bounded.
+"""The messages between two processes of one gateway: one JSON object a line, bounded and strictly checked.
 
-The other end is another version of this program, or something that found the path. Nothing is taken from it
-that is not of the form below: a number that is none would spread through every lease.
+The peer may run another version of this program, or be an unrelated process that found the socket. Every
+value is checked, because a value such as NaN would spread through all leases.
 """
 
 from __future__ import annotations
@@ -14,117 +14,140 @@
 from mintford import interface as api
 
 VERSION = 1
-LONGEST = 2 * 1024 * 1024  # bytes of a message; some thousand customers
-MOST_CUSTOMERS, MOST_BACKENDS = 4_000, 1_000
-HELLO, SERVING, GIVES, LEFT = "hello", "serving", "gives", "left"
-KINDS = {HELLO: False, SERVING: False, GIVES: True, LEFT: True}  # whether an estate goes with it
+MAX_MESSAGE_BYTES = 2 * 1024 * 1024  # enough for some thousand customers
+MAX_CUSTOMERS = 4_000
+MAX_BACKENDS = 1_000
+HELLO = "hello"  # from the new process, when it connects
+SERVING = "serving"  # from the new process, once it accepts clients
+PARTIAL_STATE = "gives"  # from the old process, in reply to HELLO
+REMAINING_STATE = "left"  # from the old process, when it exits
+CARRIES_STATE = {HELLO: False, SERVING: False, PARTIAL_STATE: True, REMAINING_STATE: True}
 
-# What a lease's values are; all else is a number.
-FLAGS = {"heard", "ended"}
-BY_PERIOD = {"totals", "unsure"}
-WHOLE = {"wants_told"}
+# Fields of a lease by type. All others are numbers.
+BOOLEAN_FIELDS = {"heard", "ended"}
+PERIOD_FIELDS = {"totals", "unsure"}  # mappings from the number of a period to a number
+INTEGER_FIELDS = {"wants_told"}
 
 
-class Garbled(Exception):
-    """A message that is not of this form; the text says where."""
+class MessageError(Exception):
+    """A message does not have the required form. The text says which part of it."""
 
 
-def write(kind: str, gateway: str, estate: api.HandoverState | None = None) -> bytes:
-    """A message. Of many customers those that were met last are told; the rest starts as after a crash."""
+def encode_message(kind: str, gateway: str, state: api.HandoverState | None = None) -> bytes:
+    """Encode a message as a line.
+
+    If there are more than MAX_CUSTOMERS customers, only those with the most recent demand are sent. The
+    receiver then treats the others as after a crash of this process.
+    """
     message: dict[str, Any] = {"v": VERSION, "kind": kind, "gateway": gateway}
-    if estate is not None:
-        told = sorted(estate.customers, key=lambda held: -held.lease["asked_at"])
-        customers = [asdict(held) for held in told[:MOST_CUSTOMERS]]
-        for held in customers:
-            left = held["lease"]["left"]  # no number where the store is followed, which JSON can't say
-            held["lease"]["left"] = None if math.isnan(left) else left
-        whole = len(told) <= MOST_CUSTOMERS
+    if state is not None:
+        by_demand_time = sorted(state.customers, key=lambda snapshot: -snapshot.lease["asked_at"])
+        customers = [asdict(snapshot) for snapshot in by_demand_time[:MAX_CUSTOMERS]]
+        for snapshot in customers:
+            estimate = snapshot["lease"]["left"]  # NaN once the counter's readings are used; JSON has no NaN
+            snapshot["lease"]["left"] = None if math.isnan(estimate) else estimate
+        is_complete = len(by_demand_time) <= MAX_CUSTOMERS
         message["estate"] = {
-            "since": estate.complete_since if whole else None,
+            "since": state.complete_since if is_complete else None,
             "customers": customers,
-            "backends": [asdict(seen) for seen in estate.backends[:MOST_BACKENDS]],
-            "typical": estate.typical,
-            "recent": estate.recent,
+            "backends": [asdict(health) for health in state.backends[:MAX_BACKENDS]],
+            "typical": state.typical,
+            "recent": state.recent,
         }
     return json.dumps(message, separators=(",", ":"), allow_nan=False).encode() + b"\n"
 
 
-def read(line: bytes, kind: str, gateway: str, now: float) -> api.HandoverState | None:
-    """What a message of this kind brings, which has come at a time. Raises Garbled."""
+def decode_message(line: bytes, kind: str, gateway: str, now: float) -> api.HandoverState | None:
+    """Check a message that arrived at `now`. Return its state, or None for a kind that carries none.
+
+    Raises MessageError if the message is malformed or has another version, kind or gateway.
+    """
     try:
         message = json.loads(line)
     except (ValueError, RecursionError) as error:
-        raise Garbled(f"no JSON ({error})") from error
+        raise MessageError(f"not valid JSON ({error})") from error
     if not isinstance(message, dict):
-        raise Garbled("no object")
-    for key, right in (("v", VERSION), ("kind", kind), ("gateway", gateway)):
-        if message.get(key) != right:
-            raise Garbled(f"{key} is {str(message.get(key))[:40]!r}, not {right!r}")
-    return read_estate(message.get("estate"), now) if KINDS[kind] else None
+        raise MessageError("not a JSON object")
+    for key, expected in (("v", VERSION), ("kind", kind), ("gateway", gateway)):
+        if message.get(key) != expected:
+            raise MessageError(f"{key} is {str(message.get(key))[:40]!r}, not {expected!r}")
+    return decode_state(message.get("estate"), now) if CARRIES_STATE[kind] else None
 
 
-def read_estate(raw: Any, now: float) -> api.HandoverState:
+def decode_state(raw: Any, now: float) -> api.HandoverState:
+    """Check the state in a message. Raises MessageError."""
     try:
-        since = now if raw["since"] is None else number(raw["since"])
-        customers = tuple(read_holding(held) for held in bounded(raw["customers"], list, MOST_CUSTOMERS))
-        backends = tuple(read_seen(seen) for seen in bounded(raw["backends"], list, MOST_BACKENDS))
+        since = now if raw["since"] is None else check_number(raw["since"])
+        customers = tuple(
+            decode_customer(snapshot) for snapshot in check_size(raw["customers"], list, MAX_CUSTOMERS)
+        )
+        backends = tuple(decode_backend(health) for health in check_size(raw["backends"], list, MAX_BACKENDS))
         return api.HandoverState(
-            min(since, now), customers, backends, number(raw["typical"]), number(raw["recent"])
+            min(since, now), customers, backends, check_number(raw["typical"]), check_number(raw["recent"])
         )
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise Garbled(f"estate: {type(error).__name__}: {error}") from error
+        raise MessageError(f"estate: {type(error).__name__}: {error}") from error
 
 
-def read_holding(raw: Any) -> api.CustomerSnapshot:
+def decode_customer(raw: Any) -> api.CustomerSnapshot:
+    """Check one customer's state. Raises KeyError, TypeError, ValueError or AttributeError."""
     lease = raw["lease"]
     if set(lease) != set(api.LEASE_FIELDS):
-        raise ValueError(f"a lease of {sorted(lease)}")
+        raise ValueError(f"a lease has the wrong fields: {sorted(lease)}")
     return api.CustomerSnapshot(
-        text(raw["customer"]),
-        text(raw["plan"]),
-        max(1, int(number(raw["spread"]))),
-        {name: read_term(name, lease[name]) for name in api.LEASE_FIELDS},
-        number(raw["tokens"]),
-        number(raw["own"]),
-        number(raw["unused"]),
-        number(raw["unsaid"]),
+        check_name(raw["customer"]),
+        check_name(raw["plan"]),
+        max(1, int(check_number(raw["spread"]))),
+        {name: decode_lease_field(name, lease[name]) for name in api.LEASE_FIELDS},
+        check_number(raw["tokens"]),
+        check_number(raw["own"]),
+        check_number(raw["unused"]),
+        check_number(raw["unsaid"]),
     )
 
 
-def read_term(name: str, value: Any) -> Any:
-    if name in FLAGS:
+def decode_lease_field(name: str, value: Any) -> Any:
+    """Check a field of a lease by its type. Raises ValueError."""
+    if name in BOOLEAN_FIELDS:
         if not isinstance(value, bool):
             raise ValueError(f"{name} is {value!r}")
         return value
-    if name in BY_PERIOD:
-        return {int(period): number(total) for period, total in bounded(value, dict, 8).items()}
+    if name in PERIOD_FIELDS:
+        return {int(period): check_number(units) for period, units in check_size(value, dict, 8).items()}
     if name == "left" and value is None:
         return math.nan
-    return int(number(value)) if name in WHOLE else number(value)
+    return int(check_number(value)) if name in INTEGER_FIELDS else check_number(value)
 
 
-def read_seen(raw: Any) -> api.BackendSnapshot:
-    marks = {text(name): tuple(map(number, mark)) for name, mark in bounded(raw["marks"], dict, 64).items()}
+def decode_backend(raw: Any) -> api.BackendSnapshot:
+    """Check one backend's health. Raises KeyError, TypeError, ValueError or AttributeError."""
+    marks = {
+        check_name(name): tuple(map(check_number, mark))
+        for name, mark in check_size(raw["marks"], dict, 64).items()
+    }
     if any(len(mark) != 2 for mark in marks.values()):
-        raise ValueError("a mark is a level and a time")
-    if type(raw["backend"]) is not int:  # as it is: a float would lose its last digits
-        raise ValueError("a backend is a whole number")
-    return api.BackendSnapshot(raw["backend"], number(raw["started"]), marks)  # type: ignore[arg-type]
+        raise ValueError("a mark is not a level and a time")
+    if type(raw["backend"]) is not int:  # not converted, because a float would lose the last digits
+        raise ValueError("a backend is not an integer")
+    return api.BackendSnapshot(raw["backend"], check_number(raw["started"]), marks)  # type: ignore[arg-type]
 
 
-def number(value: Any) -> float:
+def check_number(value: Any) -> float:
+    """The value as a float. Raises ValueError unless it is a finite number."""
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
-        raise ValueError(f"{str(value)[:40]!r} is no number")
+        raise ValueError(f"{str(value)[:40]!r} is not a finite number")
     return float(value)
 
 
-def text(value: Any) -> str:
+def check_name(value: Any) -> str:
+    """The value itself. Raises ValueError unless it is a string of 1 to 256 characters."""
     if not isinstance(value, str) or not 0 < len(value) <= 256:
-        raise ValueError(f"{str(value)[:40]!r} is no name")
+        raise ValueError(f"{str(value)[:40]!r} is not a name")
     return value
 
 
-def bounded(value: Any, kind: type[list[Any]] | type[dict[str, Any]], most: int) -> Any:
-    if not isinstance(value, kind) or len(value) > most:
-        raise ValueError(f"no {kind.__name__} of {most} at most")
+def check_size(value: Any, kind: type[list[Any]] | type[dict[str, Any]], max_size: int) -> Any:
+    """The value itself. Raises ValueError unless it is of this type and has at most `max_size` items."""
+    if not isinstance(value, kind) or len(value) > max_size:
+        raise ValueError(f"not a {kind.__name__} of at most {max_size} items")
     return value
--- a/roadpulley/operations/lifecycle.py
+++ b/roadpulley/operations/lifecycle.py
@@ -1,32 +1,36 @@
-"""The life of one gateway process, as a table. Pure: events and the time go in, a stance comes out.
-
-| state    | PING | accepts | keeps idle | takes requests                 | ends                     |
-| -------- | ---- | ------- | ---------- | ------------------------------ | ------------------------ |
-| starting | no   | no      | -          | no                             | at SIGTERM               |
-| serving  | yes  | yes     | yes        | yes                            | no                       |
-| paused   | no   | yes     | no         | until `NOTICED_MS` after PAUSE | no                       |
-| stopping | yes  | yes     | yes        | yes                            | no, is leaving in time   |
-| leaving  | yes* | no      | no         | yes                            | when nobody is connected |
-| ended    | no   | no      | no         | no                             | yes                      |
-
-*) A process that leaves beside its successor is still a part of a gateway that takes clients. One that was
-paused before goes on saying no.
-
-| in state | event         | next                                                                      |
-| -------- | ------------- | ------------------------------------------------------------------------- |
-| starting | READY         | serving; paused if PAUSE came                                             |
-| starting | STOP          | ended                                                                     |
-| serving  | PAUSE         | paused                                                                    |
-| paused   | RESUME        | serving                                                                   |
-| serving  | STOP          | leaving if a successor takes what comes; else stopping: nobody has its place |
-| stopping | SUCCEEDED     | leaving                                                                   |
-| paused   | STOP          | leaving: nobody is sent here                                              |
-| stopping | its time      | leaving                                                                   |
-| leaving  | EMPTY         | ended                                                                     |
-| leaving  | its last time | ended; what is open then is failed                                        |
-
-SUCCEEDED and ALONE say whether a successor serves, in any state. All else changes nothing: calls that repeat
-are harmless.
+"""The lifecycle of one gateway process as a state machine.
+
+Pure: events and the time go in, a policy comes out.
+
+| state    | PING | accepts | keeps idle | takes requests                        | process ends        |
+| -------- | ---- | ------- | ---------- | ------------------------------------- | ------------------- |
+| starting | no   | no      | -          | no                                    | on SIGTERM          |
+| serving  | yes  | yes     | yes        | yes                                   | no                  |
+| paused   | no   | yes     | no         | for `PAUSE_NOTICE_MS` after the PAUSE | no                  |
+| stopping | yes  | yes     | yes        | yes                                   | no; leaving is next |
+| leaving  | yes* | no      | no         | yes                                   | without clients     |
+| ended    | no   | no      | no         | no                                    | yes                 |
+
+*) PING asks about the gateway as a whole, and a successor may be accepting clients. A process that was paused
+before it began to leave continues to answer PING with an error.
+
+| in state | event                | next state                                                            |
+| -------- | -------------------- | --------------------------------------------------------------------- |
+| starting | STARTUP_COMPLETED    | serving; paused if PAUSE was called before                            |
+| starting | STOP_REQUESTED       | ended                                                                 |
+| serving  | PAUSE_REQUESTED      | paused                                                                |
+| paused   | RESUME_REQUESTED     | serving                                                               |
+| serving  | STOP_REQUESTED       | leaving if a successor serves; else stopping, as no other one accepts |
+| stopping | SUCCESSOR_STARTED    | leaving                                                               |
+| paused   | STOP_REQUESTED       | leaving, as no clients are routed to a paused process                 |
+| stopping | TIMER_FIRED **       | leaving                                                               |
+| leaving  | CLIENTS_DISCONNECTED | ended                                                                 |
+| leaving  | TIMER_FIRED **       | ended; requests that are still open are failed                        |
+
+**) Only once `next_deadline` has been reached.
+
+SUCCESSOR_STARTED and SUCCESSOR_LOST record, in any state, whether a successor serves. All other combinations
+change nothing, so repeated calls are harmless.
 """
 
 from __future__ import annotations
@@ -35,12 +39,15 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# After PAUSE the front notices within its 0.1 s and sends on for 0.2 s; clients then use what they have. Long
-# past that, and so that nothing of the last 2 s is open when operators look, 4 s after the call.
-NOTICED_MS = 1_500.0
+# How long a paused process still takes requests. The load balancer notices a PAUSE within 0.1 s and keeps
+# routing to this process for another 0.2 s. Clients then still use the connections that they have. The value
+# is well above that. Operators check 4 s after the call, when no request of the last 2 s may be open.
+PAUSE_NOTICE_MS = 1_500.0
 
 
 class State(Enum):
+    """A state of the process. Operators read the values."""
+
     STARTING = "starting"
     SERVING = "serving"
     PAUSED = "paused"
@@ -50,88 +57,96 @@
 
 
 class Event(Enum):
-    READY = "ready"  # the list is known and clients may come
-    PAUSE = "pause"
-    RESUME = "resume"
-    STOP = "stop"  # SIGTERM
-    SUCCEEDED = "succeeded"  # another process of this gateway takes clients
-    ALONE = "alone"  # it has gone
-    EMPTY = "empty"  # no client is connected
-    TIME = "time"  # it is `due`
+    """What happened to the process."""
+
+    STARTUP_COMPLETED = "ready"  # the list of backends is known and clients can connect
+    PAUSE_REQUESTED = "pause"
+    RESUME_REQUESTED = "resume"
+    STOP_REQUESTED = "stop"  # SIGTERM
+    SUCCESSOR_STARTED = "succeeded"  # another process of this gateway accepts clients
+    SUCCESSOR_LOST = "alone"  # that process has exited
+    CLIENTS_DISCONNECTED = "empty"  # no client is connected
+    TIMER_FIRED = "time"  # ignored before `next_deadline`
 
 
 @dataclass(frozen=True, slots=True)
-class Stance:
-    """What a state means for those who act on it."""
+class ServingPolicy:
+    """What the process offers to its clients in a state."""
 
-    says_yes: bool  # to PING
-    accepts: bool
-    keeps: bool  # connections at rest
-    takes: bool  # new requests; False: the module refuses them
-    ended: bool = False
+    answers_ping: bool  # PING is answered with PONG and not with an error
+    accepts: bool  # new connections
+    keeps_idle: bool  # idle connections stay open
+    takes_requests: bool  # if not, the decision module refuses new requests
+    is_ended: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
-    """Milliseconds after SIGTERM until connections are closed, and until what is open is failed."""
+class DrainTimes:
+    """Milliseconds after SIGTERM until connections are closed, and until open requests are failed."""
 
-    keep: float
-    last: float
+    close_ms: float
+    fail_ms: float
 
 
 class Lifecycle:
-    """The only owner of what this process is to its clients."""
+    """Holds the state of this process. All other parts of the program get the state from here."""
 
-    def __init__(self, times: Times) -> None:
-        self.times, self.succeeded = times, False  # another process takes what comes
-        self.state, self.since = State.STARTING, 0.0
-        self.paused = False  # also while starting and leaving
+    def __init__(self, drain_times: DrainTimes) -> None:
+        self.drain_times, self.has_successor = drain_times, False  # whether another process serves
+        self.state, self.entered_at = State.STARTING, 0.0
+        self.is_paused = False  # also valid while starting and leaving
         self.stopped_at = math.inf
 
     @property
-    def takes_clients(self) -> bool:
+    def is_serving(self) -> bool:
+        """Whether clients may be routed to this process."""
         return self.state in (State.SERVING, State.STOPPING)
 
-    def due(self) -> float:
-        """When TIME has something to do; infinite where it has not."""
+    def next_deadline(self) -> float:
+        """When TIMER_FIRED will change something; infinite if the state has no deadline."""
         if self.state is State.PAUSED:
-            return self.since + NOTICED_MS
+            return self.entered_at + PAUSE_NOTICE_MS
         if self.state is State.STOPPING:
-            return self.stopped_at + self.times.keep
+            return self.stopped_at + self.drain_times.close_ms
         if self.state is State.LEAVING:
-            return self.stopped_at + self.times.last
+            return self.stopped_at + self.drain_times.fail_ms
         return math.inf
 
-    def on(self, now: float, event: Event) -> Stance:
-        """Take in an event; gives what holds from now on."""
-        state, passed = self.state, now >= self.due()
-        if event is Event.PAUSE or event is Event.RESUME:
+    def handle_event(self, now: float, event: Event) -> ServingPolicy:
+        """Apply an event and return the policy from now on."""
+        state, is_due = self.state, now >= self.next_deadline()
+        if event is Event.PAUSE_REQUESTED or event is Event.RESUME_REQUESTED:
             if state in (State.STARTING, State.SERVING, State.PAUSED):
-                self.paused = event is Event.PAUSE
-        if event is Event.SUCCEEDED or event is Event.ALONE:
-            self.succeeded = event is Event.SUCCEEDED
-        if event is Event.STOP and self.stopped_at == math.inf:
+                self.is_paused = event is Event.PAUSE_REQUESTED
+        if event is Event.SUCCESSOR_STARTED or event is Event.SUCCESSOR_LOST:
+            self.has_successor = event is Event.SUCCESSOR_STARTED
+        if event is Event.STOP_REQUESTED and self.stopped_at == math.inf:
             self.stopped_at = now
-        after = {
-            (State.STARTING, Event.READY): State.PAUSED if self.paused else State.SERVING,
-            (State.STARTING, Event.STOP): State.ENDED,
-            (State.SERVING, Event.PAUSE): State.PAUSED,
-            (State.SERVING, Event.STOP): State.LEAVING if self.succeeded else State.STOPPING,
-            (State.PAUSED, Event.RESUME): State.SERVING,
-            (State.PAUSED, Event.STOP): State.LEAVING,
-            (State.STOPPING, Event.SUCCEEDED): State.LEAVING,
-            (State.STOPPING, Event.TIME): State.LEAVING if passed else state,
-            (State.LEAVING, Event.EMPTY): State.ENDED,
-            (State.LEAVING, Event.TIME): State.ENDED if passed else state,
+        next_state = {
+            (State.STARTING, Event.STARTUP_COMPLETED): State.PAUSED if self.is_paused else State.SERVING,
+            (State.STARTING, Event.STOP_REQUESTED): State.ENDED,
+            (State.SERVING, Event.PAUSE_REQUESTED): State.PAUSED,
+            (State.SERVING, Event.STOP_REQUESTED): State.LEAVING if self.has_successor else State.STOPPING,
+            (State.PAUSED, Event.RESUME_REQUESTED): State.SERVING,
+            (State.PAUSED, Event.STOP_REQUESTED): State.LEAVING,
+            (State.STOPPING, Event.SUCCESSOR_STARTED): State.LEAVING,
+            (State.STOPPING, Event.TIMER_FIRED): State.LEAVING if is_due else state,
+            (State.LEAVING, Event.CLIENTS_DISCONNECTED): State.ENDED,
+            (State.LEAVING, Event.TIMER_FIRED): State.ENDED if is_due else state,
         }.get((state, event), state)
-        if after is not state:
-            self.state, self.since = after, now
-        return self.stance(now)
+        if next_state is not state:
+            self.state, self.entered_at = next_state, now
+        return self.policy_at(now)
 
-    def stance(self, now: float) -> Stance:
+    def policy_at(self, now: float) -> ServingPolicy:
+        """The policy in the current state. It depends on the time only while paused."""
         state = self.state
-        yes = state in (State.SERVING, State.STOPPING) or (state is State.LEAVING and not self.paused)
-        keeps = state in (State.STARTING, State.SERVING, State.STOPPING)
+        answers_ping = state in (State.SERVING, State.STOPPING) or (
+            state is State.LEAVING and not self.is_paused
+        )
+        keeps_idle = state in (State.STARTING, State.SERVING, State.STOPPING)
         accepts = state in (State.SERVING, State.PAUSED, State.STOPPING)
-        takes = state is not State.ENDED and (state is not State.PAUSED or now < self.since + NOTICED_MS)
-        return Stance(yes, accepts, keeps, takes, state is State.ENDED)
+        takes_requests = state is not State.ENDED and (
+            state is not State.PAUSED or now < self.entered_at + PAUSE_NOTICE_MS
+        )
+        return ServingPolicy(answers_ping, accepts, keeps_idle, takes_requests, state is State.ENDED)
--- a/roadpulley/operations/link.py
+++ b/roadpulley/operations/link.py
@@ -1,7 +1,8 @@
-"""The link between two processes of one gateway, over a Unix socket in the folder that they share.
+"""The handover link between two processes of one gateway, over a Unix socket in the temporary folder.
 
-Decides nothing: the module divides what it holds, the lifecycle learns of a successor. Off unless the process
-has inherited its listener, which is how it knows that another one may follow it.
+It makes no decisions: the decision module divides the state, and the lifecycle gets an event when a successor
+serves or is lost. The link is used only if the process has inherited its listening socket, because only then
+can another process follow it.
 """
 
 from __future__ import annotations
@@ -20,178 +21,192 @@
 from roadpulley.core.clock import now_ms
 from roadpulley.core.driver import Driver
 
-from .handover import GIVES, HELLO, LEFT, LONGEST, SERVING, Garbled, read, write
+from .handover import (
+    HELLO,
+    MAX_MESSAGE_BYTES,
+    PARTIAL_STATE,
+    REMAINING_STATE,
+    SERVING,
+    MessageError,
+    decode_message,
+    encode_message,
+)
 
 log = logging.getLogger(__name__)
 
-ANSWER_S = 0.7  # for what the predecessor gives: it is on this machine, and no client waits meanwhile
-HALF = 0.5
-# SIGTERM reaches the old process within 6 s of the new one's start, SIGKILL 3.7 s later at the latest.
-MOST_BESIDE_MS = 9_700.0
+REPLY_TIMEOUT_S = 0.7  # the peer is on the same machine, and no client waits during the handover
+HALF_SHARE = 0.5
+# The old process gets SIGTERM within 6 s of the new one's start, and SIGKILL at most 3.7 s later.
+MAX_OVERLAP_MS = 9_700.0
 
 
-def path_of(gateway: str) -> str:
-    """Where the processes of a gateway meet. Names may be long, such a path holds about a hundred bytes."""
+def socket_path(gateway: str) -> str:
+    """The path of a gateway's socket. The name is hashed, as it may exceed the limit of about 100 bytes."""
     digest = hashlib.blake2b(gateway.encode(), digest_size=8).hexdigest()
     return os.path.join(tempfile.gettempdir(), f"gateway-{digest}.link")
 
 
 @dataclass
 class Predecessor:
-    """The process that serves now, as its successor sees it."""
+    """A new process's connection to the process that served before it."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
 
 class Link:
-    """One process's two ends: to the one before it, and to the one after it."""
+    """The connections of one process to its predecessor and to its successor."""
 
     def __init__(
         self,
         gateway: str,
         driver: Driver,
-        succeeded: Callable[[bool], object],
+        on_successor_change: Callable[[bool], object],
         path: str | None = None,
     ) -> None:
-        """`succeeded` is told whether a successor serves."""
-        self.gateway, self.driver, self.succeeded = gateway, driver, succeeded
-        self.path = path or path_of(gateway)
-        self.before: Predecessor | None = None
-        self.after: asyncio.StreamWriter | None = None
-        self.estate: api.HandoverState | None = None
+        """`on_successor_change` is called with True when a successor serves, with False when it is lost."""
+        self.gateway, self.driver, self.on_successor_change = gateway, driver, on_successor_change
+        self.path = path or socket_path(gateway)
+        self.predecessor: Predecessor | None = None
+        self.successor: asyncio.StreamWriter | None = None
+        self.state_to_send: api.HandoverState | None = None
         self.server: asyncio.Server | None = None
-        self.watching: asyncio.Task[None] | None = None
+        self.watch_task: asyncio.Task[None] | None = None
 
-    # ---- to the process before ----
+    # ---- to the predecessor ----
 
-    async def inherit(self) -> None:
-        """Take what a predecessor gives, if there is one, before anything is accepted."""
+    async def take_over(self) -> None:
+        """Take over what a predecessor gives up, if there is one. Must precede accepting clients."""
         try:
-            async with asyncio.timeout(ANSWER_S):
-                reader, writer = await asyncio.open_unix_connection(self.path, limit=LONGEST)
+            async with asyncio.timeout(REPLY_TIMEOUT_S):
+                reader, writer = await asyncio.open_unix_connection(self.path, limit=MAX_MESSAGE_BYTES)
         except (FileNotFoundError, ConnectionRefusedError):
             return log.info("no process before this one")
-        except OSError as error:  # time-outs are among these
-            return self.beside(str(error) or "no answer")
+        except OSError as error:  # includes TimeoutError
+            return self.start_without_state(str(error) or "no answer")
         try:
-            async with asyncio.timeout(ANSWER_S):
-                writer.write(write(HELLO, self.gateway))
+            async with asyncio.timeout(REPLY_TIMEOUT_S):
+                writer.write(encode_message(HELLO, self.gateway))
                 line = await reader.readline()
-            estate = read(line, GIVES, self.gateway, now_ms())
-            assert estate is not None
-        except (OSError, ValueError, Garbled) as error:  # ValueError: a line without end
+            state = decode_message(line, PARTIAL_STATE, self.gateway, now_ms())
+            assert state is not None
+        except (OSError, ValueError, MessageError) as error:  # ValueError: the line exceeds the limit
             writer.close()
-            return self.beside(str(error) or "no answer")
-        self.before = Predecessor(reader, writer)
-        self.driver.handle_event(api.GatewayShareChanged(HALF))
-        self.driver.handle_event(api.HandoverReceived(estate))
-        log.info("half of %d customers' leases taken over", len(estate.customers))
-
-    def beside(self, reason: str) -> None:
-        """Somebody is there, and gave nothing that can be used.
-
-        Danger: it may go on spending the whole of each ceiling's own part. Until it must be gone, nothing of
-        them is here.
+            return self.start_without_state(str(error) or "no answer")
+        self.predecessor = Predecessor(reader, writer)
+        self.driver.handle_event(api.GatewayShareChanged(HALF_SHARE))
+        self.driver.handle_event(api.HandoverReceived(state))
+        log.info("half of %d customers' leases taken over", len(state.customers))
+
+    def start_without_state(self, reason: str) -> None:
+        """Start beside a process that accepted the connection but sent no usable state.
+
+        That process may continue to spend the whole of the gateway's own part of each ceiling. This process
+        therefore has nothing of these parts until the other one must have exited. Otherwise ceilings would be
+        exceeded.
         """
         log.warning("nothing could be taken over: %s", reason)
         self.driver.handle_event(
-            api.HandoverReceived(api.HandoverState(now_ms() + MOST_BESIDE_MS, (), (), 0.0, 0.0))
+            api.HandoverReceived(api.HandoverState(now_ms() + MAX_OVERLAP_MS, (), (), 0.0, 0.0))
         )
 
-    async def serves(self) -> None:
-        """This process takes clients now; the one before it may be stopped."""
-        if self.before is None:
+    async def announce_serving(self) -> None:
+        """Report to the predecessor that this process accepts clients, so that it may be stopped."""
+        if self.predecessor is None:
             return await self.listen()
-        self.before.writer.write(write(SERVING, self.gateway))
-        self.watching = asyncio.get_running_loop().create_task(self.watch(self.before))
+        self.predecessor.writer.write(encode_message(SERVING, self.gateway))
+        self.watch_task = asyncio.get_running_loop().create_task(self.watch_predecessor(self.predecessor))
 
-    async def watch(self, before: Predecessor) -> None:
-        """Until the process before this one has gone: what it has left then is taken too."""
-        rest: api.HandoverState | None = None
+    async def watch_predecessor(self, predecessor: Predecessor) -> None:
+        """Wait until the predecessor exits, take over its remaining state, and listen for a successor."""
+        remaining: api.HandoverState | None = None
         try:
-            if line := await before.reader.readline():
-                rest = read(line, LEFT, self.gateway, now_ms())
-        except (OSError, ValueError, Garbled) as error:
-            log.warning("what was left could not be taken over: %s", error)
-        before.writer.close()
-        self.before = None
+            if line := await predecessor.reader.readline():
+                remaining = decode_message(line, REMAINING_STATE, self.gateway, now_ms())
+        except (OSError, ValueError, MessageError) as error:
+            log.warning("the remaining state could not be taken over: %s", error)
+        predecessor.writer.close()
+        self.predecessor = None
         self.driver.handle_event(api.GatewayShareChanged(1.0))
-        if rest is not None:
-            self.driver.handle_event(api.HandoverReceived(rest))
-        log.info("the process before has gone, %s", "all is taken over" if rest else "with what it held")
+        if remaining is not None:
+            self.driver.handle_event(api.HandoverReceived(remaining))
+        log.info("the process before has gone, %s", "all is taken over" if remaining else "with what it held")
         await self.listen()
 
-    # ---- to the process after ----
+    # ---- to the successor ----
 
     async def listen(self) -> None:
-        """Be there for a successor, in the place of a process before this one.
+        """Listen for a successor at the path of the gateway's socket, in place of an earlier process.
 
-        Danger: not while that one is there. Should this one die first, the next would find nobody here,
-        and start as if alone.
+        Not called while the predecessor is running. If this process then exited before the predecessor, the
+        next process would find no listener and start as if it were the only one.
         """
-        own = f"{self.path}.{os.getpid()}"
+        own_path = f"{self.path}.{os.getpid()}"
         try:
             with suppress(FileNotFoundError):
-                os.unlink(own)
+                os.unlink(own_path)
             bound = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-            bound.bind(own)
-            self.server = await asyncio.start_unix_server(self.met, sock=bound, limit=LONGEST)
-            os.rename(own, self.path)  # whole at once, also over what an earlier process left there
+            bound.bind(own_path)
+            self.server = await asyncio.start_unix_server(
+                self.serve_successor, sock=bound, limit=MAX_MESSAGE_BYTES
+            )
+            os.rename(own_path, self.path)  # atomic; also replaces the socket file of an earlier process
         except OSError as error:
-            log.warning("no successor can take over: %s: %s", own, error)
+            log.warning("no successor can take over: %s: %s", own_path, error)
 
-    async def met(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def serve_successor(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Hand half of the state to a successor, and follow its messages until the connection ends."""
         try:
-            async with asyncio.timeout(ANSWER_S):
-                read(await reader.readline(), HELLO, self.gateway, now_ms())
-        except (OSError, ValueError, Garbled) as error:
-            log.warning("not a process of this gateway: %s", error or "silent")
+            async with asyncio.timeout(REPLY_TIMEOUT_S):
+                decode_message(await reader.readline(), HELLO, self.gateway, now_ms())
+        except (OSError, ValueError, MessageError) as error:
+            log.warning("connection on the link is not from a process of this gateway: %s", error or "silent")
             return writer.close()
-        if self.after is not None:
-            return writer.close()  # one at a time
-        self.after = writer
+        if self.successor is not None:
+            return writer.close()  # only one successor at a time
+        self.successor = writer
         try:
-            if (estate := self.divide(HALF)) is None:
+            if (state := self.split_state(HALF_SHARE)) is None:
                 return
-            writer.write(write(GIVES, self.gateway, estate))
+            writer.write(encode_message(PARTIAL_STATE, self.gateway, state))
             while line := await reader.readline():
-                read(line, SERVING, self.gateway, now_ms())
-                self.succeeded(True)
-        except (OSError, ValueError, Garbled) as error:
-            log.warning("the link to the next process broke: %s", error)
+                decode_message(line, SERVING, self.gateway, now_ms())
+                self.on_successor_change(True)
+        except (OSError, ValueError, MessageError) as error:
+            log.warning("the link to the next process failed: %s", error)
         finally:
             writer.close()
-            if self.after is writer:
-                self.after = None
-                self.succeeded(False)
+            if self.successor is writer:
+                self.successor = None
+                self.on_successor_change(False)
                 self.driver.handle_event(api.GatewayShareChanged(1.0))
                 log.info("the next process has gone: this one stands for the whole again")
 
-    def divide(self, part: float) -> api.HandoverState | None:
-        """What the module gives when this process stands for such a part from now on."""
-        self.estate = None
-        self.driver.hand_over = self.take
-        self.driver.handle_event(api.GatewayShareChanged(part))
-        estate, self.estate = self.estate, None
-        return estate
+    def split_state(self, share: float) -> api.HandoverState | None:
+        """Reduce this process to a share of the gateway. Return the state that it gives up."""
+        self.state_to_send = None
+        self.driver.hand_over = self.set_state_to_send
+        self.driver.handle_event(api.GatewayShareChanged(share))
+        state, self.state_to_send = self.state_to_send, None
+        return state
 
-    def take(self, estate: api.HandoverState) -> None:
-        self.estate = estate
+    def set_state_to_send(self, state: api.HandoverState) -> None:
+        """Receive the state from the driver, which calls it within `split_state`."""
+        self.state_to_send = state
 
-    # ---- the end ----
+    # ---- exit ----
 
     async def close(self) -> None:
-        """This process ends: what it holds goes to the next one, if that is there."""
+        """Close the link and send the remaining state to the successor, if one is connected."""
         if self.server is not None:
             self.server.close()
-        if self.watching is not None:
-            self.watching.cancel()
-        writer, self.after = self.after, None
-        if writer is None or (estate := self.divide(0.0)) is None:
+        if self.watch_task is not None:
+            self.watch_task.cancel()
+        writer, self.successor = self.successor, None
+        if writer is None or (state := self.split_state(0.0)) is None:
             return
-        writer.write(write(LEFT, self.gateway, estate))
-        with suppress(OSError):  # time-outs are among these
-            async with asyncio.timeout(ANSWER_S):
+        writer.write(encode_message(REMAINING_STATE, self.gateway, state))
+        with suppress(OSError):  # includes TimeoutError
+            async with asyncio.timeout(REPLY_TIMEOUT_S):
                 await writer.drain()
         writer.close()
--- a/roadpulley/operations/listen_retry.py
+++ b/roadpulley/operations/listen_retry.py
@@ -1,4 +1,4 @@
-"""An address to listen at, which the process before this one may hold for a moment longer."""
+"""Listening at an address that the previous process may still be using for a moment."""
 
 from __future__ import annotations
 
@@ -12,30 +12,36 @@
 
 log = logging.getLogger(__name__)
 
-AGAIN_S = 0.05
-HELD_MS = 8_000.0  # a process told to end is gone by then, and this one still ready within 10 s
+RETRY_INTERVAL_S = 0.05
+# A process that was told to end has exited by then, and this one can still be ready within 10 s of its start.
+ADDRESS_IN_USE_TIMEOUT_MS = 8_000.0
 
 
-async def listening(
+async def listen_with_retries(
     key: str, address: Address, listen: Callable[[], Awaitable[int]], stopped: asyncio.Task[bool]
 ) -> int | None:
-    """The port at which `listen` listens now; None where the process is told to stop first.
+    """Call `listen` until it succeeds and return the port, or None if `stopped` is done first.
 
-    Danger: a process that starts as the one before it ends would die of an address that is free a moment
-    later. Raises ConfigError where the address can't be had, with `key` as what names it.
+    Only an address in use is tried again. Without that, a process that starts while the previous one exits
+    would fail because of an address that becomes free a moment later. Raises ConfigError, which names the
+    setting `key`, if the address can't be bound.
     """
-    began, told = now_ms(), False
+    started_at, has_warned = now_ms(), False
     while not stopped.done():
         try:
             return await listen()
         except OSError as error:
-            held = error.errno == errno.EADDRINUSE
-            if not held or now_ms() - began > HELD_MS:
-                where = f"{key} is {address[0]}:{address[1]}"
-                right = "give a free address of this machine"
-                raise ConfigError(f"{where}, where nobody can listen ({error.strerror}); {right}") from error
-        if not told:
-            log.warning("%s is held by another process; tried again for %.0f s", key, HELD_MS / 1000)
-            told = True
-        await asyncio.wait({stopped}, timeout=AGAIN_S)
+            is_in_use = error.errno == errno.EADDRINUSE
+            if not is_in_use or now_ms() - started_at > ADDRESS_IN_USE_TIMEOUT_MS:
+                setting = f"{key} is {address[0]}:{address[1]}"
+                correction = "give a free address of this machine"
+                raise ConfigError(
+                    f"{setting}, where nobody can listen ({error.strerror}); {correction}"
+                ) from error
+        if not has_warned:
+            log.warning(
+                "%s is held by another process; retrying for %.0f s", key, ADDRESS_IN_USE_TIMEOUT_MS / 1000
+            )
+            has_warned = True
+        await asyncio.wait({stopped}, timeout=RETRY_INTERVAL_S)
     return None
--- a/tests/operations/test_calls.py
+++ b/tests/operations/test_calls.py
@@ -5,7 +5,7 @@
 import pytest
 
 from roadpulley.core.request_stats import RequestStats
-from roadpulley.operations.calls import Call, Unknown, figures, read_call
+from roadpulley.operations.calls import Call, UnknownCallError, format_metrics, read_call
 
 
 @pytest.mark.parametrize("call", Call)
@@ -16,12 +16,12 @@
 
 @pytest.mark.parametrize("line", [b"", b"PAUSES", b"\xff", b"PAUSE NOW", b"S" * 200])
 def test_what_is_no_call_is_told_which_there_are(line: bytes) -> None:
-    with pytest.raises(Unknown, match="STATUS, METRICS, PAUSE, RESUME"):
+    with pytest.raises(UnknownCallError, match="STATUS, METRICS, PAUSE, RESUME"):
         read_call(line)
 
 
 def test_figures_are_one_a_line_and_end_with_a_line() -> None:
-    assert figures([("a.b", 1), ("c", 0)]) == b"edge_lb.a.b=1\nedge_lb.c=0\nEND\n"
+    assert format_metrics([("a.b", 1), ("c", 0)]) == b"edge_lb.a.b=1\nedge_lb.c=0\nEND\n"
 
 
 def test_an_answer_is_counted_by_what_it_says_to_the_client() -> None:
--- a/tests/operations/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -13,15 +13,15 @@
 
 from mintford import interface as api
 from roadpulley.operations.handover import (
-    GIVES,
     HELLO,
-    LEFT,
-    MOST_CUSTOMERS,
+    MAX_CUSTOMERS,
+    PARTIAL_STATE,
+    REMAINING_STATE,
     SERVING,
     VERSION,
-    Garbled,
-    read,
-    write,
+    MessageError,
+    decode_message,
+    encode_message,
 )
 
 HARD = api.Plan(
@@ -35,7 +35,7 @@
 
 
 def over_the_link(estate: api.HandoverState, kind: str, now: float) -> api.HandoverState:
-    got = read(write(kind, "n0", estate), kind, "n0", now)
+    got = decode_message(encode_message(kind, "n0", estate), kind, "n0", now)
     assert got is not None
     return got
 
@@ -70,13 +70,13 @@
     def meet(self) -> None:
         given = estate_of(self.old.give(api.GatewayShareChanged(0.5)))
         self.new.give(api.GatewayShareChanged(0.5))
-        self.new.give(api.HandoverReceived(over_the_link(given, GIVES, self.new.now)))
+        self.new.give(api.HandoverReceived(over_the_link(given, PARTIAL_STATE, self.new.now)))
 
     def leave(self, told: bool) -> None:
         rest = estate_of(self.old.give(api.GatewayShareChanged(0.0)))
         self.new.give(api.GatewayShareChanged(1.0))
         if told:
-            self.new.give(api.HandoverReceived(over_the_link(rest, LEFT, self.new.now)))
+            self.new.give(api.HandoverReceived(over_the_link(rest, REMAINING_STATE, self.new.now)))
 
     def check(self) -> None:
         """In no stretch of time more than the ceiling's burst and what its rate gives."""
@@ -186,7 +186,7 @@
     old.gateway.fleet.backends[2].marks = {"all": (0.9, 19_000.0)}
     new.gateway.fleet.backends[2].started = 7.0
     given = estate_of(old.give(api.GatewayShareChanged(0.5)))
-    new.give(api.HandoverReceived(over_the_link(given, GIVES, new.now)))
+    new.give(api.HandoverReceived(over_the_link(given, PARTIAL_STATE, new.now)))
     assert new.gateway.fleet.backends[1].marks == {"all": (0.9, 19_000.0)}
     assert not new.gateway.fleet.backends[2].marks
 
@@ -203,7 +203,7 @@
 
 def test_an_estate_comes_over_as_it_was() -> None:
     told = full_estate()
-    got = over_the_link(told, GIVES, 20_000.0)
+    got = over_the_link(told, PARTIAL_STATE, 20_000.0)
     (held,), (had,) = got.customers, told.customers
     left, was = held.lease.pop("left"), had.lease.pop("left")
     assert math.isnan(left) == math.isnan(was) and held == had
@@ -214,10 +214,10 @@
 
 
 def test_a_message_cut_at_any_byte_is_garbled() -> None:
-    whole = write(GIVES, "n0", full_estate())
+    whole = encode_message(PARTIAL_STATE, "n0", full_estate())
     for length in range(len(whole) - 1):
-        with pytest.raises(Garbled):
-            read(whole[:length], GIVES, "n0", 0.0)
+        with pytest.raises(MessageError):
+            decode_message(whole[:length], PARTIAL_STATE, "n0", 0.0)
 
 
 @pytest.mark.parametrize(
@@ -232,9 +232,9 @@
     ],
 )
 def test_another_version_kind_or_gateway_is_garbled(change: dict[str, Any]) -> None:
-    message = {**json.loads(write(GIVES, "n0", full_estate())), **change}
-    with pytest.raises(Garbled):
-        read(json.dumps(message).encode(), GIVES, "n0", 0.0)
+    message = {**json.loads(encode_message(PARTIAL_STATE, "n0", full_estate())), **change}
+    with pytest.raises(MessageError):
+        decode_message(json.dumps(message).encode(), PARTIAL_STATE, "n0", 0.0)
 
 
 BAD = [None, "x", True, [], {}, float("nan"), float("inf"), "9" * 300]
@@ -248,7 +248,7 @@
     return [path]
 
 
-ESTATE = json.loads(write(GIVES, "n0", full_estate()))["estate"]
+ESTATE = json.loads(encode_message(PARTIAL_STATE, "n0", full_estate()))["estate"]
 
 
 @given(st.sampled_from(places(ESTATE)), st.sampled_from(BAD))
@@ -258,11 +258,11 @@
     for step in path[:-1]:
         table = table[step]
     table[path[-1]] = bad
-    line = json.dumps({"v": VERSION, "kind": GIVES, "gateway": "n0", "estate": raw}).encode()
+    line = json.dumps({"v": VERSION, "kind": PARTIAL_STATE, "gateway": "n0", "estate": raw}).encode()
     may_be = {"since": None, "left": None, "heard": True, "ended": True, "customer": str, "plan": str}
     try:
-        got = read(line, GIVES, "n0", 20_000.0)
-    except Garbled:
+        got = decode_message(line, PARTIAL_STATE, "n0", 20_000.0)
+    except MessageError:
         return
     right = may_be.get(str(path[-1]), ...)
     empty = path[-1] in ("totals", "unsure") and bad == {}
@@ -273,13 +273,13 @@
     (held,) = full_estate().customers
     many = tuple(
         api.CustomerSnapshot(f"c{n}", "firm", 2, {**held.lease, "asked_at": float(n)}, 1.0, 1.0, 0.0)
-        for n in range(MOST_CUSTOMERS + 5)
+        for n in range(MAX_CUSTOMERS + 5)
     )
-    got = over_the_link(api.HandoverState(5.0, many, (), 0.0, 0.0), GIVES, 777.0)
-    assert len(got.customers) == MOST_CUSTOMERS and got.complete_since == 777.0
+    got = over_the_link(api.HandoverState(5.0, many, (), 0.0, 0.0), PARTIAL_STATE, 777.0)
+    assert len(got.customers) == MAX_CUSTOMERS and got.complete_since == 777.0
     assert {held.customer for held in got.customers}.isdisjoint({f"c{n}" for n in range(5)})
 
 
 def test_words_without_an_estate_are_read_as_such() -> None:
     for kind in (HELLO, SERVING):
-        assert read(write(kind, "n0"), kind, "n0", 0.0) is None
+        assert decode_message(encode_message(kind, "n0"), kind, "n0", 0.0) is None
--- a/tests/operations/test_in_service.py
+++ b/tests/operations/test_in_service.py
@@ -12,7 +12,7 @@
 
 from roadpulley.edges import connection, resp_server
 from roadpulley.edges.resp_server import RespServer
-from roadpulley.operations import operator_server as operators
+from roadpulley.operations import operator_server
 from roadpulley.operations.controller import OUTCOMES
 
 
@@ -100,7 +100,7 @@
 
 
 def test_what_comes_long_after_a_pause_is_refused_by_the_module(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("roadpulley.operations.lifecycle.NOTICED_MS", 0.0)
+    monkeypatch.setattr("roadpulley.operations.lifecycle.PAUSE_NOTICE_MS", 0.0)
 
     async def scenario() -> None:
         async with running(Operated(Backend())) as world:
@@ -176,7 +176,7 @@
             assert (await world.call(b"x" * 5000)).startswith(b"ERR unknown call; the calls are STATUS")
             for _, writer in silent:
                 writer.close()
-            assert len(silent) > operators.MOST_CALLERS
+            assert len(silent) > operator_server.MAX_CONNECTIONS
 
     in_loop(scenario)
 
--- a/tests/operations/test_lifecycle.py
+++ b/tests/operations/test_lifecycle.py
@@ -6,33 +6,33 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from roadpulley.operations.lifecycle import NOTICED_MS, Event, Lifecycle, State, Times
+from roadpulley.operations.lifecycle import PAUSE_NOTICE_MS, DrainTimes, Event, Lifecycle, State
 
-TIMES = Times(keep=1_000.0, last=3_000.0)
+TIMES = DrainTimes(close_ms=1_000.0, fail_ms=3_000.0)
 PATHS: dict[State, tuple[Event, ...]] = {
     State.STARTING: (),
-    State.SERVING: (Event.READY,),
-    State.PAUSED: (Event.READY, Event.PAUSE),
-    State.STOPPING: (Event.READY, Event.STOP),
-    State.LEAVING: (Event.READY, Event.PAUSE, Event.STOP),
-    State.ENDED: (Event.STOP,),
+    State.SERVING: (Event.STARTUP_COMPLETED,),
+    State.PAUSED: (Event.STARTUP_COMPLETED, Event.PAUSE_REQUESTED),
+    State.STOPPING: (Event.STARTUP_COMPLETED, Event.STOP_REQUESTED),
+    State.LEAVING: (Event.STARTUP_COMPLETED, Event.PAUSE_REQUESTED, Event.STOP_REQUESTED),
+    State.ENDED: (Event.STOP_REQUESTED,),
 }
 CHANGES = {
-    (State.STARTING, Event.READY): State.SERVING,
-    (State.STARTING, Event.STOP): State.ENDED,
-    (State.SERVING, Event.PAUSE): State.PAUSED,
-    (State.SERVING, Event.STOP): State.STOPPING,
-    (State.PAUSED, Event.RESUME): State.SERVING,
-    (State.PAUSED, Event.STOP): State.LEAVING,
-    (State.STOPPING, Event.SUCCEEDED): State.LEAVING,
-    (State.LEAVING, Event.EMPTY): State.ENDED,
+    (State.STARTING, Event.STARTUP_COMPLETED): State.SERVING,
+    (State.STARTING, Event.STOP_REQUESTED): State.ENDED,
+    (State.SERVING, Event.PAUSE_REQUESTED): State.PAUSED,
+    (State.SERVING, Event.STOP_REQUESTED): State.STOPPING,
+    (State.PAUSED, Event.RESUME_REQUESTED): State.SERVING,
+    (State.PAUSED, Event.STOP_REQUESTED): State.LEAVING,
+    (State.STOPPING, Event.SUCCESSOR_STARTED): State.LEAVING,
+    (State.LEAVING, Event.CLIENTS_DISCONNECTED): State.ENDED,
 }
 
 
 def at(state: State) -> Lifecycle:
     machine = Lifecycle(TIMES)
     for event in PATHS[state]:
-        machine.on(0.0, event)
+        machine.handle_event(0.0, event)
     assert machine.state is state
     return machine
 
@@ -41,60 +41,66 @@
 @pytest.mark.parametrize("state", State)
 def test_every_event_in_every_state(state: State, event: Event) -> None:
     machine = at(state)
-    machine.on(1.0, event)  # TIME comes before its time here, and changes nothing
+    machine.handle_event(1.0, event)  # TIME comes before its time here, and changes nothing
     assert machine.state is CHANGES.get((state, event), state)
 
 
 def test_a_stop_alone_serves_on_until_its_time_and_then_leaves() -> None:
     machine = at(State.STOPPING)
-    assert machine.on(999.0, Event.TIME).keeps
-    left = machine.on(1_000.0, Event.TIME)
-    assert left.says_yes and not left.accepts and not left.keeps
-    assert not machine.on(2_999.0, Event.TIME).ended
-    assert machine.on(3_000.0, Event.TIME).ended
+    assert machine.handle_event(999.0, Event.TIMER_FIRED).keeps_idle
+    left = machine.handle_event(1_000.0, Event.TIMER_FIRED)
+    assert left.answers_ping and not left.accepts and not left.keeps_idle
+    assert not machine.handle_event(2_999.0, Event.TIMER_FIRED).is_ended
+    assert machine.handle_event(3_000.0, Event.TIMER_FIRED).is_ended
 
 
 def test_beside_a_successor_a_stop_accepts_no_more_at_once() -> None:
-    for events in ((Event.SUCCEEDED, Event.STOP), (Event.STOP, Event.SUCCEEDED)):  # the word may come late
+    # The event of the successor may also come after the stop.
+    for events in (
+        (Event.SUCCESSOR_STARTED, Event.STOP_REQUESTED),
+        (Event.STOP_REQUESTED, Event.SUCCESSOR_STARTED),
+    ):
         machine = at(State.SERVING)
         for event in events:
-            stance = machine.on(0.0, event)
-        assert machine.state is State.LEAVING and stance.says_yes and not stance.accepts
+            policy = machine.handle_event(0.0, event)
+        assert machine.state is State.LEAVING and policy.answers_ping and not policy.accepts
 
 
 def test_a_successor_that_has_gone_counts_for_nothing() -> None:
     machine = at(State.SERVING)
-    for event in (Event.SUCCEEDED, Event.ALONE, Event.STOP):
-        machine.on(0.0, event)
+    for event in (Event.SUCCESSOR_STARTED, Event.SUCCESSOR_LOST, Event.STOP_REQUESTED):
+        machine.handle_event(0.0, event)
     assert machine.state is State.STOPPING
 
 
 def test_a_pause_goes_on_accepting_and_takes_requests_until_the_front_has_noticed() -> None:
     machine = at(State.SERVING)
-    stance = machine.on(100.0, Event.PAUSE)
-    assert stance.accepts and stance.takes and not stance.says_yes and not stance.keeps
-    assert machine.due() == 100.0 + NOTICED_MS
-    assert not machine.on(100.0 + NOTICED_MS, Event.TIME).takes
-    assert machine.on(100.0 + NOTICED_MS, Event.PAUSE).says_yes is False  # once more: nothing begins anew
-    assert not machine.stance(101.0 + NOTICED_MS).takes
-    back = machine.on(5_000.0, Event.RESUME)
-    assert back.says_yes and back.takes and back.keeps
+    policy = machine.handle_event(100.0, Event.PAUSE_REQUESTED)
+    assert policy.accepts and policy.takes_requests and not policy.answers_ping and not policy.keeps_idle
+    assert machine.next_deadline() == 100.0 + PAUSE_NOTICE_MS
+    assert not machine.handle_event(100.0 + PAUSE_NOTICE_MS, Event.TIMER_FIRED).takes_requests
+    assert machine.handle_event(100.0 + PAUSE_NOTICE_MS, Event.PAUSE_REQUESTED).answers_ping is False
+    assert not machine.policy_at(101.0 + PAUSE_NOTICE_MS).takes_requests
+    back = machine.handle_event(5_000.0, Event.RESUME_REQUESTED)
+    assert back.answers_ping and back.takes_requests and back.keeps_idle
 
 
 def test_a_resume_in_the_middle_of_a_drain_says_yes_at_once() -> None:
     machine = at(State.SERVING)
-    machine.on(0.0, Event.PAUSE)
-    assert machine.on(50.0, Event.RESUME) == at(State.SERVING).stance(50.0)
+    machine.handle_event(0.0, Event.PAUSE_REQUESTED)
+    assert machine.handle_event(50.0, Event.RESUME_REQUESTED) == at(State.SERVING).policy_at(50.0)
 
 
 def test_a_pause_while_starting_is_kept() -> None:
     machine = Lifecycle(TIMES)
-    machine.on(0.0, Event.PAUSE)
-    assert not machine.on(1.0, Event.READY).says_yes and machine.state is State.PAUSED
+    machine.handle_event(0.0, Event.PAUSE_REQUESTED)
+    assert (
+        not machine.handle_event(1.0, Event.STARTUP_COMPLETED).answers_ping and machine.state is State.PAUSED
+    )
 
 
 def test_one_that_leaves_after_a_pause_goes_on_saying_no() -> None:
-    assert not at(State.LEAVING).stance(0.0).says_yes
+    assert not at(State.LEAVING).policy_at(0.0).answers_ping
 
 
 @given(st.lists(st.tuples(st.sampled_from(Event), st.floats(0, 2_000)), max_size=30))
@@ -104,15 +110,15 @@
     machine, now, closed = Lifecycle(TIMES), 0.0, False
     for event, passed in events:
         now += passed
-        stance = machine.on(now, event)
+        policy = machine.handle_event(now, event)
         closed = closed or machine.state in (State.LEAVING, State.ENDED)
-        assert not (closed and stance.accepts)
-        assert not (stance.says_yes and machine.paused)
+        assert not (closed and policy.accepts)
+        assert not (policy.answers_ping and machine.is_paused)
     now = max(now, 0.0)
-    machine.on(now, Event.READY)
-    machine.on(now, Event.STOP)
+    machine.handle_event(now, Event.STARTUP_COMPLETED)
+    machine.handle_event(now, Event.STOP_REQUESTED)
     for _ in range(3):
-        if machine.due() < float("inf"):
-            now = max(now, machine.due())
-            machine.on(now, Event.TIME)
-    assert machine.state is State.ENDED and now - machine.stopped_at <= TIMES.last + 2_000 * len(events)
+        if machine.next_deadline() < float("inf"):
+            now = max(now, machine.next_deadline())
+            machine.handle_event(now, Event.TIMER_FIRED)
+    assert machine.state is State.ENDED and now - machine.stopped_at <= TIMES.fail_ms + 2_000 * len(events)
--- a/tests/operations/test_link.py
+++ b/tests/operations/test_link.py
@@ -19,7 +19,7 @@
 
 from mintford import interface as api
 from roadpulley.operations import link as module
-from roadpulley.operations.handover import HELLO, write
+from roadpulley.operations.handover import HELLO, encode_message
 from roadpulley.operations.link import Link
 
 ROOT = Path(__file__).parents[2]
@@ -60,14 +60,14 @@
     async def scenario() -> None:
         ends = Ends(tmp_path)
         (first, one), (second, two), (third, three) = ends.link(), ends.link(), ends.link()
-        await first.inherit()
+        await first.take_over()
         assert not one.events  # nobody is there: as after a crash
         await first.listen()
         for before, old, after, new in ((first, one, second, two), (second, two, third, three)):
-            await after.inherit()
+            await after.take_over()
             assert old.parts()[-1] == 0.5 == new.parts()[-1] and new.inherited() == 1
             ends.served.clear()
-            await after.serves()
+            await after.announce_serving()
             await until(lambda: ends.served == [True])
             await before.close()
             assert old.parts()[-1] == 0.0
@@ -85,15 +85,15 @@
         await first.listen()
         for serves in (False, True):
             after, _ = ends.link()
-            await after.inherit()
+            await after.take_over()
             if serves:
-                await after.serves()
+                await after.announce_serving()
                 await until(lambda: True in ends.served)
-            assert after.before is not None
-            after.before.writer.transport.abort()
+            assert after.predecessor is not None
+            after.predecessor.writer.transport.abort()
             await until(lambda: one.parts()[-1] == 1.0 and ends.served[-1] is False)
         last, new = ends.link()  # and another one is welcome
-        await last.inherit()
+        await last.take_over()
         assert new.inherited() == 1
         await last.close()
         await first.close()
@@ -106,11 +106,11 @@
         ends = Ends(tmp_path)
         (first, _), (second, two) = ends.link(), ends.link()
         await first.listen()
-        await second.inherit()
-        await second.serves()
-        await until(lambda: first.after is not None)
-        assert first.after is not None
-        first.after.transport.abort()
+        await second.take_over()
+        await second.announce_serving()
+        await until(lambda: first.successor is not None)
+        assert first.successor is not None
+        first.successor.transport.abort()
         await until(lambda: two.parts()[-1] == 1.0)
         assert two.inherited() == 1
         await first.close()
@@ -121,12 +121,18 @@
 
 @pytest.mark.parametrize(
     "reply",
-    [b"", b"garbled\n", write("gives", "n0").replace(b'"v":1', b'"v":0'), write("gives", "n0"), None],
+    [
+        b"",
+        b"garbled\n",
+        encode_message("gives", "n0").replace(b'"v":1', b'"v":0'),
+        encode_message("gives", "n0"),
+        None,
+    ],
 )
 def test_whoever_does_not_answer_as_it_should_is_taken_for_one_that_serves(
     tmp_path: Path, reply: bytes | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module, "ANSWER_S", 0.2)
+    monkeypatch.setattr(module, "REPLY_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
         ends = Ends(tmp_path)
@@ -144,20 +150,20 @@
 
         server = await asyncio.start_unix_server(stranger, ends.path)
         link, driver = ends.link()
-        await link.inherit()
+        await link.take_over()
         (event,) = driver.events
         assert isinstance(event, api.HandoverReceived)
-        assert event.handover_state.complete_since > module.now_ms() + module.MOST_BESIDE_MS / 2
+        assert event.handover_state.complete_since > module.now_ms() + module.MAX_OVERLAP_MS / 2
         server.close()
 
     in_loop(scenario)
 
 
 @pytest.mark.parametrize(
-    "line", [b"garbled\n", write("serving", "n0"), write(HELLO, "n1"), b"", b"x" * 100_000]
+    "line", [b"garbled\n", encode_message("serving", "n0"), encode_message(HELLO, "n1"), b"", b"x" * 100_000]
 )
 def test_a_stranger_is_given_nothing(tmp_path: Path, line: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "ANSWER_S", 0.2)
+    monkeypatch.setattr(module, "REPLY_TIMEOUT_S", 0.2)
 
     async def scenario() -> None:
         ends = Ends(tmp_path)
@@ -179,11 +185,11 @@
         gone.bind(ends.path)
         gone.close()
         link, driver = ends.link()
-        await link.inherit()
+        await link.take_over()
         assert not driver.events
         await link.listen()
         second, two = ends.link()
-        await second.inherit()
+        await second.take_over()
         assert two.inherited() == 1
         await second.close()
         await link.close()
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -128,7 +128,7 @@
     return {
         "messages": messages(),
         "enum values": enum_values(),
-        "hand-over": keys(json.loads(handover.write("gives", "gateway", estate()))),
+        "hand-over": keys(json.loads(handover.encode_message("gives", "gateway", estate()))),
         "states of members": [state.name for state in MemberState],
         "change of voters": keys(
             dataclasses.asdict(reconfiguration.ChangeRequest({"a": "127.0.0.1:1"}, "b"))
