--- a/benchmarks/usage.py
+++ b/benchmarks/usage.py
@@ -22,8 +22,8 @@
 
 from roadpulley.store import Store  # noqa: E402
 from roadpulley.usage import spool  # noqa: E402
-from roadpulley.usage.books import Books  # noqa: E402
-from roadpulley.usage.tally import HOUR_MS, MILLI, Tally  # noqa: E402
+from roadpulley.usage.accumulator import HOUR_MS, MILLIUNITS_PER_UNIT, UsageAccumulator  # noqa: E402
+from roadpulley.usage.ledger import UsageLedger  # noqa: E402
 
 A_SECOND = 4_000
 CLASSES = ("view", "order", "wipe")
@@ -57,27 +57,27 @@
     with tempfile.TemporaryDirectory() as place:
         folder = Path(place) / "spool"
         folder.mkdir()
-        tally, counting, writing, now = Tally("n0", "a"), 0.0, 0.0, 500_000.0 * HOUR_MS
+        tally, counting, writing, now = UsageAccumulator("n0", "a"), 0.0, 0.0, 500_000.0 * HOUR_MS
         for start in range(0, args.tries, A_SECOND):
             began = time.perf_counter()
             for customer, kind, units in asked[start : start + A_SECOND]:
-                tally.sent(now, customer, ("basic", 1, 0), kind, units)
+                tally.count_sent(now, customer, ("basic", 1, 0), kind, units)
             counted = time.perf_counter()
-            for batch in tally.close(now):
+            for batch in tally.close_batch(now):
                 spool.write(folder, batch)
-                tally.written(batch.number)
+                tally.confirm_written(batch.number)
             counting, writing = counting + counted - began, writing + time.perf_counter() - counted
             now += 1_000
         note("counted", counting, 0)
         note("spooled", writing, size(folder))
         with Store.open(Path(place) / "books") as store:
             began = time.perf_counter()
-            new, known, bad = spool.collect(folder, Books(store))
+            new, known, bad = spool.collect(folder, UsageLedger(store))
             note("taken into the books", time.perf_counter() - began, size(Path(place) / "books"))
             began = time.perf_counter()
-            billed = sum(total.units for _, total in Books(store).rows())
+            billed = sum(total.units for _, total in UsageLedger(store).rows())
             note("added up", time.perf_counter() - began, 0)
-    if billed != sum(round(units * MILLI) for *_, units in asked) or known or bad:
+    if billed != sum(round(units * MILLIUNITS_PER_UNIT) for *_, units in asked) or known or bad:
         raise SystemExit(f"billed {billed}, with {new} batches new, {known} known and {bad} bad")
     lines = ["| " + " | ".join(COLUMNS) + " |", "| --- | ---: | ---: | ---: |"]
     lines += [f"| {r['step']} | {r['seconds']:.1f} | {r['us_a_try']:.1f} | {r['bytes']:,} |" for r in rows]
--- a/roadpulley/cli/usage.py
+++ b/roadpulley/cli/usage.py
@@ -18,13 +18,13 @@
 import click
 
 from roadpulley.checks import ValidationError
-from roadpulley.usage.closing import HOUR_S
+from roadpulley.usage.billing_calendar import HOUR_S
 
 from . import frame
 from .frame import FOLDER, argument, option
 
 if TYPE_CHECKING:
-    from roadpulley.usage.books import Books
+    from roadpulley.usage.ledger import UsageLedger
     from roadpulley.usage.settings import UsageSettings
 
 
@@ -64,7 +64,7 @@
     try:
         settings = read_settings(args.settings)
         with opened(settings) as books:
-            act: Callable[[Books, UsageSettings, argparse.Namespace], int] = args.act
+            act: Callable[[UsageLedger, UsageSettings, argparse.Namespace], int] = args.act
             return act(books, settings, args)
     except (ValidationError, StoreError, OSError) as error:
         print(f"roadpulley usage: {error}", file=sys.stderr)
@@ -72,16 +72,16 @@
 
 
 @contextmanager
-def opened(settings: UsageSettings) -> Iterator[Books]:
+def opened(settings: UsageSettings) -> Iterator[UsageLedger]:
     from roadpulley.store import Store
-    from roadpulley.usage.books import Books
+    from roadpulley.usage.ledger import UsageLedger
 
     settings.store.parent.mkdir(parents=True, exist_ok=True)
     with Store.open(settings.store) as store:
-        yield Books(store)
+        yield UsageLedger(store)
 
 
-def collect(books: Books, settings: UsageSettings, args: argparse.Namespace) -> int:
+def collect(books: UsageLedger, settings: UsageSettings, args: argparse.Namespace) -> int:
     from roadpulley.usage.spool import collect as taken
 
     new, known, bad = taken(settings.spool, books)
@@ -89,7 +89,7 @@
     return 1 if bad else 0
 
 
-def show(books: Books, settings: UsageSettings, args: argparse.Namespace) -> int:
+def show(books: UsageLedger, settings: UsageSettings, args: argparse.Namespace) -> int:
     print(
         f"{'hour':<17} {'customer':<17} {'plan':<12} {'version':>7} {'class':<14} {'tries':>9} {'units':>12}"
     )
@@ -99,47 +99,47 @@
                 continue
             version = f"{row.version}+{row.override}" if row.override else str(row.version)
             print(
-                f"{hour_text(row.hour):<17} {row.customer:<17} {row.plan:<12} {version:>7} {row.kind:<14} "
-                f"{total.tries:>9,} {total.units / 1000:>12,.3f}{mark}"
+                f"{hour_text(row.hour):<17} {row.customer:<17} {row.plan:<12} {version:>7} "
+                f"{row.request_class:<14} {total.tries:>9,} {total.units / 1000:>12,.3f}{mark}"
             )
     return 0
 
 
-def close(books: Books, settings: UsageSettings, args: argparse.Namespace) -> int:
-    from roadpulley.usage.periods import Periods
+def close(books: UsageLedger, settings: UsageSettings, args: argparse.Namespace) -> int:
+    from roadpulley.usage.periods import BillingPeriods
 
     now = datetime.now(UTC)
     start, end = hour(args.start, "--from"), hour(args.end, "--to")
-    period = Periods(books).close(args.period, start, end, hour_of(now), int(now.timestamp() * 1000))
+    period = BillingPeriods(books).close(args.period, start, end, hour_of(now), int(now.timestamp() * 1000))
     print(f"{period.name}: {period.lines} lines, sealed by {period.digest}")
     return 0
 
 
-def adjust(books: Books, settings: UsageSettings, args: argparse.Namespace) -> int:
-    from roadpulley.usage.periods import Periods
+def adjust(books: UsageLedger, settings: UsageSettings, args: argparse.Namespace) -> int:
+    from roadpulley.usage.periods import BillingPeriods
 
-    periods = Periods(books)
+    periods = BillingPeriods(books)
     now = int(datetime.now(UTC).timestamp() * 1000)
-    made = periods.adjust(periods.find(args.period), key_of(settings), now)
+    made = periods.create_adjustment(periods.find(args.period), key_of(settings), now)
     print(
         f"adjustment {made.number} of {made.period}: {len(made.lines)} lines" if made else "nothing came late"
     )
     return 0
 
 
-def export(books: Books, settings: UsageSettings, args: argparse.Namespace) -> int:
+def export(books: UsageLedger, settings: UsageSettings, args: argparse.Namespace) -> int:
     """Each file is written whole under its name; again it gives the same bytes."""
-    from roadpulley.usage.periods import Periods, table
+    from roadpulley.usage.periods import BillingPeriods, encode_csv
 
-    periods = Periods(books)
+    periods = BillingPeriods(books)
     period = periods.find(args.period)
-    adjustments = periods.adjustments(period)
-    files = {f"{period.name}.csv": table(periods.lines(period))}
-    files |= {f"{period.name}.adjustment-{a.number}.csv": table(a.lines) for a in adjustments}
+    adjustments = periods.list_adjustments(period)
+    files = {f"{period.name}.csv": encode_csv(periods.read_lines(period))}
+    files |= {f"{period.name}.adjustment-{a.number}.csv": encode_csv(a.lines) for a in adjustments}
     seals = {
         "period": asdict(period),
         "adjustments": [
-            {"number": a.number, "made_at": a.made_at, "signature": a.signature} for a in adjustments
+            {"number": a.number, "made_at": a.created_at_ms, "signature": a.signature} for a in adjustments
         ],
     }
     files[f"{period.name}.json"] = json.dumps(seals, indent=1).encode() + b"\n"
@@ -152,23 +152,25 @@
     return 0
 
 
-def verify(books: Books, settings: UsageSettings, args: argparse.Namespace) -> int:
-    from roadpulley.usage.periods import Periods, signed
+def verify(books: UsageLedger, settings: UsageSettings, args: argparse.Namespace) -> int:
+    from roadpulley.usage.periods import BillingPeriods, is_signature_valid
 
-    periods = Periods(books)
+    periods = BillingPeriods(books)
     period = periods.find(args.period)
-    periods.lines(period)
-    forged = [a.number for a in periods.adjustments(period) if not signed(key_of(settings), a)]
+    periods.read_lines(period)
+    forged = [
+        a.number for a in periods.list_adjustments(period) if not is_signature_valid(key_of(settings), a)
+    ]
     for number in forged:
         print(f"adjustment {number} of {period.name} is not signed with this key")
     print(f"{period.name}: {period.lines} lines as sealed by {period.digest}")
     return 1 if forged else 0
 
 
-def push(books: Books, settings: UsageSettings, args: argparse.Namespace) -> int:
+def push(books: UsageLedger, settings: UsageSettings, args: argparse.Namespace) -> int:
     import httpx
 
-    from roadpulley.usage.pushing import Pushing
+    from roadpulley.usage.export_runner import ExportRunner
 
     if settings.fleet is not None:
         from roadpulley.fleet.duty_trigger import trigger_duty
@@ -194,9 +196,9 @@
 
     holder = f"{socket.gethostname()}:{os.getpid()}"
     with httpx.Client(base_url=settings.sink, headers=headers, timeout=settings.timeout_s) as client:
-        done = Pushing(books, client, holder, lambda: int(time.time() * 1000), sleep).run()
-    print(f"{done.pushed} files pushed, {done.parked} parked, {done.left} left")
-    return 1 if done.left or done.parked else 0
+        done = ExportRunner(books, client, holder, lambda: int(time.time() * 1000), sleep).run()
+    print(f"{done.pushed} files pushed, {done.parked} parked, {done.remaining} left")
+    return 1 if done.remaining or done.parked else 0
 
 
 def key_of(settings: UsageSettings) -> bytes:
@@ -222,7 +224,7 @@
     return datetime.fromtimestamp(hour * HOUR_S, UTC).strftime("%Y-%m-%dT%H:00Z")
 
 
-ACTS: dict[str, tuple[Callable[[Books, UsageSettings, argparse.Namespace], int], str]] = {
+ACTS: dict[str, tuple[Callable[[UsageLedger, UsageSettings, argparse.Namespace], int], str]] = {
     "collect": (collect, "take in the batches that gateways have written"),
     "show": (show, "sums by hour, customer, plan version and class"),
     "close": (close, "end a billing period and seal it: what comes for it later is an adjustment"),
--- a/roadpulley/fleet/works/usage.py
+++ b/roadpulley/fleet/works/usage.py
@@ -11,9 +11,9 @@
 from roadpulley.fleet.clock import wall_ms
 from roadpulley.fleet.duties.work import HeldDuty, WorkError
 from roadpulley.store import LockedError, Store, StoreError, fences
-from roadpulley.usage.books import Books
-from roadpulley.usage.closing import HOUR_S, due
-from roadpulley.usage.periods import Periods
+from roadpulley.usage.billing_calendar import HOUR_S, list_due_periods
+from roadpulley.usage.ledger import UsageLedger
+from roadpulley.usage.periods import BillingPeriods
 from roadpulley.usage.settings import UsageSettings
 from roadpulley.usage.spool import collect
 
@@ -54,7 +54,7 @@
         """Pushes the files that are due, for one round. Raises StaleFenceError, WorkError."""
         import httpx
 
-        from roadpulley.usage.pushing import Pushing
+        from roadpulley.usage.export_runner import ExportRunner
 
         headers = {}
         if self.settings.token is not None:
@@ -72,15 +72,17 @@
         with open_books(self.settings) as store:
             fenced = fences.FencedStore(store, self.name, duty.fence)
             fenced.check()
-            books = Books(fenced)
+            books = UsageLedger(fenced)
             with httpx.Client(
                 base_url=self.settings.sink, headers=headers, timeout=self.settings.timeout_s
             ) as client:
-                pushing = Pushing(books, client, self.name, wall_ms, pause, duty.fence, duty.is_still_held)
+                pushing = ExportRunner(
+                    books, client, self.name, wall_ms, pause, duty.fence, duty.is_still_held
+                )
                 done = pushing.run()
         if done.pushed or done.parked:
             log.info(
-                "%s: %d files pushed, %d parked, %d left", self.name, done.pushed, done.parked, done.left
+                "%s: %d files pushed, %d parked, %d left", self.name, done.pushed, done.parked, done.remaining
             )
         return None
 
@@ -102,11 +104,11 @@
     def act(self, duty: HeldDuty) -> float | None:
         """Collects batches and closes ended periods. Raises StaleFenceError, WorkError."""
         with open_books(self.settings) as store:
-            books = Books(fences.FencedStore(store, self.name, duty.fence))
+            books = UsageLedger(fences.FencedStore(store, self.name, duty.fence))
             collect(self.settings.spool, books)
-            periods = Periods(books)
-            closed_until = max((p.end for p in periods.all()), default=0)
-            for period in due(self.calendar, closed_until, wall_ms() // 1000 // HOUR_S):
+            periods = BillingPeriods(books)
+            closed_until = max((p.end for p in periods.list_all()), default=0)
+            for period in list_due_periods(self.calendar, closed_until, wall_ms() // 1000 // HOUR_S):
                 if not duty.is_still_held():
                     break
                 closed_period = periods.close(
--- a/roadpulley/usage/batches.py
+++ b/roadpulley/usage/batch_format.py
@@ -14,7 +14,7 @@
 
 from roadpulley.checks import Table, ValidationError
 
-from .tally import MOST_ROWS, Batch, Row, Sum
+from .accumulator import MAX_BATCH_ROWS, Batch, UsageKey, UsageTotals
 
 FORMAT = 1
 MOST_BYTES = 4 * 2**20
@@ -22,24 +22,24 @@
 TAIL = b"sha256 "
 
 
-def dump(batch: Batch) -> bytes:
+def encode_batch(batch: Batch) -> bytes:
     head = {
         "format": FORMAT,
         "gateway": batch.gateway,
-        "life": batch.life,
+        "life": batch.process_id,
         "number": batch.number,
-        "made_at": batch.made_at,
+        "made_at": batch.created_at_ms,
         "rows": len(batch.rows),
     }
     lines: list[Any] = [head]
     for row, s in sorted(batch.rows.items()):
-        key = [row.customer, row.plan, row.version, row.override, row.kind, row.hour]
+        key = [row.customer, row.plan, row.version, row.override, row.request_class, row.hour]
         lines.append([*key, s.tries, s.units, s.settled])
     body = b"".join(json.dumps(line, separators=(",", ":")).encode() + b"\n" for line in lines)
     return body + TAIL + hashlib.sha256(body).hexdigest().encode() + b"\n"
 
 
-def load(data: bytes) -> Batch:
+def decode_batch(data: bytes) -> Batch:
     """Raises ValidationError with the place for what is not whole; nothing of it may be counted."""
     if len(data) > MOST_BYTES:
         raise ValidationError("", f"has {len(data):,} bytes", f"a batch has {MOST_BYTES:,} at most")
@@ -62,7 +62,7 @@
         table.read_int("made_at", maximum=MOST_NUMBER),
         dict(read_row(row, f"line {place}") for place, row in enumerate(rows, 2)),
     )
-    if table.read_int("rows", maximum=MOST_ROWS) != len(batch.rows) or len(rows) != len(batch.rows):
+    if table.read_int("rows", maximum=MAX_BATCH_ROWS) != len(batch.rows) or len(rows) != len(batch.rows):
         raise ValidationError(
             "line 1.rows", f"is {head['rows']}, and {len(batch.rows)} are there", "each row stands once"
         )
@@ -70,7 +70,7 @@
     return batch
 
 
-def read_row(raw: Any, at: str) -> tuple[Row, Sum]:
+def read_row(raw: Any, at: str) -> tuple[UsageKey, UsageTotals]:
     if not isinstance(raw, list) or len(raw) != 9:
         raise ValidationError(at, "is no row", "give nine values")
     texts = [raw[0], raw[1], raw[4]]
@@ -83,4 +83,4 @@
         raise ValidationError(at, "has bad numbers", "give whole numbers that are not negative")
     if not isinstance(raw[7], int) or isinstance(raw[7], bool) or abs(raw[7]) > MOST_NUMBER:
         raise ValidationError(at, "has bad units", "give a whole number of thousandths")
-    return Row(raw[0], raw[1], raw[2], raw[3], raw[4], raw[5]), Sum(raw[6], raw[7], raw[8])
+    return UsageKey(raw[0], raw[1], raw[2], raw[3], raw[4], raw[5]), UsageTotals(raw[6], raw[7], raw[8])
--- a/roadpulley/usage/closing.py
+++ b/roadpulley/usage/billing_calendar.py
@@ -6,7 +6,7 @@
 from datetime import UTC, datetime, timedelta
 
 HOUR_S = 3_600
-EVERY = ("day", "month")
+PERIOD_LENGTHS = ("day", "month")
 MOST_AT_ONCE = 62  # periods that one round closes, oldest first; the next round goes on
 
 
@@ -14,13 +14,13 @@
 class Calendar:
     """`start`: the first hour that is billed, since 1970; `grace`: hours that late use is waited for."""
 
-    every: str
-    start: int
-    grace: int
+    period_length: str
+    first_hour: int
+    grace_hours: int
 
 
 @dataclass(frozen=True)
-class Due:
+class DuePeriod:
     """Hours since 1970, the end is the first after it."""
 
     name: str
@@ -28,23 +28,23 @@
     end: int
 
 
-def due(calendar: Calendar, closed: int, now_hour: int) -> list[Due]:
+def list_due_periods(calendar: Calendar, closed: int, now_hour: int) -> list[DuePeriod]:
     """Those to close, oldest first; `closed`: the first hour that is not closed yet, 0 where none is.
 
     Danger: a period that is closed before its use has come makes all of that an adjustment.
     """
-    found: list[Due] = []
-    at = max(calendar.start, closed)
+    found: list[DuePeriod] = []
+    at = max(calendar.first_hour, closed)
     while len(found) < MOST_AT_ONCE:
-        name, end = period_of(calendar.every, at)
-        if end + calendar.grace > now_hour:
+        name, end = find_period(calendar.period_length, at)
+        if end + calendar.grace_hours > now_hour:
             break
-        found.append(Due(name, at, end))
+        found.append(DuePeriod(name, at, end))
         at = end
     return found
 
 
-def period_of(every: str, hour: int) -> tuple[str, int]:
+def find_period(every: str, hour: int) -> tuple[str, int]:
     """The name of the period that an hour is in, and the first hour after it."""
     at = datetime.fromtimestamp(hour * HOUR_S, UTC)
     day = at.replace(hour=0, minute=0, second=0, microsecond=0)
--- a/roadpulley/usage/pushing.py
+++ b/roadpulley/usage/export_runner.py
@@ -23,9 +23,22 @@
 from roadpulley.fences import StaleFenceError
 from roadpulley.store import ConflictError, Write
 
-from .books import Books
-from .periods import Periods, table
-from .push import Action, Document, Done, Exporter, Keep, Lease, Low, Park, Push, Receipt, TakeLease, Wait
+from .exporter import (
+    AcquireLease,
+    Action,
+    Document,
+    Exporter,
+    Finish,
+    Lease,
+    ParkDocument,
+    PushDocument,
+    Receipt,
+    StaleFence,
+    StoreReceipt,
+    Wait,
+)
+from .ledger import UsageLedger
+from .periods import BillingPeriods, encode_csv
 
 log = logging.getLogger(__name__)
 
@@ -36,18 +49,18 @@
 
 
 @dataclass
-class Result:
+class ExportResult:
     pushed: int = 0
     parked: int = 0
-    left: int = 0
+    remaining: int = 0
 
 
-class Pushing:
+class ExportRunner:
     """`sleep` waits so many milliseconds and gives whether to go on."""
 
     def __init__(
         self,
-        books: Books,
+        ledger: UsageLedger,
         client: httpx.Client,
         holder: str,
         now: Callable[[], int],
@@ -56,30 +69,30 @@
         still_mine: Callable[[], bool] = lambda: True,
     ) -> None:
         """`fence`: of a duty that is held, which `still_mine` is asked about before each push."""
-        self.books, self.store, self.client, self.now, self.sleep = books, books.store, client, now, sleep
+        self.ledger, self.store, self.client, self.now, self.sleep = ledger, ledger.store, client, now, sleep
         self.exporter, self.still_mine = Exporter(holder, fence=fence), still_mine
-        self.result = Result()
+        self.result = ExportResult()
         self.files: dict[str, tuple[Document, bytes]] = {}
 
-    def run(self) -> Result:
+    def run(self) -> ExportResult:
         """Until all is pushed or parked, or `sleep` says to stop.
 
         Raises ValidationError, StoreError, StaleFenceError.
         """
         self.files = self.documents()  # sealed: they change no more while this has the store
         action: Action = self._begin()
-        while not isinstance(action, Done):
+        while not isinstance(action, Finish):
             if isinstance(action, Wait):
                 if not self.sleep(action.ms):
                     break
                 action = self._begin()
-            elif isinstance(action, Low):
+            elif isinstance(action, StaleFence):
                 raise StaleFenceError(action.highest)
-            elif isinstance(action, Push) and not self.still_mine():
+            elif isinstance(action, PushDocument) and not self.still_mine():
                 break
             else:
                 action = self._do(action)
-        self.result.left = len(self.left())
+        self.result.remaining = len(self.left())
         return self.result
 
     # ---- what is in the store ----
@@ -87,11 +100,12 @@
     def documents(self) -> dict[str, tuple[Document, bytes]]:
         """All sealed files, in the order of their periods."""
         found: dict[str, tuple[Document, bytes]] = {}
-        periods = Periods(self.books)
-        for period in periods.all():
-            files = [(period.name, table(periods.lines(period)))]
+        periods = BillingPeriods(self.ledger)
+        for period in periods.list_all():
+            files = [(period.name, encode_csv(periods.read_lines(period)))]
             files += [
-                (f"{period.name}.adjustment-{a.number}", table(a.lines)) for a in periods.adjustments(period)
+                (f"{period.name}.adjustment-{a.number}", encode_csv(a.lines))
+                for a in periods.list_adjustments(period)
             ]
             for name, data in files:
                 found[name] = Document(name, sha256(data).hexdigest()), data
@@ -113,27 +127,27 @@
     # ---- actions ----
 
     def _begin(self) -> Action:
-        return self.exporter.begin(self.now(), self.lease()[0], self.left())
+        return self.exporter.start_round(self.now(), self.lease()[0], self.left())
 
     def _do(self, action: Action) -> Action:
         match action:
-            case TakeLease(lease, over):
+            case AcquireLease(lease, over):
                 known, version = self.lease()
                 taken = known == over and self._write(Write(LEASE, dump(asdict(lease)), expect=version))
-                return self.exporter.leased(lease if taken else None, self.left())
-            case Push(document, fence):
-                return self.exporter.answered(*self._push(document, fence))
-            case Keep(document, receipt, lease):
+                return self.exporter.on_lease_result(lease if taken else None, self.left())
+            case PushDocument(document, fence):
+                return self.exporter.on_response(*self._push(document, fence))
+            case StoreReceipt(document, receipt, lease):
                 value = {**asdict(receipt), "fence": lease.fence, "at": self.now()}
                 kept = self._under(lease, b"use/receipt/" + document.name.encode(), value)
                 self.result.pushed += kept
-                return self.exporter.kept(kept)
-            case Park(document, why, lease):
+                return self.exporter.on_write_result(kept)
+            case ParkDocument(document, why, lease):
                 log.error("%s is parked: %s", document.name, why)
                 value = {"why": why, "fence": lease.fence, "at": self.now()}
                 kept = self._under(lease, b"use/parked/" + document.name.encode(), value)
                 self.result.parked += kept
-                return self.exporter.kept(kept)
+                return self.exporter.on_write_result(kept)
             case _:
                 raise AssertionError(action)
 
@@ -166,10 +180,10 @@
             return None, None, str(error), 0
         seen = answer.headers.get("Fence", "")
         highest = int(seen) if seen.isdecimal() and len(seen) < MOST_DIGITS else 0
-        return answer.status_code, read_receipt(answer.content), answer.text[:WHY], highest
+        return answer.status_code, parse_receipt(answer.content), answer.text[:WHY], highest
 
 
-def read_receipt(data: bytes) -> Receipt | None:
+def parse_receipt(data: bytes) -> Receipt | None:
     """None for what is no receipt."""
     try:
         raw = json.loads(data[:MOST_ANSWER])
--- a/roadpulley/usage/push.py
+++ b/roadpulley/usage/exporter.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-LEASE_MS = 30_000  # longer than a push may take with its answer
+LEASE_DURATION_MS = 30_000  # longer than a push may take with its answer
 RENEW_MS = 10_000  # before its end
 FIRST_WAIT_MS, LONGEST_WAIT_MS = 500, 60_000  # doubled with each failure in a row
 KEY_DIGITS = 16  # of the digest, in a key
@@ -53,7 +53,7 @@
     digest: str
 
 
-class Verdict(Enum):
+class ResponseClass(Enum):
     """Of an answer of the sink, by its status (RFC 9110, section 15)."""
 
     APPLIED = "applied"  # 2xx, with a receipt
@@ -62,20 +62,26 @@
     LATER = "later"  # 5xx, 429, 408, a time-out, a broken connection, an answer that is none
 
 
-def judge(status: int | None) -> Verdict:
+def classify_status(status: int | None) -> ResponseClass:
     """None: no answer came."""
     if status is None or status >= 500 or status in (408, 425, 429) or status < 200:
-        return Verdict.LATER
+        return ResponseClass.LATER
     if status < 300:
-        return Verdict.APPLIED
-    return Verdict.STALE if status == 409 else Verdict.REFUSED if status >= 400 else Verdict.LATER
+        return ResponseClass.APPLIED
+    return (
+        ResponseClass.STALE
+        if status == 409
+        else ResponseClass.REFUSED
+        if status >= 400
+        else ResponseClass.LATER
+    )
 
 
 # ---- actions ----
 
 
 @dataclass(frozen=True, slots=True)
-class TakeLease:
+class AcquireLease:
     """Write this lease, if the one in the store is still `over`; then call `leased` with whether it was."""
 
     lease: Lease
@@ -83,7 +89,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Push:
+class PushDocument:
     """Send it with its key and fence; then call `answered`."""
 
     document: Document
@@ -91,7 +97,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class StoreReceipt:
     """Write the receipt, if the lease in the store is still ours; then call `kept` with whether it was."""
 
     document: Document
@@ -100,7 +106,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Park:
+class ParkDocument:
     """The sink will not take it: write why, if the lease is ours, for people to look at; then call `kept`."""
 
     document: Document
@@ -116,18 +122,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Low:
+class StaleFence:
     """Under a fence that was given from outside, and is not above `highest`: stop, and tell who gave it."""
 
     highest: int
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class Finish:
     """Nothing is left to push."""
 
 
-Action = TakeLease | Push | Keep | Park | Wait | Low | Done
+Action = AcquireLease | PushDocument | StoreReceipt | ParkDocument | Wait | StaleFence | Finish
 
 
 @dataclass
@@ -137,16 +143,16 @@
     holder: str
     lease: Lease | None = None
     failures: int = 0
-    waiting: list[Document] = field(default_factory=list)
+    pending: list[Document] = field(default_factory=list)
     fence: int | None = (
         None  # of a holding of the fleet's: then nobody else may push, and no lease is waited for
     )
 
-    def begin(self, now: int, lease: Lease | None, left: list[Document]) -> Action:
+    def start_round(self, now: int, lease: Lease | None, left: list[Document]) -> Action:
         """`lease`: the one in the store; `left`: documents with neither receipt nor reason, in order."""
-        self.waiting = list(left)
+        self.pending = list(left)
         if not left:
-            return Done()
+            return Finish()
         if self.fence is not None:
             return self._begin_held(now, lease, self.fence)
         mine = self.lease is not None and lease == self.lease
@@ -158,57 +164,57 @@
         # one always has a new fence, also for the same holder.
         self.lease = None
         fence = lease.fence + 1 if lease else 1
-        return TakeLease(Lease(self.holder, fence, now + LEASE_MS), lease)
+        return AcquireLease(Lease(self.holder, fence, now + LEASE_DURATION_MS), lease)
 
     def _begin_held(self, now: int, lease: Lease | None, fence: int) -> Action:
         """Danger: a lease of the time before the fleet may still run. Its fence is lower, and the sink
         refuses it."""
         if lease is not None and lease.fence > fence:
-            return Low(lease.fence)
+            return StaleFence(lease.fence)
         if lease is not None and (lease.holder, lease.fence) == (self.holder, fence):
             self.lease = lease
             return self._push()
-        return TakeLease(Lease(self.holder, fence, now + LEASE_MS), lease)
+        return AcquireLease(Lease(self.holder, fence, now + LEASE_DURATION_MS), lease)
 
-    def leased(self, taken: Lease | None, left: list[Document]) -> Action:
+    def on_lease_result(self, taken: Lease | None, left: list[Document]) -> Action:
         """The lease that was written, None if another exporter was first; and what is left since then.
 
         Danger: between `begin` and the write the one before may have kept a receipt under its old lease. What
         is left is read again under the new one, under which nobody else can.
         """
-        self.lease, self.waiting = taken, list(left)
+        self.lease, self.pending = taken, list(left)
         if not left:
-            return Done()
+            return Finish()
         return self._push() if taken else Wait(FIRST_WAIT_MS)
 
-    def answered(
+    def on_response(
         self, status: int | None, receipt: Receipt | None, why: str = "", highest: int = 0
     ) -> Action:
         """The sink's answer to the push that is out; `highest`: the fence that it says it has seen."""
-        document, verdict = self.waiting[0], judge(status)
+        document, verdict = self.pending[0], classify_status(status)
         assert self.lease is not None
-        if verdict is Verdict.APPLIED:
+        if verdict is ResponseClass.APPLIED:
             # Danger: a sink that took half of it, or that answers for something else, has not applied it.
             if receipt is not None and (receipt.key, receipt.digest) == (document.key, document.digest):
                 self.failures = 0
-                return Keep(document, receipt, self.lease)
-            verdict = Verdict.LATER
-        if verdict is Verdict.REFUSED:
-            return Park(document, why or f"the sink answered {status}", self.lease)
-        if verdict is Verdict.STALE:
+                return StoreReceipt(document, receipt, self.lease)
+            verdict = ResponseClass.LATER
+        if verdict is ResponseClass.REFUSED:
+            return ParkDocument(document, why or f"the sink answered {status}", self.lease)
+        if verdict is ResponseClass.STALE:
             self.lease = None  # somebody else pushes
-            return Low(max(highest, self.fence)) if self.fence is not None else Wait(LEASE_MS)
+            return StaleFence(max(highest, self.fence)) if self.fence is not None else Wait(LEASE_DURATION_MS)
         self.failures += 1
         return Wait(min(LONGEST_WAIT_MS, FIRST_WAIT_MS * 2 ** min(self.failures - 1, 20)))
 
-    def kept(self, written: bool) -> Action:
+    def on_write_result(self, written: bool) -> Action:
         """Whether the receipt, or why it is parked, was written under our lease."""
         if not written:
             self.lease = None
-            return Wait(LEASE_MS)
-        del self.waiting[0]
-        return self._push() if self.waiting else Done()
+            return Wait(LEASE_DURATION_MS)
+        del self.pending[0]
+        return self._push() if self.pending else Finish()
 
     def _push(self) -> Action:
         assert self.lease is not None
-        return Push(self.waiting[0], self.lease.fence)
+        return PushDocument(self.pending[0], self.lease.fence)
--- a/roadpulley/usage/books.py
+++ b/roadpulley/usage/ledger.py
@@ -20,82 +20,86 @@
 from roadpulley.store import Store, Write
 from roadpulley.store.fences import FencedStore
 
-from .tally import Batch, Row, Sum
+from .accumulator import Batch, UsageKey, UsageTotals
 
-CLOSED = b"use/closed"
+CLOSED_KEY = b"use/closed"
 
 
 @dataclass(frozen=True)
-class Taken:
+class IngestResult:
     """`new` False: it was known already. `late`: rows that went to adjustments, as their hour is closed."""
 
-    new: bool
-    late: int = 0
+    is_new: bool
+    late_rows: int = 0
 
 
-class Books:
+class UsageLedger:
     """The one that has the store open. Raises StoreError where it cannot write; nothing is taken in then."""
 
     def __init__(self, store: Store | FencedStore) -> None:
         self.store = store
 
-    def take(self, batch: Batch) -> Taken:
+    def ingest(self, batch: Batch) -> IngestResult:
         """Raises ValidationError for a gap: a batch before this one has not come, so this one has to wait."""
         life = life_key(batch)
         last = int(self.store.get(life) or b"0")
         if batch.number <= last:
-            return Taken(False)
+            return IngestResult(False)
         if batch.number != last + 1:
-            place = f"{batch.gateway} {batch.life}"
+            place = f"{batch.gateway} {batch.process_id}"
             raise ValidationError(
                 place, f"batch {batch.number} came, and {last + 1} has not", "take them in order"
             )
-        closed, late, writes = self.closed(), 0, [Write(life, b"%d" % batch.number)]
+        closed, late, writes = self.closed_until(), 0, [Write(life, b"%d" % batch.number)]
         for row, more in batch.rows.items():
             # Danger: a closed hour is sealed and billed. What comes for it now is a line of its own.
-            at = row_key(row, b"adjust" if row.hour < closed else b"row")
+            at = encode_row_key(row, b"adjust" if row.hour < closed else b"row")
             late += row.hour < closed
             total = self._sum(at)
             total.add(more)
             writes.append(Write(at, json.dumps([total.tries, total.units, total.settled]).encode()))
         self.store.batch(writes)
-        return Taken(True, late)
+        return IngestResult(True, late)
 
-    def closed(self) -> int:
-        return int(self.store.get(CLOSED) or b"0")
+    def closed_until(self) -> int:
+        return int(self.store.get(CLOSED_KEY) or b"0")
 
-    def close(self, hour: int) -> None:
+    def close_hours(self, hour: int) -> None:
         """No hour before this one changes any more.
 
         Raises ValidationError for one that would open hours again.
         """
-        if hour < self.closed():
+        if hour < self.closed_until():
             raise ValidationError(
-                "hour", f"is {hour}, and all before {self.closed()} are closed", "give a later one"
+                "hour", f"is {hour}, and all before {self.closed_until()} are closed", "give a later one"
             )
-        self.store.put(CLOSED, b"%d" % hour)
+        self.store.put(CLOSED_KEY, b"%d" % hour)
 
-    def rows(self, kind: bytes = b"row", start: int = 0, end: int = 10**8) -> Iterator[tuple[Row, Sum]]:
+    def rows(
+        self, kind: bytes = b"row", start: int = 0, end: int = 10**8
+    ) -> Iterator[tuple[UsageKey, UsageTotals]]:
         """In the order of their keys: of hours from `start` until before `end`."""
         prefix = b"use/" + kind + b"/"
         for record in self.store.scan(prefix, prefix + b"%08d" % start, prefix + b"%08d" % end):
             tries, units, settled = json.loads(record.value)
-            yield read_key(record.key), Sum(tries, units, settled)
+            yield read_key(record.key), UsageTotals(tries, units, settled)
 
-    def _sum(self, at: bytes) -> Sum:
+    def _sum(self, at: bytes) -> UsageTotals:
         value = self.store.get(at)
-        return Sum(*json.loads(value)) if value else Sum()
+        return UsageTotals(*json.loads(value)) if value else UsageTotals()
 
 
 def life_key(batch: Batch) -> bytes:
-    return f"use/life/{quote(batch.gateway, safe='')}/{quote(batch.life, safe='')}".encode()
+    return f"use/life/{quote(batch.gateway, safe='')}/{quote(batch.process_id, safe='')}".encode()
 
 
-def row_key(row: Row, kind: bytes) -> bytes:
-    names = f"{row.customer}/{row.plan}/{row.version:08d}/{row.override:08d}/{quote(row.kind, safe='')}"
+def encode_row_key(row: UsageKey, kind: bytes) -> bytes:
+    names = (
+        f"{row.customer}/{row.plan}/{row.version:08d}/{row.override:08d}/{quote(row.request_class, safe='')}"
+    )
     return b"use/%b/%08d/%b" % (kind, row.hour, names.encode())
 
 
-def read_key(key: bytes) -> Row:
+def read_key(key: bytes) -> UsageKey:
     _, _, hour, customer, plan, version, override, kind = key.decode().split("/")
-    return Row(customer, plan, int(version), int(override), unquote(kind), int(hour))
+    return UsageKey(customer, plan, int(version), int(override), unquote(kind), int(hour))
--- a/roadpulley/usage/meter.py
+++ b/roadpulley/usage/meter.py
@@ -12,14 +12,14 @@
 from roadpulley.core.command import Command
 
 from . import spool
-from .tally import FLUSH_MS, Batch, Row, Tally
+from .accumulator import FLUSH_INTERVAL_MS, Batch, UsageAccumulator, UsageKey
 
 log = logging.getLogger(__name__)
 
-Versions = Callable[[str, str], tuple[str, int, int]]  # of a customer and the plan its request names
+PlanVersionLookup = Callable[[str, str], tuple[str, int, int]]  # of a customer and the plan its request names
 
 
-def settings_only(customer: str, plan: str) -> tuple[str, int, int]:
+def look_up_unversioned(customer: str, plan: str) -> tuple[str, int, int]:
     """Without a book of plans: those of the deployment's settings, which have no versions."""
     return plan, 0, 0
 
@@ -28,10 +28,10 @@
     """Counts stay in memory for FLUSH_MS and the time of a write: so much SIGKILL can lose, and no more."""
 
     def __init__(
-        self, folder: Path, gateway: str, timers: Timers, versions: Versions = settings_only
+        self, folder: Path, gateway: str, timers: Timers, versions: PlanVersionLookup = look_up_unversioned
     ) -> None:
         self.folder, self.timers, self.versions = folder, timers, versions
-        self.tally = Tally(gateway, secrets.token_hex(8))
+        self.tally = UsageAccumulator(gateway, secrets.token_hex(8))
         self.loop = asyncio.get_running_loop()
         self.writing: asyncio.Future[int] | None = None
         self.failing = ""
@@ -39,17 +39,19 @@
         folder.mkdir(parents=True, exist_ok=True)
         self._tick()
 
-    def record_sent(self, command: Command) -> Row | None:
+    def record_sent(self, command: Command) -> UsageKey | None:
         versions = self.versions(command.customer, command.plan)
-        return self.tally.sent(now_ms(), command.customer, versions, command.request_class, command.units)
+        return self.tally.count_sent(
+            now_ms(), command.customer, versions, command.request_class, command.units
+        )
 
-    def record_settled(self, row: Row, command: Command, true: float) -> None:
-        self.tally.settled(now_ms(), row, command.units, true)
+    def record_settled(self, row: UsageKey, command: Command, true: float) -> None:
+        self.tally.count_settled(now_ms(), row, command.units, true)
 
     def _tick(self) -> None:
-        if self.writing is None and (self.tally.held or self.tally.due(now_ms())):
-            self._write(self.tally.close(now_ms()))
-        self.timers.call_at(now_ms() + FLUSH_MS / 4, self._tick)
+        if self.writing is None and (self.tally.unwritten_batches or self.tally.is_due(now_ms())):
+            self._write(self.tally.close_batch(now_ms()))
+        self.timers.call_at(now_ms() + FLUSH_INTERVAL_MS / 4, self._tick)
 
     def _write(self, batches: list[Batch]) -> None:
         self.writing = self.loop.run_in_executor(None, written, self.folder, batches)
@@ -61,25 +63,25 @@
             return
         error = done.exception()
         if error is None:
-            self.tally.written(done.result())
+            self.tally.confirm_written(done.result())
         if (said := str(error or "")) != self.failing:
             self.failing = said
             log.error("use cannot be written, and is kept: %s", said) if said else log.info(
                 "use is written again"
             )
-        if self.tally.dropped > self.told:
+        if self.tally.dropped_tries > self.told:
             log.error(
-                "use of %d tries was dropped: no batch could be written", self.tally.dropped - self.told
+                "use of %d tries was dropped: no batch could be written", self.tally.dropped_tries - self.told
             )
-            self.told = self.tally.dropped
+            self.told = self.tally.dropped_tries
 
     async def close(self) -> None:
         """Write what is counted; called once nothing more is sent on."""
         while self.writing is not None:
             await asyncio.wait({self.writing})
             await asyncio.sleep(0)
-        if batches := self.tally.close(now_ms()):
-            self.tally.written(await self.loop.run_in_executor(None, written, self.folder, batches))
+        if batches := self.tally.close_batch(now_ms()):
+            self.tally.confirm_written(await self.loop.run_in_executor(None, written, self.folder, batches))
 
 
 def written(folder: Path, batches: list[Batch]) -> int:
--- a/roadpulley/usage/periods.py
+++ b/roadpulley/usage/periods.py
@@ -22,8 +22,8 @@
 from roadpulley.checks import ValidationError
 from roadpulley.store import Write
 
-from .books import CLOSED, Books, row_key
-from .tally import MILLI, Row, Sum
+from .accumulator import MILLIUNITS_PER_UNIT, UsageKey, UsageTotals
+from .ledger import CLOSED_KEY, UsageLedger, encode_row_key
 
 NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,31}")
 HEAD = ("hour", "customer", "plan", "version", "override", "class", "tries", "units")
@@ -46,25 +46,25 @@
 class Adjustment:
     period: str
     number: int
-    made_at: int
+    created_at_ms: int
     lines: tuple[tuple[str, ...], ...]
     signature: str  # HMAC-SHA256 of period, number, time and lines
 
 
-class Periods:
-    def __init__(self, books: Books) -> None:
-        self.books, self.store = books, books.store
+class BillingPeriods:
+    def __init__(self, ledger: UsageLedger) -> None:
+        self.ledger, self.store = ledger, ledger.store
 
-    def all(self) -> list[Period]:
+    def list_all(self) -> list[Period]:
         rows = self.store.scan(b"use/period/")
         found = [Period(r.key.decode().rpartition("/")[2], **json.loads(r.value)) for r in rows]
         return sorted(found, key=lambda p: p.start)
 
     def find(self, name: str) -> Period:
-        for period in self.all():
+        for period in self.list_all():
             if period.name == name:
                 return period
-        known = ", ".join(p.name for p in self.all()) or "none yet"
+        known = ", ".join(p.name for p in self.list_all()) or "none yet"
         raise ValidationError("period", f"{name!r} is not closed", f"the closed ones are: {known}")
 
     def close(self, name: str, start: int, end: int, now_hour: int, now: int) -> Period:
@@ -74,7 +74,7 @@
         Danger: a crash between closing the hours and the seal would let a late batch change what is sealed;
         both are one write.
         """
-        for known in self.all():
+        for known in self.list_all():
             if known.name == name and (known.start, known.end) == (start, end):
                 return known
             if known.name == name or (start < known.end and known.start < end):
@@ -94,12 +94,12 @@
         period = Period(name, start, end, len(lines), digest(lines), now)
         value = {k: v for k, v in asdict(period).items() if k != "name"}
         writes = [Write(b"use/period/" + name.encode(), json.dumps(value).encode(), expect=0)]
-        if end > self.books.closed():
-            writes.append(Write(CLOSED, b"%d" % end))
+        if end > self.ledger.closed_until():
+            writes.append(Write(CLOSED_KEY, b"%d" % end))
         self.store.batch(writes)
         return period
 
-    def lines(self, period: Period) -> list[tuple[str, ...]]:
+    def read_lines(self, period: Period) -> list[tuple[str, ...]]:
         """As they were when it was closed.
 
         Raises ValidationError if not: another hand has changed the store.
@@ -110,21 +110,21 @@
             raise ValidationError(f"period {period.name}", "its lines are not those that were sealed", right)
         return lines
 
-    def adjust(self, period: Period, key: bytes, now: int) -> Adjustment | None:
+    def create_adjustment(self, period: Period, key: bytes, now: int) -> Adjustment | None:
         """What came for its hours after it was closed, as a further adjustment; None where nothing did."""
-        rows = list(self.books.rows(b"adjust", period.start, period.end))
+        rows = list(self.ledger.rows(b"adjust", period.start, period.end))
         if not rows:
             return None
-        number = len(self.adjustments(period)) + 1
-        lines = tuple(line(row, total) for row, total in rows)
+        number = len(self.list_adjustments(period)) + 1
+        lines = tuple(format_line(row, total) for row, total in rows)
         made = Adjustment(period.name, number, now, lines, sign(key, period.name, number, now, lines))
         value = {"made_at": now, "lines": lines, "signature": made.signature}
         at = b"use/adjustment/%b/%08d" % (period.name.encode(), number)
-        moved = [Write(row_key(row, b"adjust"), None) for row, _ in rows]
+        moved = [Write(encode_row_key(row, b"adjust"), None) for row, _ in rows]
         self.store.batch([Write(at, json.dumps(value).encode(), expect=0), *moved])
         return made
 
-    def adjustments(self, period: Period) -> list[Adjustment]:
+    def list_adjustments(self, period: Period) -> list[Adjustment]:
         found = []
         for record in self.store.scan(b"use/adjustment/" + period.name.encode() + b"/"):
             raw, number = json.loads(record.value), int(record.key.rpartition(b"/")[2])
@@ -133,25 +133,28 @@
         return found
 
     def _lines(self, start: int, end: int) -> list[tuple[str, ...]]:
-        return [line(row, total) for row, total in self.books.rows(b"row", start, end)]
+        return [format_line(row, total) for row, total in self.ledger.rows(b"row", start, end)]
 
 
-def line(row: Row, total: Sum) -> tuple[str, ...]:
+def format_line(row: UsageKey, total: UsageTotals) -> tuple[str, ...]:
     """Units as decimal digits with three places: the same text on every machine."""
-    units = f"{'-' if total.units < 0 else ''}{abs(total.units) // MILLI}.{abs(total.units) % MILLI:03d}"
+    units = (
+        f"{'-' if total.units < 0 else ''}{abs(total.units) // MILLIUNITS_PER_UNIT}"
+        f".{abs(total.units) % MILLIUNITS_PER_UNIT:03d}"
+    )
     return (
         str(row.hour),
         row.customer,
         row.plan,
         str(row.version),
         str(row.override),
-        row.kind,
+        row.request_class,
         str(total.tries),
         units,
     )
 
 
-def table(lines: Iterable[tuple[str, ...]]) -> bytes:
+def encode_csv(lines: Iterable[tuple[str, ...]]) -> bytes:
     """CSV (RFC 4180) with a head; the same lines give the same bytes."""
     out = io.StringIO(newline="")
     writer = csv.writer(out)
@@ -161,7 +164,7 @@
 
 
 def digest(lines: list[tuple[str, ...]]) -> str:
-    return hashlib.sha256(table(lines)).hexdigest()
+    return hashlib.sha256(encode_csv(lines)).hexdigest()
 
 
 def sign(key: bytes, period: str, number: int, made_at: int, lines: tuple[tuple[str, ...], ...]) -> str:
@@ -170,8 +173,8 @@
             "key", f"has {len(key)} bytes", f"give {KEY_BYTES} or more, such as `openssl rand 32` makes"
         )
     head = f"{period}\n{number}\n{made_at}\n".encode()
-    return hmac.new(key, head + table(lines), hashlib.sha256).hexdigest()
+    return hmac.new(key, head + encode_csv(lines), hashlib.sha256).hexdigest()
 
 
-def signed(key: bytes, a: Adjustment) -> bool:
-    return hmac.compare_digest(a.signature, sign(key, a.period, a.number, a.made_at, a.lines))
+def is_signature_valid(key: bytes, a: Adjustment) -> bool:
+    return hmac.compare_digest(a.signature, sign(key, a.period, a.number, a.created_at_ms, a.lines))
--- a/roadpulley/usage/settings.py
+++ b/roadpulley/usage/settings.py
@@ -9,7 +9,7 @@
 
 from roadpulley.checks import Table, ValidationError, read_toml
 
-from .closing import EVERY, HOUR_S, Calendar
+from .billing_calendar import HOUR_S, PERIOD_LENGTHS, Calendar
 
 
 @dataclass(frozen=True)
@@ -25,7 +25,7 @@
 
 
 def read_calendar(table: Table) -> Calendar:
-    every, text = table.read_text("every", choices=EVERY), table.read_text("from")
+    every, text = table.read_text("every", choices=PERIOD_LENGTHS), table.read_text("from")
     grace = table.read_int("grace_h", 2, 0, 24 * 31)
     table.reject_unknown_keys()
     try:
--- a/roadpulley/usage/spool.py
+++ b/roadpulley/usage/spool.py
@@ -12,9 +12,9 @@
 
 from roadpulley.checks import ValidationError
 
-from . import batches
-from .books import Books
-from .tally import Batch
+from . import batch_format
+from .accumulator import Batch
+from .ledger import UsageLedger
 
 log = logging.getLogger(__name__)
 
@@ -23,10 +23,10 @@
 
 def write(folder: Path, batch: Batch) -> None:
     """On disk for sure when this returns. Raises OSError: there or not, it is to be written again."""
-    name = folder / f"{quote(batch.gateway, safe='')}-{batch.life}-{batch.number:012d}{SUFFIX}"
+    name = folder / f"{quote(batch.gateway, safe='')}-{batch.process_id}-{batch.number:012d}{SUFFIX}"
     part = name.with_suffix(PART)
     with part.open("wb") as file:
-        file.write(batches.dump(batch))
+        file.write(batch_format.encode_batch(batch))
         file.flush()
         os.fsync(file.fileno())
     part.replace(name)
@@ -38,7 +38,7 @@
         os.close(at)
 
 
-def collect(folder: Path, books: Books) -> tuple[int, int, int]:
+def collect(folder: Path, books: UsageLedger) -> tuple[int, int, int]:
     """Take in what is there; gives batches that were new, known already, and that can't be read.
 
     A file goes once the store has it. What can't be read is set aside under another name, never removed. One
@@ -47,17 +47,17 @@
     new = known = bad = 0
     for file in sorted(folder.glob(f"*{SUFFIX}")):
         try:
-            batch = batches.load(file.read_bytes())
+            batch = batch_format.decode_batch(file.read_bytes())
         except ValidationError as error:
             log.error("%s is set aside: %s", file.name, error)
             file.replace(file.with_suffix(BAD))
             bad += 1
             continue
         try:
-            taken = books.take(batch)
+            taken = books.ingest(batch)
         except ValidationError as error:
             log.warning("%s waits: %s", file.name, error)
             continue
-        new, known = new + taken.new, known + (not taken.new)
+        new, known = new + taken.is_new, known + (not taken.is_new)
         file.unlink()
     return new, known, bad
--- a/roadpulley/workers/worker.py
+++ b/roadpulley/workers/worker.py
@@ -27,7 +27,7 @@
 
 if TYPE_CHECKING:
     from roadpulley.fleet.agent_link import AgentLink
-    from roadpulley.usage.meter import Meter, Versions
+    from roadpulley.usage.meter import Meter, PlanVersionLookup
 
 
 AGENT_SOCKET_ENV = "ROADPULLEY_BESIDE"  # the socket of the instance of a fleet
@@ -92,7 +92,7 @@
                 self.write_message(f"beat {self.driver.get_oldest_request_age_ms():.0f}")
 
 
-def follow_plans(settings: str, driver: Driver) -> Versions:
+def follow_plans(settings: str, driver: Driver) -> PlanVersionLookup:
     """Go by the feed of plans from now on; gives what holds for whom. Raises ConfigError."""
     from roadpulley.checks import ValidationError
     from roadpulley.plans.settings import read_settings
@@ -107,14 +107,16 @@
     return watch.follower.versions
 
 
-def start_metering(settings: str, name: str, driver: Driver, versions: Versions | None) -> Meter:
+def start_metering(settings: str, name: str, driver: Driver, versions: PlanVersionLookup | None) -> Meter:
     """Count what is sent on from now on. Raises ConfigError."""
     from roadpulley.checks import ValidationError
-    from roadpulley.usage.meter import Meter, settings_only
+    from roadpulley.usage.meter import Meter, look_up_unversioned
     from roadpulley.usage.settings import read_settings
 
     try:
-        meter = Meter(read_settings(Path(settings)).spool, name, driver.timers, versions or settings_only)
+        meter = Meter(
+            read_settings(Path(settings)).spool, name, driver.timers, versions or look_up_unversioned
+        )
     except (ValidationError, OSError) as error:
         raise ConfigError(str(error)) from error
     driver.meter = meter
--- a/tests/fleet/test_billing.py
+++ b/tests/fleet/test_billing.py
@@ -11,9 +11,9 @@
 from roadpulley.store import Store
 from roadpulley.testbed.fleet import Fleet, FleetPlan
 from roadpulley.testbed.sink import Sink
-from roadpulley.usage.books import Books
-from roadpulley.usage.periods import Periods
-from roadpulley.usage.tally import Batch, Row, Sum
+from roadpulley.usage.accumulator import Batch, UsageKey, UsageTotals
+from roadpulley.usage.ledger import UsageLedger
+from roadpulley.usage.periods import BillingPeriods
 
 pytestmark = pytest.mark.timeout(90)
 
@@ -22,10 +22,10 @@
 
 def fill_books(folder: Path) -> None:
     with Store.open(folder) as store:
-        periods = Periods(Books(store))
+        periods = BillingPeriods(UsageLedger(store))
         for n in range(FILE_COUNT):
-            row = Row("00000000000000aa", "basic", 1, 0, "view", n)
-            periods.books.take(Batch("n0", "a", n + 1, 0, {row: Sum(1, 5_000, 0)}))
+            row = UsageKey("00000000000000aa", "basic", 1, 0, "view", n)
+            periods.ledger.ingest(Batch("n0", "a", n + 1, 0, {row: UsageTotals(1, 5_000, 0)}))
             periods.close(f"p{n:02}", n, n + 1, 1000, 1)
 
 
--- a/tests/fleet/test_works.py
+++ b/tests/fleet/test_works.py
@@ -24,11 +24,11 @@
 from roadpulley.plans.terms import Terms
 from roadpulley.store import Store, Write, fences
 from roadpulley.testbed.sink import Sink
-from roadpulley.usage.books import Books
-from roadpulley.usage.closing import Calendar, due, period_of
-from roadpulley.usage.periods import Periods
+from roadpulley.usage.accumulator import Batch, UsageKey, UsageTotals
+from roadpulley.usage.billing_calendar import Calendar, find_period, list_due_periods
+from roadpulley.usage.ledger import UsageLedger
+from roadpulley.usage.periods import BillingPeriods
 from roadpulley.usage.settings import UsageSettings, read_settings
-from roadpulley.usage.tally import Batch, Row, Sum
 
 
 def make_held_duty(fence: int, held: bool = True) -> HeldDuty:
@@ -43,11 +43,11 @@
 def close_periods(settings: UsageSettings, *names: str) -> None:
     settings.store.parent.mkdir(exist_ok=True)
     with Store.open(settings.store) as store:
-        periods = Periods(Books(store))
-        done = len(periods.all())
+        periods = BillingPeriods(UsageLedger(store))
+        done = len(periods.list_all())
         for number, name in enumerate(names, done):
-            row = Row("00000000000000aa", "basic", 1, 0, "view", number)
-            periods.books.take(Batch("n0", "a", number + 1, 0, {row: Sum(1, 5_000, 0)}))
+            row = UsageKey("00000000000000aa", "basic", 1, 0, "view", number)
+            periods.ledger.ingest(Batch("n0", "a", number + 1, 0, {row: UsageTotals(1, 5_000, 0)}))
             periods.close(name, number, number + 1, 1000, 1)
 
 
@@ -136,22 +136,22 @@
 
 def test_closer_closes_periods_of_the_calendar_after_their_grace(tmp_path: Path) -> None:
     now = int(time.time()) // 3600
-    _, day_end = period_of("day", now - 48)
+    _, day_end = find_period("day", now - 48)
     settings = make_usage_settings(tmp_path, calendar=Calendar("day", now - 48, 0))
     work = PeriodCloser("close", settings)
     assert work.claim(3, "a") is None
     work.act(make_held_duty(3))
     with Store.open(settings.store) as store:
-        found = Periods(Books(store)).all()
+        found = BillingPeriods(UsageLedger(store)).list_all()
     assert [p.start for p in found][0] == now - 48
     assert found[0].end == day_end
     assert found[-1].end <= now < found[-1].end + 24
     assert PeriodCloser("close", settings).claim(4, "b") is None
     with Store.open(settings.store) as store, pytest.raises(StaleFenceError):
-        late = Periods(Books(fences.FencedStore(store, "close", 3)))
+        late = BillingPeriods(UsageLedger(fences.FencedStore(store, "close", 3)))
         late.close("late", found[-1].end, now + 1, now + 1, 1)
     with Store.open(settings.store) as store:
-        assert Periods(Books(store)).all() == found
+        assert BillingPeriods(UsageLedger(store)).list_all() == found
 
 
 @pytest.mark.parametrize(
@@ -169,10 +169,10 @@
     def hour(text: str) -> int:
         return int(datetime.strptime(text, "%Y-%m-%dT%H").replace(tzinfo=UTC).timestamp()) // 3600
 
-    found = due(Calendar(every, hour(start), 2), 0, hour(now))
+    found = list_due_periods(Calendar(every, hour(start), 2), 0, hour(now))
     assert [d.name for d in found] == names
     assert all(a.end == b.start for a, b in zip(found, found[1:], strict=False))
-    assert due(Calendar(every, hour(start), 2), found[-1].end if found else 0, hour(now)) == []
+    assert list_due_periods(Calendar(every, hour(start), 2), found[-1].end if found else 0, hour(now)) == []
 
 
 def test_feed_of_a_paused_holder_is_rejected(tmp_path: Path) -> None:
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -26,7 +26,7 @@
 from roadpulley.plans import book, records, reserve, terms
 from roadpulley.store.format import Manifest, SealedSegment
 from roadpulley.testbed import ledger
-from roadpulley.usage import periods, push
+from roadpulley.usage import exporter, periods
 
 RECORDED = Path(__file__).with_name("outer_forms.json")
 
@@ -137,7 +137,7 @@
         "manifest": keys(
             json.loads(Manifest((SealedSegment(1, 2, 3, 4),), 5, 6, 7).pack().partition(b"\n")[2])
         ),
-        "usage": attributes(periods.Period, push.Lease, push.Receipt),
+        "usage": attributes(periods.Period, exporter.Lease, exporter.Receipt),
         "ledger": ledger_form(),
     }
 
--- a/tests/usage/test_pushing.py
+++ b/tests/usage/test_export_runner.py
@@ -15,11 +15,11 @@
 from roadpulley.cli import main
 from roadpulley.store import Store
 from roadpulley.testbed.sink import LATE_S, MOODS, Sink
-from roadpulley.usage.books import Books
-from roadpulley.usage.periods import Periods, table
-from roadpulley.usage.push import LEASE_MS
-from roadpulley.usage.pushing import Pushing, Result, read_receipt
-from roadpulley.usage.tally import Batch, Row, Sum
+from roadpulley.usage.accumulator import Batch, UsageKey, UsageTotals
+from roadpulley.usage.export_runner import ExportResult, ExportRunner, parse_receipt
+from roadpulley.usage.exporter import LEASE_DURATION_MS
+from roadpulley.usage.ledger import UsageLedger
+from roadpulley.usage.periods import BillingPeriods, encode_csv
 
 KEY = b"k" * 32
 
@@ -31,19 +31,19 @@
 def made(folder: Path) -> dict[str, bytes]:
     """Two closed periods, one with an adjustment; gives what is to be applied, by path."""
     with Store.open(folder) as store:
-        periods = Periods(Books(store))
+        periods = BillingPeriods(UsageLedger(store))
         for number, hour in enumerate((1, 4, 1), 1):
             if number == 3:
                 first = periods.close("p0", 0, 3, 12, 1)
                 second = periods.close("p1", 3, 6, 12, 1)
-            row = Row("00000000000000aa", "basic", 1, 0, "view", hour)
-            periods.books.take(Batch("n0", "a", number, 0, {row: Sum(1, 5_000 * number, 0)}))
-        late = periods.adjust(first, KEY, 7)
+            row = UsageKey("00000000000000aa", "basic", 1, 0, "view", hour)
+            periods.ledger.ingest(Batch("n0", "a", number, 0, {row: UsageTotals(1, 5_000 * number, 0)}))
+        late = periods.create_adjustment(first, KEY, 7)
         assert late is not None
         return {
-            "/p0.csv": table(periods.lines(first)),
-            "/p0.adjustment-1.csv": table(late.lines),
-            "/p1.csv": table(periods.lines(second)),
+            "/p0.csv": encode_csv(periods.read_lines(first)),
+            "/p0.adjustment-1.csv": encode_csv(late.lines),
+            "/p1.csv": encode_csv(periods.read_lines(second)),
         }
 
 
@@ -56,9 +56,9 @@
         return True
 
 
-def push(folder: Path, sink: Sink, clock: Clock, holder: str = "x", wrap: Any = None) -> Result:
+def push(folder: Path, sink: Sink, clock: Clock, holder: str = "x", wrap: Any = None) -> ExportResult:
     with Store.open(folder) as store, httpx.Client(base_url=sink.url, timeout=LATE_S / 3) as client:
-        pushing = Pushing(Books(store), client, holder, lambda: clock.now, clock.sleep)
+        pushing = ExportRunner(UsageLedger(store), client, holder, lambda: clock.now, clock.sleep)
         if wrap is not None:
             wrap(pushing)
         return pushing.run()
@@ -78,27 +78,27 @@
     due, clock = made(folder), Clock()
     with Sink() as sink:
         sink.moods.extend(moods)
-        assert push(folder, sink, clock) == Result(pushed=3)
+        assert push(folder, sink, clock) == ExportResult(pushed=3)
         assert applied(sink) == due
         before = sink.pushes
-        assert push(folder, sink, clock) == Result() and sink.pushes == before
+        assert push(folder, sink, clock) == ExportResult() and sink.pushes == before
 
 
 def test_a_late_answer_and_a_refusal(tmp_path: Path) -> None:
     due, clock = made(tmp_path), Clock()
     with Sink() as sink:
         sink.moods.extend(["late", "well", "422"])
-        assert push(tmp_path, sink, clock) == Result(pushed=2, parked=1)
+        assert push(tmp_path, sink, clock) == ExportResult(pushed=2, parked=1)
         del due["/p0.adjustment-1.csv"]
         assert applied(sink) == due
     with Store.open(tmp_path) as store:
         assert b"no such customer" in (store.get(b"use/parked/p0.adjustment-1") or b"")
 
 
-def crashing(at: int, after: bool) -> Callable[[Pushing], None]:
+def crashing(at: int, after: bool) -> Callable[[ExportRunner], None]:
     """The process ends at its `at`th step outwards, before it is done or after."""
 
-    def wrap(pushing: Pushing) -> None:
+    def wrap(pushing: ExportRunner) -> None:
         count = 0
 
         def counted(real: Callable[..., Any]) -> Callable[..., Any]:
@@ -145,23 +145,25 @@
 ) -> None:
     due, clock = made(tmp_path), Clock()
 
-    def held_up(pushing: Pushing) -> None:
+    def held_up(pushing: ExportRunner) -> None:
         real = pushing.client.put
 
         def put(*args: Any, **more: Any) -> httpx.Response:
             answer = real(*args, **more)
             pushing.client.put = real  # type: ignore[method-assign]
-            clock.now += LEASE_MS  # and meanwhile another has taken over, and does all of it or gets nowhere
+            clock.now += (
+                LEASE_DURATION_MS  # and meanwhile another has taken over, and does all of it or gets nowhere
+            )
             sink.moods.extend([] if finishes else ["500"])
             sleep = clock.sleep if finishes else lambda ms: False
-            other = Pushing(pushing.books, pushing.client, "y", lambda: clock.now, sleep)
-            assert other.run() == (Result(pushed=3) if finishes else Result(left=3))
+            other = ExportRunner(pushing.ledger, pushing.client, "y", lambda: clock.now, sleep)
+            assert other.run() == (ExportResult(pushed=3) if finishes else ExportResult(remaining=3))
             return answer
 
         pushing.client.put = put  # type: ignore[method-assign]
 
     with Sink() as sink:
-        assert push(tmp_path, sink, clock, "x", held_up) == Result(pushed=0 if finishes else 3)
+        assert push(tmp_path, sink, clock, "x", held_up) == ExportResult(pushed=0 if finishes else 3)
         assert applied(sink) == due and sink.fence == (2 if finishes else 3)
     with Store.open(tmp_path) as store:  # none under the lease that was lost
         assert {json.loads(r.value)["fence"] for r in store.scan(b"use/receipt/")} == {sink.fence}
@@ -187,5 +189,5 @@
 
 @given(data=st.binary(max_size=40))
 def test_what_is_no_receipt_is_none(data: bytes) -> None:
-    assert read_receipt(data) is None
-    assert read_receipt(b'{"key": 1, "digest": "a"}') is None
+    assert parse_receipt(data) is None
+    assert parse_receipt(b'{"key": 1, "digest": "a"}') is None
--- a/tests/usage/test_push_model.py
+++ b/tests/usage/test_exporter_model.py
@@ -13,8 +13,19 @@
 
 import pytest
 
-from roadpulley.usage import push
-from roadpulley.usage.push import Document, Done, Exporter, Keep, Lease, Park, Push, Receipt, TakeLease, Wait
+from roadpulley.usage import exporter
+from roadpulley.usage.exporter import (
+    AcquireLease,
+    Document,
+    Exporter,
+    Finish,
+    Lease,
+    ParkDocument,
+    PushDocument,
+    Receipt,
+    StoreReceipt,
+    Wait,
+)
 
 DOCS = (Document("p0", "a" * 64), Document("p0.adjustment-1", "b" * 64))
 CRASHES, RUNS_OUT, LOST, HALVES = 2, 2, 1, 1
@@ -37,7 +48,9 @@
         return now, 200, Receipt(key, document.digest)
 
 
-Actor = tuple[push.Action | None, Lease | None, tuple[Document, ...]]  # its next action, lease, what is left
+Actor = tuple[
+    exporter.Action | None, Lease | None, tuple[Document, ...]
+]  # its next action, lease, what is left
 
 
 @dataclass(frozen=True)
@@ -69,10 +82,10 @@
     for who, (action, lease, waiting) in enumerate(world.actors):
         actor = kind(f"x{who}", lease, 0, list(waiting))
 
-        def after(base: World, action: push.Action, who: int = who, actor: Exporter = actor) -> World:
+        def after(base: World, action: exporter.Action, who: int = who, actor: Exporter = actor) -> World:
             """The actor's next action is known; Wait and Done bring it back to its beginning."""
-            ready = None if isinstance(action, Wait | Done) else action
-            mine = (ready, actor.lease, tuple(actor.waiting))
+            ready = None if isinstance(action, Wait | Finish) else action
+            mine = (ready, actor.lease, tuple(actor.pending))
             return replace(base, actors=tuple(mine if n == who else a for n, a in enumerate(base.actors)))
 
         if action is not None and world.crashes:
@@ -83,36 +96,36 @@
                 actors=tuple(gone if n == who else a for n, a in enumerate(world.actors)),
             )
             yield fallen
-            if isinstance(action, Push):  # it was on its way
+            if isinstance(action, PushDocument):  # it was on its way
                 sent = (action.document, key(action.document, action.fence), action.fence)
                 yield replace(fallen, flying=(*fallen.flying, sent))
         match action:
             case None:
-                began = actor.begin(world.now, world.lease, left(world))
-                if not isinstance(began, Wait | Done):
+                began = actor.start_round(world.now, world.lease, left(world))
+                if not isinstance(began, Wait | Finish):
                     yield after(world, began)
-            case TakeLease(taken, over):
+            case AcquireLease(taken, over):
                 fits = world.lease == over
                 following = replace(world, lease=taken) if fits else world
-                yield after(following, actor.leased(taken if fits else None, left(world)))
-            case Push(document, fence):
+                yield after(following, actor.on_lease_result(taken if fits else None, left(world)))
+            case PushDocument(document, fence):
                 for half in (False, True)[: 1 + bool(world.halves)]:
                     sink, status, receipt = world.sink.take(document, key(document, fence), fence, half)
                     came = replace(world, sink=sink, halves=world.halves - half)
-                    actor.lease, actor.waiting = lease, list(waiting)
-                    yield after(came, actor.answered(status, receipt))
+                    actor.lease, actor.pending = lease, list(waiting)
+                    yield after(came, actor.on_response(status, receipt))
                 if world.lost:  # it arrived, and its answer did not; or it arrives later
-                    actor.lease, actor.waiting = lease, list(waiting)
-                    again = actor.answered(None, None)
+                    actor.lease, actor.pending = lease, list(waiting)
+                    again = actor.on_response(None, None)
                     sink, _, _ = world.sink.take(document, key(document, fence), fence, False)
                     yield after(replace(world, sink=sink, lost=world.lost - 1), again)
                     sent = (document, key(document, fence), fence)
                     yield after(replace(world, lost=world.lost - 1, flying=(*world.flying, sent)), again)
-            case Keep(document, _, held):
+            case StoreReceipt(document, _, held):
                 fits = world.lease == held
                 names = (*world.receipts, document.name) if fits else world.receipts
-                yield after(replace(world, receipts=names), actor.kept(fits))
-            case Park():
+                yield after(replace(world, receipts=names), actor.on_write_result(fits))
+            case ParkDocument():
                 raise Broken("parked, and the sink takes everything")
     for number, (document, sent_key, fence) in enumerate(world.flying):
         sink, _, _ = world.sink.take(document, sent_key, fence, False)
@@ -163,35 +176,35 @@
 class NoDigest(Exporter):
     """Takes any receipt."""
 
-    def answered(self, status: int | None, receipt: Receipt | None, why: str = "") -> push.Action:
-        document = self.waiting[0]
+    def on_response(self, status: int | None, receipt: Receipt | None, why: str = "") -> exporter.Action:
+        document = self.pending[0]
         if receipt is not None:
             receipt = Receipt(document.key, document.digest)
-        return super().answered(status, receipt, why)
+        return super().on_response(status, receipt, why)
 
 
 class Hasty(Exporter):
     """Keeps a receipt for an answer that did not come."""
 
-    def answered(self, status: int | None, receipt: Receipt | None, why: str = "") -> push.Action:
-        document = self.waiting[0]
-        return super().answered(200, Receipt(document.key, document.digest), why)
+    def on_response(self, status: int | None, receipt: Receipt | None, why: str = "") -> exporter.Action:
+        document = self.pending[0]
+        return super().on_response(200, Receipt(document.key, document.digest), why)
 
 
 class OldList(Exporter):
     """Goes by what was left before it had the lease."""
 
-    def leased(self, taken: Lease | None, left: list[Document]) -> push.Action:
-        return super().leased(taken, self.waiting)
+    def on_lease_result(self, taken: Lease | None, left: list[Document]) -> exporter.Action:
+        return super().on_lease_result(taken, self.pending)
 
 
 class SameFence(Exporter):
     """Takes over with the fence of the one before."""
 
-    def begin(self, now: int, lease: Lease | None, left: list[Document]) -> push.Action:
-        action = super().begin(now, lease, left)
-        if isinstance(action, TakeLease) and lease is not None:
-            return TakeLease(replace(action.lease, fence=lease.fence), action.over)
+    def start_round(self, now: int, lease: Lease | None, left: list[Document]) -> exporter.Action:
+        action = super().start_round(now, lease, left)
+        if isinstance(action, AcquireLease) and lease is not None:
+            return AcquireLease(replace(action.lease, fence=lease.fence), action.over)
         return action
 
 
@@ -216,13 +229,15 @@
      (503, "later"), (429, "later"), (408, "later"), (302, "later"), (100, "later"), (None, "later")],
 )  # fmt: skip
 def test_answers_are_judged_by_their_status(status: int | None, verdict: str) -> None:
-    assert push.judge(status).value == verdict
+    assert exporter.classify_status(status).value == verdict
 
 
 def test_failures_wait_ever_longer_and_a_refusal_is_parked_with_its_reason() -> None:
     x = Exporter("x", Lease("x", 3, 10**9), 0, list(DOCS))
-    waits = [x.answered(503, None) for _ in range(9)]
+    waits = [x.on_response(503, None) for _ in range(9)]
     assert [w.ms for w in waits if isinstance(w, Wait)] == [500 * 2**n for n in range(7)] + [60_000] * 2
-    assert x.answered(422, None, "another payload") == Park(DOCS[0], "another payload", Lease("x", 3, 10**9))
-    assert x.kept(True) == Push(DOCS[1], 3)
-    assert x.answered(409, None) == Wait(push.LEASE_MS) and x.lease is None
+    assert x.on_response(422, None, "another payload") == ParkDocument(
+        DOCS[0], "another payload", Lease("x", 3, 10**9)
+    )
+    assert x.on_write_result(True) == PushDocument(DOCS[1], 3)
+    assert x.on_response(409, None) == Wait(exporter.LEASE_DURATION_MS) and x.lease is None
--- a/tests/usage/test_books.py
+++ b/tests/usage/test_ledger.py
@@ -14,9 +14,9 @@
 
 from roadpulley.checks import ValidationError
 from roadpulley.store import Store
-from roadpulley.usage import batches, spool, tally
-from roadpulley.usage.books import Books
-from roadpulley.usage.tally import HOUR_MS, Batch, Row, Sum, Tally
+from roadpulley.usage import accumulator, batch_format, spool
+from roadpulley.usage.accumulator import HOUR_MS, Batch, UsageAccumulator, UsageKey, UsageTotals
+from roadpulley.usage.ledger import UsageLedger
 
 WHO = "00000000000000aa"
 NOW = 498_926 * HOUR_MS
@@ -31,7 +31,12 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.left, self.done = 10**9, True
-        for owner, name in ((spool.os, "fsync"), (Path, "replace"), (Path, "unlink"), (Books, "take")):
+        for owner, name in (
+            (spool.os, "fsync"),
+            (Path, "replace"),
+            (Path, "unlink"),
+            (UsageLedger, "ingest"),
+        ):
             monkeypatch.setattr(owner, name, self.counted(getattr(owner, name)))
 
     def counted(self, real: Any) -> Any:
@@ -63,8 +68,8 @@
     with TemporaryDirectory() as place, pytest.MonkeyPatch.context() as patch:
         folder, seen = Path(place) / "spool", dict[str, bytes]()
         folder.mkdir()
-        steps, counted, lives = Steps(patch), Counter[Row](), 1
-        gateway, sent = Tally("n0", "1"), list[tuple[Row, float]]()
+        steps, counted, lives = Steps(patch), Counter[UsageKey](), 1
+        gateway, sent = UsageAccumulator("n0", "1"), list[tuple[UsageKey, float]]()
 
         def keep() -> None:
             seen.update({f.name: f.read_bytes() for f in folder.glob("*.use")})
@@ -72,9 +77,9 @@
         def flush(limit: int, done: bool) -> None:
             steps.left, steps.done = limit or 10**9, done
             try:
-                for batch in gateway.close(NOW):
+                for batch in gateway.close_batch(NOW):
                     spool.write(folder, batch)
-                    gateway.written(batch.number)
+                    gateway.confirm_written(batch.number)
             except Crash:
                 pass  # to the gateway an error of the disk: it goes on, and writes again
             finally:
@@ -85,7 +90,7 @@
             steps.left, steps.done = limit or 10**9, done
             try:
                 with Store.open(Path(place) / "store") as store:
-                    spool.collect(folder, Books(store))
+                    spool.collect(folder, UsageLedger(store))
             except Crash:
                 pass
             finally:
@@ -93,13 +98,15 @@
 
         for step in todo:
             if step[0] == "count":
-                row = gateway.sent(NOW + step[1] * HOUR_MS, WHO, ("basic", 1, 0), "view", float(step[2]))
+                row = gateway.count_sent(
+                    NOW + step[1] * HOUR_MS, WHO, ("basic", 1, 0), "view", float(step[2])
+                )
                 assert row is not None
                 counted[row] += step[2] * 1_000
                 sent.append((row, float(step[2])))
             elif step[0] == "settle" and sent:
                 row, guess = sent.pop(step[1] % len(sent))
-                gateway.settled(NOW, row, guess, step[2] / 4)
+                gateway.count_settled(NOW, row, guess, step[2] / 4)
                 counted[row] += step[2] * 250 - round(guess * 1_000)
             elif step[0] == "flush":
                 flush(*step[1:])
@@ -109,35 +116,44 @@
                 name = sorted(seen)[step[1] % len(seen)]
                 (folder / name).write_bytes(seen[name])
             elif step[0] == "kill":
-                lost = [b for b in gateway.held if f"n0-{gateway.life}-{b.number:012d}.use" not in seen]
+                lost = [
+                    b
+                    for b in gateway.unwritten_batches
+                    if f"n0-{gateway.process_id}-{b.number:012d}.use" not in seen
+                ]
                 for rows in [gateway.rows, *(b.rows for b in lost)]:
                     for row, s in rows.items():
                         counted[row] -= s.units
                 lives += 1
-                gateway, sent = Tally("n0", str(lives)), []
+                gateway, sent = UsageAccumulator("n0", str(lives)), []
         flush(0, True)
         collect(0, True)
         with Store.open(Path(place) / "store") as store:
-            billed = {row: s.units for row, s in Books(store).rows()}
+            billed = {row: s.units for row, s in UsageLedger(store).rows()}
         assert {r: u for r, u in billed.items() if u} == {r: u for r, u in counted.items() if u}
         shutil.rmtree(folder)
 
 
 def batch(number: int, hour: int = 10, units: int = 5_000) -> Batch:
-    return Batch("n0", "a", number, NOW, {Row(WHO, "basic", 1, 0, "view", hour): Sum(1, units, 0)})
+    return Batch(
+        "n0", "a", number, NOW, {UsageKey(WHO, "basic", 1, 0, "view", hour): UsageTotals(1, units, 0)}
+    )
 
 
 def test_what_comes_after_an_hour_was_closed_is_a_line_of_its_own(tmp_path: Path) -> None:
     with Store.open(tmp_path) as store:
-        books = Books(store)
-        books.take(batch(1))
-        books.close(11)
-        assert books.take(batch(2, units=-2_000)).late == 1 and books.take(batch(3, hour=11)).late == 0
+        books = UsageLedger(store)
+        books.ingest(batch(1))
+        books.close_hours(11)
+        assert (
+            books.ingest(batch(2, units=-2_000)).late_rows == 1
+            and books.ingest(batch(3, hour=11)).late_rows == 0
+        )
         assert [s.units for _, s in books.rows(b"row", 10, 11)] == [5_000]
         assert [s.units for _, s in books.rows(b"adjust")] == [-2_000]
         assert [r.hour for r, _ in books.rows(b"row", 11)] == [11]
         with pytest.raises(ValidationError, match="all before 11 are closed"):
-            books.close(10)
+            books.close_hours(10)
 
 
 def test_a_gap_waits_and_a_damaged_file_is_set_aside(tmp_path: Path) -> None:
@@ -145,10 +161,10 @@
     folder.mkdir()
     spool.write(folder, batch(2))
     with Store.open(tmp_path / "store") as store:
-        books = Books(store)
+        books = UsageLedger(store)
         assert spool.collect(folder, books) == (0, 0, 0) and len(list(folder.iterdir())) == 1
         spool.write(folder, batch(1))
-        (folder / "n0-b-000000000001.use").write_bytes(batches.dump(batch(1))[:-9])
+        (folder / "n0-b-000000000001.use").write_bytes(batch_format.encode_batch(batch(1))[:-9])
         assert spool.collect(folder, books) == (2, 0, 1)
         assert [f.suffix for f in folder.iterdir()] == [".bad"]
         assert sum(s.units for _, s in books.rows()) == 10_000
@@ -157,24 +173,24 @@
 def test_a_disk_that_stays_full_bounds_memory_and_the_loss_is_counted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(tally, "MOST_ROWS", 3)
-    monkeypatch.setattr(tally, "MOST_HELD", 2)
-    gateway = Tally("n0", "a")
-    rows = [gateway.sent(NOW, f"{n:016x}", ("basic", 1, 0), "view", 1.0) for n in range(12)]
-    assert [r is not None for r in rows] == [True] * 9 + [False] * 3 and gateway.dropped == 3
-    assert sum(len(b.rows) for b in gateway.held) + len(gateway.rows) == 9
-    gateway.written(1)
-    assert [b.number for b in gateway.held] == [2]
-    assert gateway.sent(NOW, f"{99:016x}", ("basic", 1, 0), "view", 1.0) is not None
+    monkeypatch.setattr(accumulator, "MAX_BATCH_ROWS", 3)
+    monkeypatch.setattr(accumulator, "MAX_UNWRITTEN_BATCHES", 2)
+    gateway = UsageAccumulator("n0", "a")
+    rows = [gateway.count_sent(NOW, f"{n:016x}", ("basic", 1, 0), "view", 1.0) for n in range(12)]
+    assert [r is not None for r in rows] == [True] * 9 + [False] * 3 and gateway.dropped_tries == 3
+    assert sum(len(b.rows) for b in gateway.unwritten_batches) + len(gateway.rows) == 9
+    gateway.confirm_written(1)
+    assert [b.number for b in gateway.unwritten_batches] == [2]
+    assert gateway.count_sent(NOW, f"{99:016x}", ("basic", 1, 0), "view", 1.0) is not None
 
 
 @given(data=st.binary(max_size=80), cut=st.integers(0, 200), flip=st.integers(0, 400))
 @settings(max_examples=200, deadline=None)
 def test_bytes_that_are_no_whole_batch_are_refused(data: bytes, cut: int, flip: int) -> None:
-    good = batches.dump(batch(1))
-    assert batches.load(good) == batch(1)
+    good = batch_format.encode_batch(batch(1))
+    assert batch_format.decode_batch(good) == batch(1)
     flipped = bytearray(good)
     flipped[flip % len(good)] ^= 1
     for bad in (data, good[: min(cut, len(good) - 1)], bytes(flipped), good + data if data else b""):
         with pytest.raises(ValidationError):
-            batches.load(bad)
+            batch_format.decode_batch(bad)
--- a/tests/usage/test_periods.py
+++ b/tests/usage/test_periods.py
@@ -16,9 +16,9 @@
 from roadpulley.cli import main
 from roadpulley.store import Store
 from roadpulley.usage import spool
-from roadpulley.usage.books import Books
-from roadpulley.usage.periods import Periods, line, signed, table
-from roadpulley.usage.tally import Batch, Row, Sum
+from roadpulley.usage.accumulator import Batch, UsageKey, UsageTotals
+from roadpulley.usage.ledger import UsageLedger
+from roadpulley.usage.periods import BillingPeriods, encode_csv, format_line, is_signature_valid
 
 KEY = b"k" * 32
 WHO = ("00000000000000aa", "00000000000000bb")
@@ -47,38 +47,38 @@
         counted: Counter[tuple[str, str]] = Counter()
         exported = dict[str, bytes]()
         for step in todo:
-            periods = Periods(Books(store))
+            periods = BillingPeriods(UsageLedger(store))
             if step[0] == "batch":
                 number += 1
-                row = Row(WHO[step[2]], "basic", 1, 0, "view", step[1])
-                periods.books.take(Batch("n0", "a", number, 0, {row: Sum(1, step[3], 0)}))
+                row = UsageKey(WHO[step[2]], "basic", 1, 0, "view", step[1])
+                periods.ledger.ingest(Batch("n0", "a", number, 0, {row: UsageTotals(1, step[3], 0)}))
                 counted[str(step[1]), row.customer] += step[3]
             elif step[0] == "close":
                 try:
                     period = periods.close(f"p{step[1]}", 3 * step[1], 3 * step[1] + 3, 12, 1)
                 except ValidationError:
                     continue
-                data = table(periods.lines(period))
+                data = encode_csv(periods.read_lines(period))
                 assert exported.setdefault(period.name, data) == data
             elif step[0] == "adjust" and f"p{step[1]}" in exported:
-                made = periods.adjust(periods.find(f"p{step[1]}"), KEY, 1)
-                assert made is None or signed(KEY, made)
+                made = periods.create_adjustment(periods.find(f"p{step[1]}"), KEY, 1)
+                assert made is None or is_signature_valid(KEY, made)
             elif step[0] == "reopen":
                 store.close()
                 store = Store.open(place)
-        periods = Periods(Books(store))
-        billed = thousandths(line(*each) for each in periods.books.rows(b"adjust"))
-        for period in periods.all():
+        periods = BillingPeriods(UsageLedger(store))
+        billed = thousandths(format_line(*each) for each in periods.ledger.rows(b"adjust"))
+        for period in periods.list_all():
             assert (
-                table(periods.lines(period)) == exported[period.name]
+                encode_csv(periods.read_lines(period)) == exported[period.name]
             )  # the same bytes, whatever came since
-            billed.update(thousandths(periods.lines(period)))
-            for number, each in enumerate(periods.adjustments(period), 1):
-                assert each.number == number and signed(KEY, each)
+            billed.update(thousandths(periods.read_lines(period)))
+            for number, each in enumerate(periods.list_adjustments(period), 1):
+                assert each.number == number and is_signature_valid(KEY, each)
                 for (hour, who), units in thousandths(each.lines).items():
                     billed[hour, who] += units
-        done = {p.start for p in periods.all()}
-        for row, total in periods.books.rows(b"row"):
+        done = {p.start for p in periods.list_all()}
+        for row, total in periods.ledger.rows(b"row"):
             if row.hour // 3 * 3 not in done:
                 billed[str(row.hour), row.customer] += total.units
         assert {k: v for k, v in billed.items() if v} == {k: v for k, v in counted.items() if v}
@@ -87,22 +87,24 @@
 
 def test_a_line_that_was_changed_stops_the_export_and_a_forged_adjustment_is_told(tmp_path: Any) -> None:
     with Store.open(tmp_path) as store:
-        periods = Periods(Books(store))
-        row = Row(WHO[0], "basic", 1, 0, "view", 1)
-        periods.books.take(Batch("n0", "a", 1, 0, {row: Sum(1, 5_000, 0)}))
+        periods = BillingPeriods(UsageLedger(store))
+        row = UsageKey(WHO[0], "basic", 1, 0, "view", 1)
+        periods.ledger.ingest(Batch("n0", "a", 1, 0, {row: UsageTotals(1, 5_000, 0)}))
         period = periods.close("p0", 0, 3, 12, 1)
-        assert table(periods.lines(period)).endswith(b"1,00000000000000aa,basic,1,0,view,1,5.000\r\n")
-        periods.books.take(Batch("n0", "a", 2, 0, {row: Sum(0, -1_250, 1)}))
-        made = periods.adjust(period, KEY, 7)
-        assert made is not None and made.lines[0][6:] == ("0", "-1.250") and signed(KEY, made)
-        assert periods.adjust(period, KEY, 8) is None  # once only
-        for forged in (replace(made, number=2), replace(made, lines=()), replace(made, made_at=8)):
-            assert not signed(KEY, forged)
-        assert not signed(b"x" * 32, made)
+        assert encode_csv(periods.read_lines(period)).endswith(
+            b"1,00000000000000aa,basic,1,0,view,1,5.000\r\n"
+        )
+        periods.ledger.ingest(Batch("n0", "a", 2, 0, {row: UsageTotals(0, -1_250, 1)}))
+        made = periods.create_adjustment(period, KEY, 7)
+        assert made is not None and made.lines[0][6:] == ("0", "-1.250") and is_signature_valid(KEY, made)
+        assert periods.create_adjustment(period, KEY, 8) is None  # once only
+        for forged in (replace(made, number=2), replace(made, lines=()), replace(made, created_at_ms=8)):
+            assert not is_signature_valid(KEY, forged)
+        assert not is_signature_valid(b"x" * 32, made)
         key = next(record.key for record in store.scan(b"use/row/"))
         store.put(key, b"[1,9000,0]")
         with pytest.raises(ValidationError, match="not those that were sealed"):
-            periods.lines(period)
+            periods.read_lines(period)
 
 
 @pytest.mark.parametrize(
@@ -119,7 +121,7 @@
     name: str, start: int, end: int, said: str, tmp_path: Any
 ) -> None:
     with Store.open(tmp_path) as store:
-        periods = Periods(Books(store))
+        periods = BillingPeriods(UsageLedger(store))
         first = periods.close("p0", 0, 3, 12, 1)
         assert periods.close("p0", 0, 3, 12, 99) == first  # again
         with pytest.raises(ValidationError, match=said):
@@ -127,8 +129,10 @@
         with pytest.raises(ValidationError, match="the closed ones are: p0"):
             periods.find("p9")
         with pytest.raises(ValidationError, match="key: has 3 bytes"):
-            periods.books.take(Batch("n0", "a", 1, 0, {Row(WHO[0], "b", 1, 0, "view", 1): Sum(1, 1, 0)}))
-            periods.adjust(first, b"abc", 1)
+            periods.ledger.ingest(
+                Batch("n0", "a", 1, 0, {UsageKey(WHO[0], "b", 1, 0, "view", 1): UsageTotals(1, 1, 0)})
+            )
+            periods.create_adjustment(first, b"abc", 1)
 
 
 def test_a_period_is_closed_corrected_exported_and_verified_by_commands(
@@ -141,14 +145,14 @@
     def usage(*words: str) -> int:
         return main(["usage", "--settings", str(tmp_path / "usage.toml"), *words])
 
-    row = Row(WHO[0], "basic", 3, 2, "view", 447_000)  # in December of 2020
-    spool.write(tmp_path / "spool", Batch("n/0", "a", 1, 0, {row: Sum(2, 5_500, 0)}))
+    row = UsageKey(WHO[0], "basic", 3, 2, "view", 447_000)  # in December of 2020
+    spool.write(tmp_path / "spool", Batch("n/0", "a", 1, 0, {row: UsageTotals(2, 5_500, 0)}))
     assert usage("collect") == 0
     span = "--from=2020-12-01T00", "--to=2021-01-01T00"
     assert usage("close", "2020-12", *span) == 0 == usage("export", "2020-12", "--to", str(tmp_path / "out"))
     first = {f.name: f.read_bytes() for f in (tmp_path / "out").iterdir()}
     assert first["2020-12.csv"].splitlines()[1:] == [b"447000,00000000000000aa,basic,3,2,view,2,5.500"]
-    spool.write(tmp_path / "spool", Batch("n/0", "a", 2, 0, {row: Sum(0, -500, 1)}))
+    spool.write(tmp_path / "spool", Batch("n/0", "a", 2, 0, {row: UsageTotals(0, -500, 1)}))
     assert usage("collect") == 0 == usage("adjust", "2020-12")
     assert usage("export", "2020-12", "--to", str(tmp_path / "out")) == 0 == usage("verify", "2020-12")
     again = {f.name: f.read_bytes() for f in (tmp_path / "out").iterdir()}
--- a/tests/usage/test_usage_in_service.py
+++ b/tests/usage/test_usage_in_service.py
@@ -19,8 +19,8 @@
 from roadpulley.testbed.installation import Installation
 from roadpulley.testbed.ledger import Ended, Ledger
 from roadpulley.testbed.scenario import DiscoveryKind, Load, Scenario
-from roadpulley.usage.books import Books
-from roadpulley.usage.tally import MILLI
+from roadpulley.usage.accumulator import MILLIUNITS_PER_UNIT
+from roadpulley.usage.ledger import UsageLedger
 
 pytestmark = [pytest.mark.timeout(60), pytest.mark.alone]
 
@@ -32,7 +32,10 @@
         if attempt.last_at is not None and attempt.how != "busy":
             units = attempt.cost if attempt.cost and attempt.how == "served" else attempt.units
             if attempt.id not in tries or attempt.how == "served":
-                tries[attempt.id] = (attempt.customer, attempt.plan, attempt.kind), round(units * MILLI)
+                tries[attempt.id] = (
+                    (attempt.customer, attempt.plan, attempt.kind),
+                    round(units * MILLIUNITS_PER_UNIT),
+                )
     total: Counter[tuple[str, str, str]] = Counter()
     for key, units in tries.values():
         total[key] += units
@@ -81,10 +84,10 @@
     with Store.open(tmp_path / "books") as store:
         billed: Counter[tuple[str, str, str]] = Counter()
         lives = {record.key for record in store.scan(b"use/life/")}
-        for row, total in Books(store).rows():
-            billed[row.customer, row.plan, row.kind] += total.units
+        for row, total in UsageLedger(store).rows():
+            billed[row.customer, row.plan, row.request_class] += total.units
     seen, lost = seen_by_nodes(ledger), Counter[tuple[str, str, str]]()
-    assert len(lives) >= 2 and sum(billed.values()) > 100 * MILLI
+    assert len(lives) >= 2 and sum(billed.values()) > 100 * MILLIUNITS_PER_UNIT
     if number is signal.SIGKILL:
         lost = seen - billed
         second = sum(seen.values()) / scenario.seconds
