--- a/roadpulley/cli/store.py
+++ b/roadpulley/cli/store.py
@@ -82,10 +82,10 @@
         files.unlock()
     for each in found.damage:
         print(each)
-    live = sum(record.kind == 1 for record in found.saved.values())
+    live = sum(record.kind == 1 for record in found.readable.values())
     print(f"{found.segments} segments, {found.batches} batches, {found.records} records, {live} keys")
-    if found.torn:
-        print(f"{found.torn} bytes of a torn end, which nobody was told of: opening cuts them off")
+    if found.torn_bytes:
+        print(f"{found.torn_bytes} bytes of a torn end, which nobody was told of: opening cuts them off")
     print("damaged" if found.damage else "whole")
     return 1 if found.damage else 0
 
@@ -149,7 +149,7 @@
     found = inspect_store(DiskFiles(args.folder), Said("read"))
     for each in found.damage:
         print(each)
-    keys = sum(record.kind == 1 for record in found.saved.values())
+    keys = sum(record.kind == 1 for record in found.readable.values())
     print(f"{keys} keys can be saved, of {found.batches} batches that can be read")
     if args.dry_run:
         return 0
--- a/roadpulley/fleet/works/store_maintenance.py
+++ b/roadpulley/fleet/works/store_maintenance.py
@@ -107,7 +107,7 @@
         """Compacts the store if that is worthwhile and no other process has it open."""
         try:
             with Store.open(self.settings.store) as store:
-                if store.worth_compacting():
+                if store.should_compact():
                     store.compact()
         except LockedError:
             return  # the process that has it open compacts it
--- a/roadpulley/store/aio.py
+++ b/roadpulley/store/aio.py
@@ -35,8 +35,8 @@
         self.loop = asyncio.get_running_loop()
         self.writer = ThreadPoolExecutor(1, "store-writer")
         self.readers = ThreadPoolExecutor(READER_THREADS, "store-reader")
-        self.keeper = ThreadPoolExecutor(1, "store-keeper")
-        self.flushing = self.keeping = self.closing = False
+        self.compactor = ThreadPoolExecutor(1, "store-keeper")
+        self.is_flushing = self.is_compacting = self.is_closing = False
 
     @classmethod
     async def open(cls, folder: Path | str | Files, options: Options | None = None) -> AsyncStore:
@@ -59,13 +59,13 @@
         Raises ConflictError, WriteFailedError, StoreFailedError, ClosedError, ValueError.
         """
         done: asyncio.Future[int] = self.loop.create_future()
-        self.store.enqueue(writes, partial(self._ended, done))
+        self.store.enqueue(writes, partial(self._on_batch_done, done))
         self._flush()
         return await done
 
     def _flush(self) -> None:
-        if not self.flushing:
-            self.flushing = True
+        if not self.is_flushing:
+            self.is_flushing = True
             self.writer.submit(self._write)
 
     def _write(self) -> None:
@@ -73,33 +73,33 @@
         try:
             self.store.flush()
         finally:
-            self.loop.call_soon_threadsafe(self._flushed)
+            self.loop.call_soon_threadsafe(self._on_flushed)
 
-    def _flushed(self) -> None:
-        self.flushing = False
+    def _on_flushed(self) -> None:
+        self.is_flushing = False
         if self.store.queue:
             self._flush()
-        elif not self.keeping and not self.closing and self.store.worth_compacting():
-            self.keeping = True
-            self.keeper.submit(self._keep)
+        elif not self.is_compacting and not self.is_closing and self.store.should_compact():
+            self.is_compacting = True
+            self.compactor.submit(self._compact)
 
-    def _keep(self) -> None:
+    def _compact(self) -> None:
         """In the keeper's thread. What fails is tried again after a later write, and harms nothing."""
         try:
-            self.store.compact(everything=False, stop=lambda: self.closing)
+            self.store.compact(everything=False, stop=lambda: self.is_closing)
         except (OSError, StoreError) as error:
             log.warning("compaction was given up: %s", error)
         finally:
-            self.loop.call_soon_threadsafe(self._kept)
+            self.loop.call_soon_threadsafe(self._on_compacted)
 
-    def _kept(self) -> None:
-        self.keeping = False
+    def _on_compacted(self) -> None:
+        self.is_compacting = False
 
-    def _ended(self, done: asyncio.Future[int], pending: PendingBatch) -> None:
-        self.loop.call_soon_threadsafe(self._tell, done, pending)
+    def _on_batch_done(self, done: asyncio.Future[int], pending: PendingBatch) -> None:
+        self.loop.call_soon_threadsafe(self._resolve_future, done, pending)
 
     @staticmethod
-    def _tell(done: asyncio.Future[int], pending: PendingBatch) -> None:
+    def _resolve_future(done: asyncio.Future[int], pending: PendingBatch) -> None:
         if done.done():
             return
         if pending.error is not None:
@@ -142,13 +142,13 @@
 
     async def close(self) -> None:
         """Write what waits, and let go of the folder. A compaction that runs is stopped."""
-        self.closing = True
-        await self.loop.run_in_executor(None, self.keeper.shutdown)
-        await self.loop.run_in_executor(self.writer, self._end)
+        self.is_closing = True
+        await self.loop.run_in_executor(None, self.compactor.shutdown)
+        await self.loop.run_in_executor(self.writer, self._flush_and_close)
         self.writer.shutdown(wait=False)
         self.readers.shutdown(wait=False)
 
-    def _end(self) -> None:
+    def _flush_and_close(self) -> None:
         self.store.flush()
         self.readers.shutdown(wait=True)
         self.store.close()
--- a/roadpulley/store/care.py
+++ b/roadpulley/store/care.py
@@ -24,8 +24,10 @@
     segments: int = 0
     batches: int = 0
     records: int = 0
-    torn: int = 0  # bytes of a torn end, which opening cuts off
-    saved: dict[bytes, Record] = field(default_factory=dict)  # what can be read, by key: the highest version
+    torn_bytes: int = 0  # bytes of a torn end, which opening cuts off
+    readable: dict[bytes, Record] = field(
+        default_factory=dict
+    )  # what can be read, by key: the highest version
 
 
 def inspect_store(files: Files, progress: Progress = lambda done, of: None) -> InspectionReport:
@@ -37,7 +39,7 @@
     numbers = sorted(n for name in names if (n := parse_number(name, ".seg")) is not None)
     if manifest is not None:
         numbers = sorted([*sealed, manifest.active])
-    total, done = sum(size_of(files, n, names) for n in numbers), 0
+    total, done = sum(get_segment_size(files, n, names) for n in numbers), 0
     for number in numbers:
         name = segment_name(number)
         if name not in names:
@@ -60,7 +62,7 @@
         else:
             decided = plan_recovery(one, manifest.version if manifest else 0)
             found.damage += decided.damage
-            found.torn += decided.cut if not decided.damage else 0
+            found.torn_bytes += decided.cut_bytes if not decided.damage else 0
         collect_records(found, data, one)
         done += len(data)
         progress(done, total)
@@ -89,7 +91,7 @@
         file.close()
 
 
-def size_of(files: Files, number: int, names: list[str]) -> int:
+def get_segment_size(files: Files, number: int, names: list[str]) -> int:
     if segment_name(number) not in names:
         return 0
     file = files.open(segment_name(number))
@@ -101,7 +103,7 @@
 
 def collect_records(found: InspectionReport, data: bytes, one: SegmentScan) -> None:
     """Take in all that can be read of a segment, what stands after damage too."""
-    starts = [(frame.offset, frame.head) for frame in one.frames] + one.later
+    starts = [(frame.offset, frame.header) for frame in one.frames] + one.frames_after_problem
     for offset, head in starts:
         body_at = offset + FRAME_HEADER.size
         body = data[body_at : body_at + head.length]
@@ -109,9 +111,9 @@
         for place in format.unpack_metadata(head, body, body_at, one.salt):
             found.records += 1
             record = format.read_record(data[place.offset : place.offset + place.size], one.salt)
-            known = found.saved.get(record.key)
+            known = found.readable.get(record.key)
             if known is None or known.version <= record.version:
-                found.saved[record.key] = record
+                found.readable[record.key] = record
 
 
 def write_salvaged(found: InspectionReport, target: Files, progress: Progress = lambda done, of: None) -> int:
@@ -119,7 +121,7 @@
 
     Versions are new: whoever remembers one from before finds a conflict, and reads again.
     """
-    kept = [r for _, r in sorted(found.saved.items()) if r.kind != DELETE]
+    kept = [r for _, r in sorted(found.readable.items()) if r.kind != DELETE]
     with Store.open(target, Options()) as store:
         batch: list[Write] = []
         size = 0
--- a/roadpulley/store/compaction.py
+++ b/roadpulley/store/compaction.py
@@ -22,11 +22,14 @@
     from .store import Store
 
 MAX_FRAME_BYTES = 1024 * 1024  # of records in one frame
-SMALL, MANY = 0.25, 8  # of a whole segment; so many of those are let be: each loss of power may leave one
+SMALL_SEGMENT_RATIO, MAX_SMALL_SEGMENTS = (
+    0.25,
+    8,
+)  # of a whole segment; so many of those are let be: each loss of power may leave one
 
 
 @dataclass
-class Output:
+class CompactionOutput:
     """The segment that is being written."""
 
     store: Store
@@ -54,7 +57,7 @@
         found = format.unpack_metadata(head, data[format.FRAME_HEADER.size :], at, self.segment.salt)
         self.segment.file.write(self.segment.length, data)
         self.segment.length += len(data)
-        self.store.written += len(data)
+        self.store.written_bytes += len(data)
         for place, (record, old) in zip(found, self.waiting, strict=True):
             self.segment.hint.add(place)
             if old is not None:
@@ -69,22 +72,22 @@
         sealed = [store.segments[number] for number in store.sealed]
     if everything:
         return sealed
-    small = [s for s in sealed if s.length < store.options.segment_bytes * SMALL]
-    few = small if len(small) > MANY else []
-    return [s for s in sealed if s.dead_share > store.options.dead_share or s in few]
+    small = [s for s in sealed if s.length < store.options.segment_bytes * SMALL_SEGMENT_RATIO]
+    few = small if len(small) > MAX_SMALL_SEGMENTS else []
+    return [s for s in sealed if s.dead_ratio > store.options.dead_ratio or s in few]
 
 
 def compact(store: Store, everything: bool, stop: Callable[[], bool]) -> bool:
     """See `Store.compact`, whose caller holds `compacting`."""
     if everything:
-        with store.writing():
+        with store.exclusive_writes():
             store._check_open()
             if store.active.length > format.SEGMENT_HEADER.size and store.failure is None:
                 store._seal(store.active, None)
     victims = choose_segments(store, everything)
     if not victims:
         return False
-    outputs: list[Output] = []
+    outputs: list[CompactionOutput] = []
     try:
         if not copy_live_records(store, victims, outputs, stop):
             return discard_outputs(store, outputs)
@@ -104,7 +107,7 @@
 
 
 def copy_live_records(
-    store: Store, victims: list[Segment], outputs: list[Output], stop: Callable[[], bool]
+    store: Store, victims: list[Segment], outputs: list[CompactionOutput], stop: Callable[[], bool]
 ) -> bool:
     """Write what counts of them; false if it was stopped."""
     numbers = {segment.number for segment in victims}
@@ -118,12 +121,12 @@
         found = scan_segment(data, segment.number)
         if problem := find_sealed_damage(sealed, found, segment.file.size()):
             raise DamagedError([problem])
-        for place in (place for frame in found.frames for place in frame.places):
+        for place in (place for frame in found.frames for place in frame.records):
             if stop():
                 return False
             old = pack_location(segment.number, place.offset, place.size)
             with store.lock:
-                current = store.index.now.get(place.key)
+                current = store.index.current.get(place.key)
             if place.kind == PUT and current == old:
                 raw = data[place.offset : place.offset + place.size]
                 get_output(store, outputs).add(format.read_record(raw, segment.salt), old)
@@ -135,18 +138,18 @@
     return True
 
 
-def get_output(store: Store, outputs: list[Output]) -> Output:
+def get_output(store: Store, outputs: list[CompactionOutput]) -> CompactionOutput:
     if not outputs or outputs[-1].segment.length + outputs[-1].size >= store.options.segment_bytes:
         if outputs:
             outputs[-1].flush()
-        with store.writing():
-            outputs.append(Output(store, store._new_segment()))
+        with store.exclusive_writes():
+            outputs.append(CompactionOutput(store, store._new_segment()))
     return outputs[-1]
 
 
-def install_outputs(store: Store, victims: list[Segment], outputs: list[Output]) -> None:
+def install_outputs(store: Store, victims: list[Segment], outputs: list[CompactionOutput]) -> None:
     """Have the manifest name the new ones, then the index, then remove the old files."""
-    with store.writing():
+    with store.exclusive_writes():
         before = dict(store.sealed)
         for segment in victims:
             del store.sealed[segment.number]
@@ -166,20 +169,20 @@
             for o in outputs:
                 for key, old, new in o.moved:
                     if store.index.move(key, old, new):
-                        o.segment.live += unpack_location(new)[2]
+                        o.segment.live_bytes += unpack_location(new)[2]
             for segment in victims:
-                segment.retired, segment.live = True, 0
-                segment.held = bool(store.index.readers)
-                store._let_go(segment)
+                segment.retired, segment.live_bytes = True, 0
+                segment.pinned_by_snapshots = bool(store.index.snapshots)
+                store._close_if_unused(segment)
     for segment in victims:
-        store._forget(segment_name(segment.number))
-        store._forget(hint_name(segment.number))
+        store._unlink_best_effort(segment_name(segment.number))
+        store._unlink_best_effort(hint_name(segment.number))
 
 
-def discard_outputs(store: Store, outputs: list[Output]) -> bool:
+def discard_outputs(store: Store, outputs: list[CompactionOutput]) -> bool:
     for o in outputs:
         with store.lock:
             store.segments.pop(o.segment.number, None)
         o.segment.file.close()
-        store._forget(segment_name(o.segment.number))
+        store._unlink_best_effort(segment_name(o.segment.number))
     return False
--- a/roadpulley/store/files.py
+++ b/roadpulley/store/files.py
@@ -85,7 +85,7 @@
 
     def __init__(self, folder: Path | str) -> None:
         self.folder = Path(folder)
-        self.held: int | None = None
+        self.lock_fd: int | None = None
 
     def make(self) -> None:
         if not self.folder.is_dir():
@@ -122,10 +122,10 @@
         except BlockingIOError:
             os.close(fd)
             return False
-        self.held = fd
+        self.lock_fd = fd
         return True
 
     def unlock(self) -> None:
-        if self.held is not None:
-            os.close(self.held)  # which gives the lock back; the file stays, as another may wait for it
-            self.held = None
+        if self.lock_fd is not None:
+            os.close(self.lock_fd)  # which gives the lock back; the file stays, as another may wait for it
+            self.lock_fd = None
--- a/roadpulley/store/index.py
+++ b/roadpulley/store/index.py
@@ -30,75 +30,75 @@
     """Not safe by itself: the store holds its lock around every call."""
 
     def __init__(self, keys: Iterable[tuple[bytes, int]] = ()) -> None:
-        self.now: Any = SortedDict(keys)
-        self.before: dict[bytes, list[tuple[int, int | None]]] = {}  # version that replaced it, what it was
-        self.readers: Counter[int] = Counter()  # of older states, by version
+        self.current: Any = SortedDict(keys)
+        self.history: dict[bytes, list[tuple[int, int | None]]] = {}  # version that replaced it, what it was
+        self.snapshots: Counter[int] = Counter()  # of older states, by version
 
     def set(self, key: bytes, location: int | None, version: int) -> int | None:
         """A key's record from a version on; None: it is deleted. Gives what it was."""
-        old: int | None = self.now.get(key)
-        if self.readers:
-            self.before.setdefault(key, []).append((version, old))
+        old: int | None = self.current.get(key)
+        if self.snapshots:
+            self.history.setdefault(key, []).append((version, old))
         if location is not None:
-            self.now[key] = location
+            self.current[key] = location
         elif old is not None:
-            del self.now[key]
+            del self.current[key]
         return old
 
     def move(self, key: bytes, old: int, new: int) -> bool:
         """A record that was copied elsewhere; false if it is not the key's any more."""
-        if self.now.get(key) != old:
+        if self.current.get(key) != old:
             return False
-        self.now[key] = new
+        self.current[key] = new
         return True
 
     def get(self, key: bytes, version: int | None = None) -> int | None:
         """Now, or as of a version that is being read."""
         if version is not None:
-            for replaced_at, old in self.before.get(key, ()):
+            for replaced_at, old in self.history.get(key, ()):
                 if replaced_at > version:
                     return old
-        found: int | None = self.now.get(key)
+        found: int | None = self.current.get(key)
         return found
 
-    def chunk(
+    def read_chunk(
         self, start: bytes, end: bytes | None, version: int | None = None
     ) -> tuple[list[tuple[bytes, int]], bytes | None]:
         """The next keys from `start` on and before `end`, and where to go on; None at the end."""
         keys: list[bytes] = list(islice(self._keys(start, end), CHUNK_KEYS))
         following = keys[-1] + b"\0" if len(keys) == CHUNK_KEYS else None
         if version is None:
-            return [(key, self.now[key]) for key in keys], following
-        gone = [k for k in self.before if start <= k and (end is None or k < end)]
+            return [(key, self.current[key]) for key in keys], following
+        gone = [k for k in self.history if start <= k and (end is None or k < end)]
         if following is not None:
             gone = [k for k in gone if k < following]
         found = ((key, self.get(key, version)) for key in sorted({*keys, *gone}))
         return [(key, location) for key, location in found if location is not None], following
 
     def _keys(self, start: bytes, end: bytes | None) -> Iterator[bytes]:
-        keys: Iterator[bytes] = self.now.irange(start, end, inclusive=(True, False))
+        keys: Iterator[bytes] = self.current.irange(start, end, inclusive=(True, False))
         return keys
 
     # ---- readers of an older state ----
 
-    def hold(self, version: int) -> None:
-        self.readers[version] += 1
+    def add_snapshot(self, version: int) -> None:
+        self.snapshots[version] += 1
 
-    def release(self, version: int) -> bool:
+    def remove_snapshot(self, version: int) -> bool:
         """Whether nobody reads an older state any more."""
-        self.readers[version] -= 1
-        if not self.readers[version]:
-            del self.readers[version]
-        if not self.readers:
-            self.before.clear()
+        self.snapshots[version] -= 1
+        if not self.snapshots[version]:
+            del self.snapshots[version]
+        if not self.snapshots:
+            self.history.clear()
             return True
-        oldest = min(self.readers)
-        for key, past in list(self.before.items()):
+        oldest = min(self.snapshots)
+        for key, past in list(self.history.items()):
             kept = [(at, old) for at, old in past if at > oldest]
             if kept:
-                self.before[key] = kept
+                self.history[key] = kept
             else:
-                del self.before[key]
+                del self.history[key]
         return False
 
 
--- a/roadpulley/store/opening.py
+++ b/roadpulley/store/opening.py
@@ -25,7 +25,7 @@
     from .store import Store
 
 
-class Opening:
+class StoreOpener:
     """One opening of a store's folder, which is locked already."""
 
     def __init__(self, store: Store) -> None:
@@ -34,10 +34,10 @@
     def load(self) -> None:
         names = self.store.files.names()
         if MANIFEST not in names:
-            if segments := [n for n in names if n.endswith(".seg") and self.counts(n)]:
+            if segments := [n for n in names if n.endswith(".seg") and self.may_hold_data(n)]:
                 lost = f"segments {', '.join(segments)} are there; see `roadpulley store repair --dry-run`"
                 raise DamagedError([Damage(MANIFEST, 0, "it is not there", lost)])
-            return self.create()
+            return self.create_store()
         manifest = self.read_manifest()
         self.store.next_number = manifest.next_number
         best: dict[bytes, int] = {}
@@ -57,22 +57,22 @@
             self.store.files.unlink(name)
         for each, hint in unhinted:
             self.store._write_hint(each.number, each.length, hint)
-        self.store.recovered = decided
+        self.store.recovery_plan = decided
         segment = self.store.segments[manifest.active]
-        segment.salt, segment.length = found.salt, decided.keep
-        kept = [frame for frame in found.frames if frame.end <= decided.keep]
+        segment.salt, segment.length = found.salt, decided.keep_bytes
+        kept = [frame for frame in found.frames if frame.end <= decided.keep_bytes]
         for frame in kept:
-            self.note(segment, frame.places, best, where)
-            for place in frame.places:
+            self.add_records(segment, frame.records, best, where)
+            for place in frame.records:
                 segment.hint.add(place)
         self.store.version = max(manifest.version, segment.last)
         self.store.index = Index((key, location) for key, location in where.items() if location is not None)
-        for _, location in self.store.index.now.items():
+        for _, location in self.store.index.current.items():
             number, _, size = unpack_location(location)
-            self.store.segments[number].live += size
-        self.go_on(manifest, decided)
+            self.store.segments[number].live_bytes += size
+        self.resume_writing(manifest, decided)
 
-    def counts(self, name: str) -> bool:
+    def may_hold_data(self, name: str) -> bool:
         """Whether a segment without a manifest may hold anything that was acknowledged."""
         file = self.store.files.open(name)
         try:
@@ -92,7 +92,7 @@
         finally:
             file.close()
 
-    def create(self) -> None:
+    def create_store(self) -> None:
         for name in self.store.files.names():
             if name.endswith((".seg", ".hint", ".tmp")):
                 self.store.files.unlink(name)  # of a creation that was cut off
@@ -129,12 +129,12 @@
             found = scan_segment(file.read(0, sealed.length), sealed.number)
             if problem := find_sealed_damage(sealed, found, size):
                 return problem
-            places = [place for frame in found.frames for place in frame.places]
+            places = [place for frame in found.frames for place in frame.records]
             hint = format.Hint()
             for place in places:
                 hint.add(place)
             unhinted.append((segment, hint))
-        self.note(segment, places, best, where)
+        self.add_records(segment, places, best, where)
         segment.first, segment.last = sealed.first, sealed.last
         return None
 
@@ -163,7 +163,7 @@
             raise FormatVersionError(f"{name}: {error}") from error
         return found, plan_recovery(found, known)
 
-    def note(
+    def add_records(
         self,
         segment: Segment,
         places: Sequence[RecordMetadata],
@@ -181,28 +181,28 @@
                 segment.last = place.version
             segment.first = min(segment.first or place.version, place.version)
 
-    def go_on(self, manifest: Manifest, decided: RecoveryPlan) -> None:
+    def resume_writing(self, manifest: Manifest, decided: RecoveryPlan) -> None:
         """Write on where the last process stopped, or in a new segment what it left unproven."""
         old = self.store.segments[manifest.active]
-        if not decided.fresh:
+        if not decided.needs_new_segment:
             self.store.active = old
             if old.last:
-                self.store._mark()
+                self.store._append_durable_mark()
             return
         # Danger: what is written again may have been acknowledged, as a mark is not synced. The manifest may
         # cut it off the old segment only once it is safe in the new one.
         segment = self.store._new_segment()
         durable = self.store.version
         for frame in decided.rewrite:
-            self.write_again(segment, frame, old, durable)
+            self.rewrite_frame(segment, frame, old, durable)
         segment.file.sync()
         self.store._seal(old, segment)
-        self.store._mark()
+        self.store._append_durable_mark()
 
-    def write_again(self, segment: Segment, frame: Frame, old: Segment, durable: int) -> None:
-        raw = [old.file.read(place.offset, place.size) for place in frame.places]
+    def rewrite_frame(self, segment: Segment, frame: Frame, old: Segment, durable: int) -> None:
+        raw = [old.file.read(place.offset, place.size) for place in frame.records]
         records = [format.read_record(each, old.salt) for each in raw]
-        data = format.pack_frame(records, frame.head.version, durable, segment.salt)
+        data = format.pack_frame(records, frame.header.version, durable, segment.salt)
         segment.file.write(segment.length, data)
-        self.store._take_in(segment, data, frame.head.version)
-        self.store.version = frame.head.version
+        self.store._index_frame(segment, data, frame.header.version)
+        self.store.version = frame.header.version
--- a/roadpulley/store/parts.py
+++ b/roadpulley/store/parts.py
@@ -36,27 +36,27 @@
     """A batch that waits to be written."""
 
     writes: tuple[Write, ...]
-    done: Callable[[PendingBatch], None] | None = None  # called once, by the thread that wrote it
+    on_done: Callable[[PendingBatch], None] | None = None  # called once, by the thread that wrote it
     version: int = 0
     error: Exception | None = None
-    over: bool = False
-    turn: threading.Event | None = None  # of a thread that sleeps until it is over, or its turn to write
+    is_done: bool = False
+    wakeup: threading.Event | None = None  # of a thread that sleeps until it is over, or its turn to write
 
     @property
-    def size(self) -> int:
+    def size_bytes(self) -> int:
         return sum(len(w.key) + len(w.value or b"") + format.RECORD_HEADER.size for w in self.writes)
 
-    def end(self, error: Exception | None = None) -> None:
-        if not self.over:
-            self.error, self.over = error, True
-            if self.done is not None:
+    def finish(self, error: Exception | None = None) -> None:
+        if not self.is_done:
+            self.error, self.is_done = error, True
+            if self.on_done is not None:
                 try:
-                    self.done(self)
+                    self.on_done(self)
                 except Exception:
                     # Danger: others of its group are written too, and must be told so.
                     log.exception("whoever wrote version %d could not be told", self.version)
-            if self.turn is not None:
-                self.turn.set()
+            if self.wakeup is not None:
+                self.wakeup.set()
 
 
 @dataclass(eq=False)
@@ -67,23 +67,23 @@
     length: int  # bytes that count
     first: int = 0
     last: int = 0
-    live: int = 0  # bytes of records that count
-    users: int = 0
+    live_bytes: int = 0  # bytes of records that count
+    active_reads: int = 0
     retired: bool = False
-    held: bool = False  # by readers of an older state
+    pinned_by_snapshots: bool = False  # by readers of an older state
     hint: format.Hint = field(default_factory=format.Hint)  # of one that is being written
 
     @property
-    def dead_share(self) -> float:
+    def dead_ratio(self) -> float:
         room = self.length - format.SEGMENT_HEADER.size
-        return 1 - self.live / room if room > 0 else 0.0
+        return 1 - self.live_bytes / room if room > 0 else 0.0
 
 
 @dataclass(frozen=True)
 class Options:
     segment_bytes: int = DEFAULT_SEGMENT_BYTES
-    dead_share: float = DEFAULT_DEAD_RATIO
-    salt: Callable[[], int] = field(default=lambda: secrets.randbits(32))  # a test gives known ones
+    dead_ratio: float = DEFAULT_DEAD_RATIO
+    new_salt: Callable[[], int] = field(default=lambda: secrets.randbits(32))  # a test gives known ones
 
 
 @dataclass(frozen=True)
@@ -93,8 +93,8 @@
     segments: int
     bytes_on_disk: int  # of the segments
     bytes_live: int
-    written: int  # bytes of segments since it was opened, by batches and by compaction
-    asked: int  # bytes of keys and values that were put since then
+    written_bytes: int  # bytes of segments since it was opened, by batches and by compaction
+    user_bytes: int  # bytes of keys and values that were put since then
 
 
 def validate_batch(pending: PendingBatch) -> None:
@@ -108,8 +108,8 @@
         if write.value is not None and len(write.value) > format.MAX_VALUE_BYTES:
             most = format.MAX_VALUE_BYTES
             raise ValueError(f"{where}: its value has {len(write.value)} bytes, {most} at most")
-    if pending.size > format.MAX_BATCH_BYTES:
-        raise ValueError(f"the batch has {pending.size} bytes, {format.MAX_BATCH_BYTES} at most")
+    if pending.size_bytes > format.MAX_BATCH_BYTES:
+        raise ValueError(f"the batch has {pending.size_bytes} bytes, {format.MAX_BATCH_BYTES} at most")
     keys: dict[bytes, int] = defaultdict(int)
     for write in pending.writes:
         keys[write.key] += 1
--- a/roadpulley/store/recovery.py
+++ b/roadpulley/store/recovery.py
@@ -46,12 +46,12 @@
 @dataclass(frozen=True)
 class Frame:
     offset: int
-    head: FrameHeader
-    places: tuple[RecordMetadata, ...]
+    header: FrameHeader
+    records: tuple[RecordMetadata, ...]
 
     @property
     def end(self) -> int:
-        return self.offset + FRAME_HEADER.size + self.head.length
+        return self.offset + FRAME_HEADER.size + self.header.length
 
 
 @dataclass
@@ -64,17 +64,19 @@
     end: int = 0  # of the last whole frame, or of the header
     size: int = 0  # of the file
     problem: str = ""  # what is wrong at `end`; "" if the file ends there
-    later: list[tuple[int, FrameHeader]] = field(default_factory=list)  # whole frames after that
+    frames_after_problem: list[tuple[int, FrameHeader]] = field(
+        default_factory=list
+    )  # whole frames after that
 
     @property
     def durable(self) -> int:
         """The last version that something in it proves synced."""
-        heads = [frame.head for frame in self.frames] + [head for _, head in self.later]
+        heads = [frame.header for frame in self.frames] + [head for _, head in self.frames_after_problem]
         return max((head.durable for head in heads), default=0)
 
     @property
     def last(self) -> int:
-        return max((frame.head.version for frame in self.frames), default=0)
+        return max((frame.header.version for frame in self.frames), default=0)
 
 
 def scan_segment(data: bytes, number: int) -> SegmentScan:
@@ -96,7 +98,7 @@
             frame = Frame(at, head, tuple(unpack_metadata(head, body, body_at, found.salt)))
         except UnreadableError as error:
             found.problem = str(error)
-            found.later = list(find_frames(data, at + 1, found.salt))
+            found.frames_after_problem = list(find_frames(data, at + 1, found.salt))
             break
         found.frames.append(frame)
         at = found.end = frame.end
@@ -107,10 +109,10 @@
 class RecoveryPlan:
     """How to go on after opening."""
 
-    keep: int = 0  # bytes of the last segment that stay as they are
+    keep_bytes: int = 0  # bytes of the last segment that stay as they are
     rewrite: list[Frame] = field(default_factory=list)  # whole, and not proven durable: written again
-    cut: int = 0  # bytes of its torn end
-    fresh: bool = False  # the last segment must not be written to any more
+    cut_bytes: int = 0  # bytes of its torn end
+    needs_new_segment: bool = False  # the last segment must not be written to any more
     damage: list[Damage] = field(default_factory=list)
 
     @property
@@ -138,7 +140,10 @@
     durable = found.durable
     if found.problem and durable > max(known, found.last):
         first = max(known, found.last) + 1
-        after = ", ".join(str(head.version) for _, head in found.later if not head.is_mark) or "none"
+        after = (
+            ", ".join(str(head.version) for _, head in found.frames_after_problem if not head.is_mark)
+            or "none"
+        )
         lost = f"versions from {first} to {durable} were acknowledged; whole frames after it: {after}"
         return RecoveryPlan(damage=[Damage(name, found.end, found.problem, lost)])
     if not found.problem and durable > max(known, found.last):
@@ -148,11 +153,11 @@
         )
     # Danger: a mark at the end proves what stands before it and not itself; were it counted as kept, a crash
     # could leave a hole there. It is written again.
-    proven = [f for f in found.frames if f.head.version <= durable and not f.head.is_mark]
+    proven = [f for f in found.frames if f.header.version <= durable and not f.header.is_mark]
     keep = max([SEGMENT_HEADER.size, *(frame.end for frame in proven)])
-    rewrite = [f for f in found.frames if f.head.version > durable and not f.head.is_mark]
+    rewrite = [f for f in found.frames if f.header.version > durable and not f.header.is_mark]
     cut = found.size - found.end
-    return RecoveryPlan(keep, rewrite, cut, fresh=bool(rewrite or cut))
+    return RecoveryPlan(keep, rewrite, cut, needs_new_segment=bool(rewrite or cut))
 
 
 def find_orphaned_files(names: Iterable[str], manifest: Manifest) -> list[str]:
--- a/roadpulley/store/store.py
+++ b/roadpulley/store/store.py
@@ -19,7 +19,7 @@
 from .files import DiskFiles, Files
 from .format import DELETE, PUT, Manifest, Record, SealedSegment, UnreadableError, hint_name, segment_name
 from .index import Index, end_of_prefix, pack_location, unpack_location
-from .opening import Opening
+from .opening import StoreOpener
 from .parts import MANIFEST, Options, PendingBatch, Segment, StoreStats, Write, validate_batch
 from .recovery import Damage, RecoveryPlan
 
@@ -44,8 +44,8 @@
         self.sealed_version = 0  # the last version that the active segment does not hold
         self.failure: str | None = None
         self.closed = False
-        self.recovered: RecoveryPlan | None = None  # what opening found
-        self.written = self.asked = 0
+        self.recovery_plan: RecoveryPlan | None = None  # what opening found
+        self.written_bytes = self.user_bytes = 0
 
     # ---- opening and closing ----
 
@@ -61,7 +61,7 @@
         if not files.lock():
             raise LockedError(f"{folder} is open in another process; one at a time may have it")
         try:
-            Opening(store).load()
+            StoreOpener(store).load()
         except BaseException:
             store._release()
             raise
@@ -69,13 +69,13 @@
 
     def close(self) -> None:
         """Wait for what is being written, and let go of the folder. Closing twice does no harm."""
-        with self.compacting, self.writing(), self.lock:
+        with self.compacting, self.exclusive_writes(), self.lock:
             if self.closed:
                 return
             self.closed = True
             waiting, self.queue = list(self.queue), deque()
         for pending in waiting:
-            pending.end(ClosedError("the store was closed before this was written"))
+            pending.finish(ClosedError("the store was closed before this was written"))
         self._release()
 
     def _release(self) -> None:
@@ -107,27 +107,27 @@
     def batch(self, writes: Sequence[Write]) -> int:
         """Write all or nothing, later ones of one key last; gives the one version of all. Raises as `put`."""
         pending = self.enqueue(writes)
-        while not pending.over:
+        while not pending.is_done:
             if self.committing.acquire(blocking=False):
-                self._lead(pending)
-            elif pending.turn is None:
-                pending.turn = threading.Event()  # and look once more: the turn may just have ended
+                self._commit_until_done(pending)
+            elif pending.wakeup is None:
+                pending.wakeup = threading.Event()  # and look once more: the turn may just have ended
             else:
-                pending.turn.wait()
-                pending.turn.clear()
+                pending.wakeup.wait()
+                pending.wakeup.clear()
         if pending.error is not None:
             raise pending.error
         return pending.version
 
-    def _lead(self, pending: PendingBatch) -> None:
+    def _commit_until_done(self, pending: PendingBatch) -> None:
         """Write what waits, this batch with it. The caller has taken `committing`, and loses it here."""
         try:
-            while not pending.over:
+            while not pending.is_done:
                 self._commit()
         finally:
-            self._pass_on()
+            self._release_committing()
 
-    def _pass_on(self) -> None:
+    def _release_committing(self) -> None:
         """Give `committing` back, and have the first that waits take it.
 
         Danger: one that comes while it is held finds it taken and sleeps; nobody else would wake it.
@@ -135,17 +135,17 @@
         self.committing.release()
         with self.lock:
             first = self.queue[0] if self.queue else None
-        if first is not None and first.turn is not None:
-            first.turn.set()
+        if first is not None and first.wakeup is not None:
+            first.wakeup.set()
 
     @contextmanager
-    def writing(self) -> Iterator[None]:
+    def exclusive_writes(self) -> Iterator[None]:
         """Have the log for oneself."""
         self.committing.acquire()
         try:
             yield
         finally:
-            self._pass_on()
+            self._release_committing()
 
     def enqueue(
         self, writes: Sequence[Write], done: Callable[[PendingBatch], None] | None = None
@@ -161,7 +161,7 @@
 
     def flush(self) -> None:
         """Write all that waits. Each batch ends with its version or its error."""
-        with self.writing():
+        with self.exclusive_writes():
             while self.queue:
                 self._commit()
 
@@ -169,8 +169,8 @@
         group: list[PendingBatch] = []
         size = 0
         with self.lock:
-            while self.queue and (not group or size + self.queue[0].size <= GROUP_BYTES):
-                size += self.queue[0].size
+            while self.queue and (not group or size + self.queue[0].size_bytes <= GROUP_BYTES):
+                size += self.queue[0].size_bytes
                 group.append(self.queue.popleft())
         return group
 
@@ -181,12 +181,12 @@
             self._write_group(group)
         except BaseException as error:
             for pending in group:
-                pending.end(error if isinstance(error, Exception) else StoreFailedError(repr(error)))
+                pending.finish(error if isinstance(error, Exception) else StoreFailedError(repr(error)))
             if not isinstance(error, Exception):
                 raise
         finally:
             for pending in group:
-                pending.end(StoreFailedError("it was not written"))  # only if something above forgot it
+                pending.finish(StoreFailedError("it was not written"))  # only if something above forgot it
 
     def _write_group(self, group: list[PendingBatch]) -> None:
         if self.failure is not None:
@@ -199,7 +199,7 @@
             try:
                 self._check_expected(pending, versions)
             except Exception as error:
-                pending.end(error)
+                pending.finish(error)
                 continue
             version += 1
             pending.version = version
@@ -215,12 +215,12 @@
             return
         self._append(b"".join(data))
         for pending, frame in written:
-            self._take_in(self.active, frame, pending.version)
-            self.asked += sum(len(w.key) + len(w.value or b"") for w in pending.writes)
+            self._index_frame(self.active, frame, pending.version)
+            self.user_bytes += sum(len(w.key) + len(w.value or b"") for w in pending.writes)
         self.version = version
-        self._mark()
+        self._append_durable_mark()
         for pending, _ in written:
-            pending.end()
+            pending.finish()
         if self.active.length >= self.options.segment_bytes and self.failure is None:
             self._rotate()
 
@@ -241,16 +241,16 @@
         try:
             segment.file.write(segment.length, data)
         except OSError as error:
-            self._take_back(segment)
+            self._truncate_partial_write(segment)
             raise WriteFailedError(f"{segment_name(segment.number)}: {error.strerror or error}") from error
         try:
             segment.file.sync()
         except OSError as error:
             self.failure = f"{segment_name(segment.number)} could not be synced: {error.strerror or error}"
             raise StoreFailedError(self.failure) from error
-        self.written += len(data)
+        self.written_bytes += len(data)
 
-    def _take_back(self, segment: Segment) -> None:
+    def _truncate_partial_write(self, segment: Segment) -> None:
         """Cut off what was written in part, so that what follows does not stand behind it."""
         try:
             segment.file.truncate(segment.length)
@@ -258,7 +258,7 @@
             name = segment_name(segment.number)
             self.failure = f"{name}: a part could not be taken back: {error.strerror or error}"
 
-    def _take_in(self, segment: Segment, frame: bytes, version: int) -> None:
+    def _index_frame(self, segment: Segment, frame: bytes, version: int) -> None:
         """Let the index know of a frame at the segment's end, which is synced."""
         head = format.read_frame_header(frame[: format.FRAME_HEADER.size], segment.salt)
         at = segment.length + format.FRAME_HEADER.size
@@ -270,13 +270,13 @@
                 if old is not None:
                     number, _, size = unpack_location(old)
                     if number in self.segments:
-                        self.segments[number].live -= size
-                segment.live += place.size if here is not None else 0
+                        self.segments[number].live_bytes -= size
+                segment.live_bytes += place.size if here is not None else 0
                 segment.hint.add(place)
             segment.length += len(frame)
             segment.first, segment.last = segment.first or version, version
 
-    def _mark(self) -> None:
+    def _append_durable_mark(self) -> None:
         """Say in the log that all up to here is synced; itself it need not be.
 
         Danger: without it the last batch before a crash could not be told from one that nobody was told of,
@@ -286,15 +286,15 @@
         try:
             segment.file.write(segment.length, mark)
         except OSError:
-            return self._take_back(segment)
+            return self._truncate_partial_write(segment)
         segment.length += len(mark)
-        self.written += len(mark)
+        self.written_bytes += len(mark)
 
     # ---- segments ----
 
     def _new_segment(self) -> Segment:
         """A new file, synced with its header and its name. Raises OSError; what it left is removed later."""
-        number, salt = self.next_number, self.options.salt()
+        number, salt = self.next_number, self.options.new_salt()
         file = self.files.open(segment_name(number), create=True)
         self.next_number += 1
         header = format.pack_header(number, salt)
@@ -304,14 +304,14 @@
             self.files.sync_folder()
         except BaseException:
             file.close()
-            self._forget(segment_name(number))
+            self._unlink_best_effort(segment_name(number))
             raise
         segment = Segment(number, file, salt, len(header))
         with self.lock:
             self.segments[number] = segment
         return segment
 
-    def _forget(self, name: str) -> None:
+    def _unlink_best_effort(self, name: str) -> None:
         try:
             self.files.unlink(name)
         except OSError:
@@ -346,7 +346,7 @@
             with self.lock:
                 del self.segments[segment.number]
             segment.file.close()
-            self._forget(segment_name(segment.number))
+            self._unlink_best_effort(segment_name(segment.number))
             raise
         if old.last:
             self._write_hint(old.number, old.length, old.hint)
@@ -354,8 +354,8 @@
             return
         with self.lock:
             old.retired = True
-            self._let_go(old)
-        self._forget(segment_name(old.number))
+            self._close_if_unused(old)
+        self._unlink_best_effort(segment_name(old.number))
 
     def _write_manifest(self) -> None:
         """Replace it: write, sync, rename, sync the folder.
@@ -395,7 +395,7 @@
         try:
             file.write(0, hint.pack(number, length))
         except OSError:
-            self._forget(name)
+            self._unlink_best_effort(name)
         finally:
             file.close()
 
@@ -422,7 +422,7 @@
         with self.lock:
             if self.closed:
                 raise ClosedError("the store is closed")
-            self.index.hold(self.version)
+            self.index.add_snapshot(self.version)
             return Snapshot(self, self.version)
 
     def _scan(self, prefix: bytes, start: bytes, end: bytes | None, version: int | None) -> Iterator[Record]:
@@ -432,7 +432,7 @@
         while at is not None:
             with self.lock:
                 self._check_open()
-                keys, at = self.index.chunk(at, stop, version)
+                keys, at = self.index.read_chunk(at, stop, version)
             for key, _ in keys:
                 if (record := self._read(key, version)) is not None:
                     yield record
@@ -449,8 +449,8 @@
                 return None
             number, offset, size = unpack_location(location)
             segment = self.segments[number]
-            segment.users += 1
-        with self._using(segment):
+            segment.active_reads += 1
+        with self._pinned(segment):
             data = segment.file.read(offset, size)
         try:
             record = format.read_record(data, segment.salt)
@@ -462,26 +462,31 @@
             raise DamagedError([Damage(segment_name(number), offset, str(error), lost)]) from error
 
     @contextmanager
-    def _using(self, segment: Segment) -> Iterator[None]:
+    def _pinned(self, segment: Segment) -> Iterator[None]:
         try:
             yield
         finally:
             with self.lock:
-                segment.users -= 1
-                self._let_go(segment)
+                segment.active_reads -= 1
+                self._close_if_unused(segment)
 
-    def _let_go(self, segment: Segment) -> None:
+    def _close_if_unused(self, segment: Segment) -> None:
         """Close a segment's file once nobody needs it. The caller holds `lock`."""
-        if segment.retired and not segment.users and not segment.held and not self.closed:
+        if (
+            segment.retired
+            and not segment.active_reads
+            and not segment.pinned_by_snapshots
+            and not self.closed
+        ):
             segment.file.close()
             self.segments.pop(segment.number, None)
 
-    def _released(self, version: int) -> None:
+    def _release_snapshot(self, version: int) -> None:
         with self.lock:
-            if self.index.release(version):
+            if self.index.remove_snapshot(version):
                 for segment in list(self.segments.values()):
-                    segment.held = False
-                    self._let_go(segment)
+                    segment.pinned_by_snapshots = False
+                    self._close_if_unused(segment)
 
     # ---- care ----
 
@@ -494,7 +499,7 @@
         with self.compacting:
             return compact(self, everything, stop)
 
-    def worth_compacting(self) -> bool:
+    def should_compact(self) -> bool:
         """Whether `compact(everything=False)` would find anything to do."""
         return bool(choose_segments(self, everything=False))
 
@@ -502,13 +507,13 @@
         with self.lock:
             here = [s for s in self.segments.values() if not s.retired]
             return StoreStats(
-                len(self.index.now),
+                len(self.index.current),
                 self.version,
                 len(here),
                 sum(s.length for s in here),
-                sum(s.live for s in here),
-                self.written,
-                self.asked,
+                sum(s.live_bytes for s in here),
+                self.written_bytes,
+                self.user_bytes,
             )
 
 
@@ -534,7 +539,7 @@
     def close(self) -> None:
         if self.open:
             self.open = False
-            self.store._released(self.version)
+            self.store._release_snapshot(self.version)
 
     def __enter__(self) -> Snapshot:
         return self
--- a/tests/store/test_store_care.py
+++ b/tests/store/test_store_care.py
@@ -147,7 +147,7 @@
 
 def test_what_can_be_read_on_both_sides_of_damage_is_saved() -> None:
     disk = MemoryDisk()
-    with Store.open(disk, Options(salt=lambda: 7)) as store:
+    with Store.open(disk, Options(new_salt=lambda: 7)) as store:
         for number in range(5):
             store.put(b"k%d" % number, b"value %d" % number)
         store.delete(b"k4")
@@ -285,11 +285,11 @@
             for number in range(400):
                 await store.batch([Write(b"k%d" % (number % 20), b"%04d" % number * 20)])
                 most = max(most, (await store.stat()).bytes_on_disk)
-            while store.keeping:
+            while store.is_compacting:
                 await asyncio.sleep(0.005)
             stat = await store.stat()
             await store.close()
         assert most < 8 * stat.bytes_live and stat.bytes_on_disk < 2 * stat.bytes_live + 2 * 2_000 + 1_000
-        assert stat.written < 5 * stat.asked  # records of 80 bytes carry 19 + 36 + 36 more each
+        assert stat.written_bytes < 5 * stat.user_bytes  # records of 80 bytes carry 19 + 36 + 36 more each
 
     asyncio.run(work())
--- a/tests/store/test_store_crashes.py
+++ b/tests/store/test_store_crashes.py
@@ -12,7 +12,7 @@
 
 State = dict[bytes, bytes]
 DRAWN = int(os.environ.get("STORE_CRASHES", "400"))  # of each seed; a long run draws thousands
-SMALL = Options(segment_bytes=700, salt=lambda: 7)
+SMALL = Options(segment_bytes=700, new_salt=lambda: 7)
 
 
 def state_of(store: Store) -> State:
@@ -111,14 +111,14 @@
 
 
 def test_a_machine_that_loses_power_over_and_over_leaves_no_heap_of_segments() -> None:
-    disk, options = MemoryDisk(), Options(segment_bytes=4_000, salt=lambda: 7)
+    disk, options = MemoryDisk(), Options(segment_bytes=4_000, new_salt=lambda: 7)
     for number in range(40):
         store = Store.open(disk, options)
         store.put(b"k%d" % number, b"%d" % number)
         store.batch([Write(b"last", b"%d" % number)])
-        if store.worth_compacting():
+        if store.should_compact():
             assert store.compact(everything=False)
-        assert not store.worth_compacting()
+        assert not store.should_compact()
         disk = disk.crashed(len(disk.log), NOTHING if number % 2 else ALL)
     for _ in range(20):  # and while nothing is written
         Store.open(disk, options)
--- a/tests/store/test_store_damage.py
+++ b/tests/store/test_store_damage.py
@@ -10,7 +10,7 @@
 from roadpulley.store.format import segment_name
 from roadpulley.testbed.disk import MemoryDisk
 
-SMALL = Options(segment_bytes=400, salt=lambda: 7)
+SMALL = Options(segment_bytes=400, new_salt=lambda: 7)
 
 
 def filled() -> tuple[MemoryDisk, list[dict[bytes, bytes]]]:
--- a/tests/store/test_store_faults.py
+++ b/tests/store/test_store_faults.py
@@ -22,7 +22,7 @@
 from roadpulley.store.parts import PendingBatch
 from roadpulley.testbed.disk import ALL, NOTHING, Chance, MemoryDisk, Op
 
-SMALL = Options(segment_bytes=400, salt=lambda: 7)
+SMALL = Options(segment_bytes=400, new_salt=lambda: 7)
 EIO = OSError(errno.EIO, "Input/output error")
 ENOSPC = OSError(errno.ENOSPC, "No space left on device")
 
@@ -242,7 +242,7 @@
         store.enqueue([Write(b"a", b"1")], broken)
         other = store.enqueue([Write(b"b", b"2")])
         store.flush()
-        assert other.over and other.error is None and other.version == 2
+        assert other.is_done and other.error is None and other.version == 2
         assert state(store) == {b"a": b"1", b"b": b"2"}
 
 
@@ -296,7 +296,7 @@
             assert {r.key: r.value for r in held.scan()} == right
             assert held.get(b"k0") == right[b"k0"] and store.get(b"k0") is None
         assert not any(segment.retired for segment in store.segments.values())
-        assert not store.index.before
+        assert not store.index.history
         with pytest.raises(ClosedError, match="the snapshot is closed"):
             held.get(b"k0")
 
--- a/tests/store/test_store_format.py
+++ b/tests/store/test_store_format.py
@@ -28,7 +28,7 @@
     data = segment(format.pack_frame(batch, 5, 4, salt), format.pack_mark(5, salt), salt=salt)
     found = scan_segment(data, 3)
     assert (found.problem, found.end, found.durable, found.salt) == ("", len(data), 5, salt)
-    places = found.frames[0].places
+    places = found.frames[0].records
     assert [format.read_record(data[p.offset : p.offset + p.size], salt) for p in places] == batch
 
 
@@ -46,7 +46,7 @@
     """A value may hold a whole store: its frames begin as ours do."""
     inner = format.pack_frame([record], 7, 6, other)
     data = segment(b"torn", format.pack_frame([Record(PUT, b"k", inner, 1)], 1, 0, salt)[:-1], salt=salt)
-    assert not scan_segment(data, 3).later or salt == other
+    assert not scan_segment(data, 3).frames_after_problem or salt == other
 
 
 def test_a_frame_after_damage_is_found_and_says_what_was_durable() -> None:
@@ -59,17 +59,26 @@
     # Both were written before either was synced: nobody was told of them.
     three = format.pack_frame([Record(PUT, b"k", b"v", 3)], 3, 1, 9)
     cut = plan_recovery(scan_segment(segment(one, two[:-1] + b"?", three), 3), 0)
-    assert not cut.damage and cut.cut == len(two) + len(three) and [f.head.version for f in cut.rewrite] == []
+    assert (
+        not cut.damage
+        and cut.cut_bytes == len(two) + len(three)
+        and [f.header.version for f in cut.rewrite] == []
+    )
 
 
 def test_what_nothing_proves_durable_is_written_again() -> None:
     one, two = (format.pack_frame([Record(PUT, b"k", b"v", n)], n, n - 1, 9) for n in (1, 2))
     found = plan_recovery(scan_segment(segment(one, two), 3), 0)
-    assert [f.head.version for f in found.rewrite] == [2] and found.keep == format.SEGMENT_HEADER.size + len(
-        one
-    )
+    assert [f.header.version for f in found.rewrite] == [
+        2
+    ] and found.keep_bytes == format.SEGMENT_HEADER.size + len(one)
     marked = plan_recovery(scan_segment(segment(one, two, format.pack_mark(2, 9)), 3), 0)
-    assert not marked.rewrite and not marked.fresh and not marked.cut and marked.keep > found.keep
+    assert (
+        not marked.rewrite
+        and not marked.needs_new_segment
+        and not marked.cut_bytes
+        and marked.keep_bytes > found.keep_bytes
+    )
 
 
 def test_the_last_batch_is_not_taken_for_a_torn_end_once_a_mark_follows_it() -> None:
@@ -98,10 +107,10 @@
 def test_a_hint_is_read_as_it_was_written_and_no_changed_byte_passes(batch: list[Record]) -> None:
     found = scan_segment(segment(format.pack_frame(batch or [Record(PUT, b"", b"", 1)], 5, 4, 9)), 3)
     hint = format.Hint()
-    for place in found.frames[0].places:
+    for place in found.frames[0].records:
         hint.add(place)
     data = hint.pack(3, found.end)
-    assert tuple(format.read_hint(data, 3, found.end)) == found.frames[0].places
+    assert tuple(format.read_hint(data, 3, found.end)) == found.frames[0].records
     for at in range(len(data)):
         changed = bytearray(data)
         changed[at] ^= 0x55
--- a/tests/store/test_store_machine.py
+++ b/tests/store/test_store_machine.py
@@ -21,7 +21,7 @@
     @initialize()
     def begin(self) -> None:
         self.disk = MemoryDisk()
-        self.options = Options(segment_bytes=500, salt=lambda: 7)
+        self.options = Options(segment_bytes=500, new_salt=lambda: 7)
         self.store = Store.open(self.disk, self.options)
         self.model: dict[bytes, tuple[bytes, int]] = {}
         self.snapshots: list[tuple[Snapshot, dict[bytes, bytes]]] = []
--- a/tests/store/test_store_second_reader.py
+++ b/tests/store/test_store_second_reader.py
@@ -128,7 +128,7 @@
     threads[0].start()
     assert entered.wait(20)
     threads[1].start()
-    while not store.queue or store.queue[0].turn is None:
+    while not store.queue or store.queue[0].wakeup is None:
         threading.Event().wait(0.001)
     let_go.set()
     for each in threads:
