--- a/roadpulley/store/care.py
+++ b/roadpulley/store/care.py
@@ -18,16 +18,16 @@
 
 @dataclass
 class InspectionReport:
-    """Of one look through a store."""
+    """What `inspect_store` found in a store's files."""
 
     damage: list[Damage] = field(default_factory=list)
     segments: int = 0
     batches: int = 0
     records: int = 0
-    torn_bytes: int = 0  # bytes of a torn end, which opening cuts off
-    readable: dict[bytes, Record] = field(
-        default_factory=dict
-    )  # what can be read, by key: the highest version
+    # Bytes of a torn write at the end of the active segment. Opening the store truncates them.
+    torn_bytes: int = 0
+    # The readable record with the highest version of each key.
+    readable: dict[bytes, Record] = field(default_factory=dict)
 
 
 def inspect_store(files: Files, progress: Progress = lambda done, of: None) -> InspectionReport:
--- a/roadpulley/store/compaction.py
+++ b/roadpulley/store/compaction.py
@@ -21,11 +21,12 @@
     from .parts import Segment
     from .store import Store
 
-MAX_FRAME_BYTES = 1024 * 1024  # of records in one frame
-SMALL_SEGMENT_RATIO, MAX_SMALL_SEGMENTS = (
-    0.25,
-    8,
-)  # of a whole segment; so many of those are let be: each loss of power may leave one
+# A frame is written out once its records reach this size.
+MAX_FRAME_BYTES = 1024 * 1024
+# A segment below this fraction of `Options.segment_bytes` is small.
+SMALL_SEGMENT_RATIO = 0.25
+# Up to this many small segments are left alone, because each power failure may leave one behind.
+MAX_SMALL_SEGMENTS = 8
 
 
 @dataclass
@@ -121,12 +122,12 @@
         found = scan_segment(data, segment.number)
         if problem := find_sealed_damage(sealed, found, segment.file.size()):
             raise DamagedError([problem])
-        for place in (place for frame in found.frames for place in frame.records):
+        for place in (place for frame in found.frames for place in frame.record_metadata):
             if stop():
                 return False
             old = pack_location(segment.number, place.offset, place.size)
             with store.lock:
-                current = store.index.current.get(place.key)
+                current = store.index.locations.get(place.key)
             if place.kind == PUT and current == old:
                 raw = data[place.offset : place.offset + place.size]
                 get_output(store, outputs).add(format.read_record(raw, segment.salt), old)
@@ -172,7 +173,7 @@
                         o.segment.live_bytes += unpack_location(new)[2]
             for segment in victims:
                 segment.retired, segment.live_bytes = True, 0
-                segment.pinned_by_snapshots = bool(store.index.snapshots)
+                segment.is_pinned = bool(store.index.snapshots)
                 store._close_if_unused(segment)
     for segment in victims:
         store._unlink_best_effort(segment_name(segment.number))
--- a/roadpulley/store/index.py
+++ b/roadpulley/store/index.py
@@ -30,26 +30,26 @@
     """Not safe by itself: the store holds its lock around every call."""
 
     def __init__(self, keys: Iterable[tuple[bytes, int]] = ()) -> None:
-        self.current: Any = SortedDict(keys)
+        self.locations: Any = SortedDict(keys)
         self.history: dict[bytes, list[tuple[int, int | None]]] = {}  # version that replaced it, what it was
         self.snapshots: Counter[int] = Counter()  # of older states, by version
 
     def set(self, key: bytes, location: int | None, version: int) -> int | None:
         """A key's record from a version on; None: it is deleted. Gives what it was."""
-        old: int | None = self.current.get(key)
+        old: int | None = self.locations.get(key)
         if self.snapshots:
             self.history.setdefault(key, []).append((version, old))
         if location is not None:
-            self.current[key] = location
+            self.locations[key] = location
         elif old is not None:
-            del self.current[key]
+            del self.locations[key]
         return old
 
     def move(self, key: bytes, old: int, new: int) -> bool:
         """A record that was copied elsewhere; false if it is not the key's any more."""
-        if self.current.get(key) != old:
+        if self.locations.get(key) != old:
             return False
-        self.current[key] = new
+        self.locations[key] = new
         return True
 
     def get(self, key: bytes, version: int | None = None) -> int | None:
@@ -58,7 +58,7 @@
             for replaced_at, old in self.history.get(key, ()):
                 if replaced_at > version:
                     return old
-        found: int | None = self.current.get(key)
+        found: int | None = self.locations.get(key)
         return found
 
     def read_chunk(
@@ -68,7 +68,7 @@
         keys: list[bytes] = list(islice(self._keys(start, end), CHUNK_KEYS))
         following = keys[-1] + b"\0" if len(keys) == CHUNK_KEYS else None
         if version is None:
-            return [(key, self.current[key]) for key in keys], following
+            return [(key, self.locations[key]) for key in keys], following
         gone = [k for k in self.history if start <= k and (end is None or k < end)]
         if following is not None:
             gone = [k for k in gone if k < following]
@@ -76,7 +76,7 @@
         return [(key, location) for key, location in found if location is not None], following
 
     def _keys(self, start: bytes, end: bytes | None) -> Iterator[bytes]:
-        keys: Iterator[bytes] = self.current.irange(start, end, inclusive=(True, False))
+        keys: Iterator[bytes] = self.locations.irange(start, end, inclusive=(True, False))
         return keys
 
     # ---- readers of an older state ----
--- a/roadpulley/store/opening.py
+++ b/roadpulley/store/opening.py
@@ -62,12 +62,12 @@
         segment.salt, segment.length = found.salt, decided.keep_bytes
         kept = [frame for frame in found.frames if frame.end <= decided.keep_bytes]
         for frame in kept:
-            self.add_records(segment, frame.records, best, where)
-            for place in frame.records:
+            self.add_records(segment, frame.record_metadata, best, where)
+            for place in frame.record_metadata:
                 segment.hint.add(place)
         self.store.version = max(manifest.version, segment.last)
         self.store.index = Index((key, location) for key, location in where.items() if location is not None)
-        for _, location in self.store.index.current.items():
+        for _, location in self.store.index.locations.items():
             number, _, size = unpack_location(location)
             self.store.segments[number].live_bytes += size
         self.resume_writing(manifest, decided)
@@ -129,7 +129,7 @@
             found = scan_segment(file.read(0, sealed.length), sealed.number)
             if problem := find_sealed_damage(sealed, found, size):
                 return problem
-            places = [place for frame in found.frames for place in frame.records]
+            places = [place for frame in found.frames for place in frame.record_metadata]
             hint = format.Hint()
             for place in places:
                 hint.add(place)
@@ -200,7 +200,7 @@
         self.store._append_durable_mark()
 
     def rewrite_frame(self, segment: Segment, frame: Frame, old: Segment, durable: int) -> None:
-        raw = [old.file.read(place.offset, place.size) for place in frame.records]
+        raw = [old.file.read(place.offset, place.size) for place in frame.record_metadata]
         records = [format.read_record(each, old.salt) for each in raw]
         data = format.pack_frame(records, frame.header.version, durable, segment.salt)
         segment.file.write(segment.length, data)
--- a/roadpulley/store/parts.py
+++ b/roadpulley/store/parts.py
@@ -70,7 +70,7 @@
     live_bytes: int = 0  # bytes of records that count
     active_reads: int = 0
     retired: bool = False
-    pinned_by_snapshots: bool = False  # by readers of an older state
+    is_pinned: bool = False  # by readers of an older state
     hint: format.Hint = field(default_factory=format.Hint)  # of one that is being written
 
     @property
--- a/roadpulley/store/recovery.py
+++ b/roadpulley/store/recovery.py
@@ -47,7 +47,7 @@
 class Frame:
     offset: int
     header: FrameHeader
-    records: tuple[RecordMetadata, ...]
+    record_metadata: tuple[RecordMetadata, ...]
 
     @property
     def end(self) -> int:
@@ -64,9 +64,8 @@
     end: int = 0  # of the last whole frame, or of the header
     size: int = 0  # of the file
     problem: str = ""  # what is wrong at `end`; "" if the file ends there
-    frames_after_problem: list[tuple[int, FrameHeader]] = field(
-        default_factory=list
-    )  # whole frames after that
+    # Offset and header of each intact frame after the problem.
+    frames_after_problem: list[tuple[int, FrameHeader]] = field(default_factory=list)
 
     @property
     def durable(self) -> int:
@@ -140,10 +139,7 @@
     durable = found.durable
     if found.problem and durable > max(known, found.last):
         first = max(known, found.last) + 1
-        after = (
-            ", ".join(str(head.version) for _, head in found.frames_after_problem if not head.is_mark)
-            or "none"
-        )
+        after = ", ".join(str(h.version) for _, h in found.frames_after_problem if not h.is_mark) or "none"
         lost = f"versions from {first} to {durable} were acknowledged; whole frames after it: {after}"
         return RecoveryPlan(damage=[Damage(name, found.end, found.problem, lost)])
     if not found.problem and durable > max(known, found.last):
--- a/roadpulley/store/store.py
+++ b/roadpulley/store/store.py
@@ -471,13 +471,8 @@
                 self._close_if_unused(segment)
 
     def _close_if_unused(self, segment: Segment) -> None:
-        """Close a segment's file once nobody needs it. The caller holds `lock`."""
-        if (
-            segment.retired
-            and not segment.active_reads
-            and not segment.pinned_by_snapshots
-            and not self.closed
-        ):
+        """Close the file of a retired segment that no read or snapshot uses. The caller holds `lock`."""
+        if segment.retired and not segment.active_reads and not segment.is_pinned and not self.closed:
             segment.file.close()
             self.segments.pop(segment.number, None)
 
@@ -485,7 +480,7 @@
         with self.lock:
             if self.index.remove_snapshot(version):
                 for segment in list(self.segments.values()):
-                    segment.pinned_by_snapshots = False
+                    segment.is_pinned = False
                     self._close_if_unused(segment)
 
     # ---- care ----
@@ -507,7 +502,7 @@
         with self.lock:
             here = [s for s in self.segments.values() if not s.retired]
             return StoreStats(
-                len(self.index.current),
+                len(self.index.locations),
                 self.version,
                 len(here),
                 sum(s.length for s in here),
--- a/tests/store/test_store_format.py
+++ b/tests/store/test_store_format.py
@@ -28,7 +28,7 @@
     data = segment(format.pack_frame(batch, 5, 4, salt), format.pack_mark(5, salt), salt=salt)
     found = scan_segment(data, 3)
     assert (found.problem, found.end, found.durable, found.salt) == ("", len(data), 5, salt)
-    places = found.frames[0].records
+    places = found.frames[0].record_metadata
     assert [format.read_record(data[p.offset : p.offset + p.size], salt) for p in places] == batch
 
 
@@ -107,10 +107,10 @@
 def test_a_hint_is_read_as_it_was_written_and_no_changed_byte_passes(batch: list[Record]) -> None:
     found = scan_segment(segment(format.pack_frame(batch or [Record(PUT, b"", b"", 1)], 5, 4, 9)), 3)
     hint = format.Hint()
-    for place in found.frames[0].records:
+    for place in found.frames[0].record_metadata:
         hint.add(place)
     data = hint.pack(3, found.end)
-    assert tuple(format.read_hint(data, 3, found.end)) == found.frames[0].records
+    assert tuple(format.read_hint(data, 3, found.end)) == found.frames[0].record_metadata
     for at in range(len(data)):
         changed = bytearray(data)
         changed[at] ^= 0x55
