--- a/benchmarks/plan_change.py
+++ b/benchmarks/plan_change.py
@@ -26,7 +26,7 @@
 
 from report import report  # noqa: E402
 
-from roadpulley.plans.shelf import Shelf  # noqa: E402
+from roadpulley.plans.plan_store import PlanStore  # noqa: E402
 from roadpulley.plans.terms import Terms  # noqa: E402
 from roadpulley.store import Store  # noqa: E402
 from roadpulley.testbed.installation import Installation  # noqa: E402
@@ -57,22 +57,24 @@
     )
     lags, commands = list[float](), list[float]()
     with Store.open(folder / "book") as store:
-        shelf = Shelf(store, folder / "feed.json", lambda: int(time.time() * 1000))
-        publish = shelf.publish
-        shelf.publish = lambda: None  # type: ignore[assignment, method-assign, return-value]
-        shelf.write(shelf.book.schedule(shelf.now(), "gold", Terms(rate=9, burst=9)))
+        plan_store = PlanStore(store, folder / "feed.json", lambda: int(time.time() * 1000))
+        publish = plan_store.publish
+        plan_store.publish = lambda: None  # type: ignore[assignment, method-assign, return-value]
+        plan_store.write(plan_store.catalog.schedule(plan_store.now(), "gold", Terms(rate=9, burst=9)))
         for number in range(OTHERS):
-            shelf.write(shelf.book.assign(shelf.now(), f"{2**31 + number:016x}", "gold"))
-        shelf.publish = publish  # type: ignore[method-assign]
-        shelf.publish()
+            plan_store.write(plan_store.catalog.assign(plan_store.now(), f"{2**31 + number:016x}", "gold"))
+        plan_store.publish = publish  # type: ignore[method-assign]
+        plan_store.publish()
         async with Installation(scenario) as world:
             running, log = asyncio.create_task(world.run()), world.folder / "n0.log"
             await followed(log, store.version, workers)
             loop = asyncio.get_running_loop()
             for number in range(changes):
-                changed = shelf.book.assign(shelf.now(), f"{2**31:016x}", "gold" if number % 2 else "")
+                changed = plan_store.catalog.assign(
+                    plan_store.now(), f"{2**31:016x}", "gold" if number % 2 else ""
+                )
                 began = time.perf_counter()
-                await loop.run_in_executor(None, shelf.write, changed)
+                await loop.run_in_executor(None, plan_store.write, changed)
                 wrote = time.perf_counter()
                 await followed(log, store.version, workers)
                 lags.append((time.perf_counter() - wrote) * 1000)
--- a/benchmarks/reservations.py
+++ b/benchmarks/reservations.py
@@ -13,7 +13,7 @@
 import time
 from pathlib import Path
 
-from roadpulley.plans.reserve import Bounds, Desk, No, Reservation
+from roadpulley.plans.reservations import Rejection, Reservation, ReservationLedger, TermsTimeline
 from roadpulley.plans.terms import Terms
 
 OUT = Path(__file__).parent / "out" / "reservations.json"
@@ -28,11 +28,11 @@
     args = parser.parse_args()
     chance, rows = random.Random(args.seed), []
     terms = Terms(rate=50, burst=100, ceiling_rate=200, ceiling_burst=400)
-    rows_of: Bounds = ((0, terms), (20 * DAY, terms))
+    rows_of: TermsTimeline = ((0, terms), (20 * DAY, terms))
     print("| promises | asked | refused | decision p50 us | p99 us | most us | steps of the pool | MB |")
     print("| ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |")
-    desk, number, promised, began = (
-        Desk(5_000.0, lambda customer, since: rows_of),
+    ledger, number, promised, began = (
+        ReservationLedger(5_000.0, lambda customer, since: rows_of),
         0,
         0,
         time.perf_counter(),
@@ -48,12 +48,12 @@
             units = max(1, int(chance.uniform(0.1, 4.0 if who else 0.05) * (end - start) / 1000))
             r = Reservation(f"r{number}", f"{who:016x}", units, start, end, chance.random() < 0.5)
             at = time.perf_counter()
-            answer = desk.ask(0, r)
+            answer = ledger.admit(0, r)
             spans.append((time.perf_counter() - at) * 1e6)
-            if isinstance(answer, No):
+            if isinstance(answer, Rejection):
                 refused += 1
                 continue
-            desk.take(answer)
+            ledger.apply(answer)
             promised += 1
         cuts = statistics.quantiles(spans, n=100)
         row = {
@@ -63,13 +63,13 @@
             "p50_us": round(cuts[49]),
             "p99_us": round(cuts[98]),
             "most_us": round(max(spans)),
-            "steps": len(desk.pool),
+            "steps": len(ledger.pool),
             "mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
         }
         rows.append(row)
         print("| " + " | ".join(f"{v:,}" for v in row.values()) + " |", flush=True)
     total = time.perf_counter() - began
-    most = max(len(mine.open) for mine in desk.customers.values())
+    most = max(len(mine.open) for mine in ledger.customers.values())
     print(f"{promised:,} promises made in {total:.1f} s; one customer has {most:,} of them")
     OUT.parent.mkdir(exist_ok=True)
     OUT.write_text(json.dumps({"seconds": total, "rows": rows}, indent=1))
--- a/roadpulley/cli/plan.py
+++ b/roadpulley/cli/plan.py
@@ -20,8 +20,8 @@
 from .frame import FOLDER, argument, option
 
 if TYPE_CHECKING:
-    from roadpulley.plans.book import Version
-    from roadpulley.plans.shelf import Shelf
+    from roadpulley.plans.catalog import Version
+    from roadpulley.plans.plan_store import PlanStore
 
 SPAN = re.compile(r"\+(\d{1,9})(ms|s|m|h|d)")
 UNIT_MS = {"ms": 1, "s": 1_000, "m": 60_000, "h": 3_600_000, "d": 86_400_000}
@@ -57,16 +57,16 @@
 def run(args: argparse.Namespace) -> int:
     """0: done; 1: somebody else was first; 2: it could not be done."""
     try:
-        from roadpulley.plans.book import Stale
+        from roadpulley.plans.catalog import VersionConflictError
         from roadpulley.store import StoreError
     except ImportError as error:
         print(f"roadpulley {args.prog}: {error.name} is missing: install roadpulley[store]", file=sys.stderr)
         return 2
     try:
-        with opened(args.settings) as shelf:
-            act: Callable[[Shelf, argparse.Namespace], None] = args.act
-            act(shelf, args)
-    except Stale as error:
+        with opened(args.settings) as plan_store:
+            act: Callable[[PlanStore, argparse.Namespace], None] = args.act
+            act(plan_store, args)
+    except VersionConflictError as error:
         print(f"roadpulley {args.prog}: {error}", file=sys.stderr)
         return 1
     except (ValidationError, StoreError, OSError) as error:
@@ -76,18 +76,19 @@
 
 
 @contextmanager
-def opened(settings: Path) -> Iterator[Shelf]:
+def opened(settings: Path) -> Iterator[PlanStore]:
+    from roadpulley.plans.plan_store import PlanStore
     from roadpulley.plans.settings import read_settings
-    from roadpulley.plans.shelf import Shelf
     from roadpulley.store import Store
 
     found = read_settings(settings)
     found.store.parent.mkdir(parents=True, exist_ok=True)
     with Store.open(found.store) as store:
-        shelf = Shelf(store, found.feed, now, found.pool, shows=found.fleet is None)
-        if shelf.shows and shelf.mend() and store.version:  # an empty book is behind nothing
+        plan_store = PlanStore(store, found.feed, now, found.pool, publishes_on_write=found.fleet is None)
+        # An empty store needs no message: version 0 has nothing that the feed could lack.
+        if plan_store.publishes_on_write and plan_store.publish_if_behind() and store.version:
             print(f"{found.feed} was behind the book, and is written anew", file=sys.stderr)
-        yield shelf
+        yield plan_store
     if found.fleet is not None:
         print(asked(found.fleet, "plans-publish"), file=sys.stderr)
 
@@ -148,61 +149,72 @@
 # ---- commands ----
 
 
-def set_terms(shelf: Shelf, args: argparse.Namespace) -> None:
-    from roadpulley.plans.terms import plan_name, read_terms
+def set_terms(plan_store: PlanStore, args: argparse.Namespace) -> None:
+    from roadpulley.plans.terms import read_terms, validate_plan_name
 
-    name = plan_name(args.plan)
+    name = validate_plan_name(args.plan)
     at = moment(getattr(args, "at", None), "--from")
-    before = shelf.book.version_at(name, at or now())
+    before = plan_store.catalog.get_version_at(name, at or now())
     terms = read_terms(Table(given(args), f"plan {name}"), before.terms if before else None)
-    say(shelf.write(shelf.book.schedule(now(), name, terms, at, args.expect, args.note)))
+    say(plan_store.write(plan_store.catalog.schedule(now(), name, terms, at, args.expect, args.note)))
 
 
-def assign(shelf: Shelf, args: argparse.Namespace) -> None:
-    from roadpulley.plans.terms import customer_id, plan_name
+def assign(plan_store: PlanStore, args: argparse.Namespace) -> None:
+    from roadpulley.plans.terms import validate_customer_id, validate_plan_name
 
-    customer, plan = customer_id(args.customer), "" if args.plan == "none" else plan_name(args.plan)
+    customer, plan = (
+        validate_customer_id(args.customer),
+        "" if args.plan == "none" else validate_plan_name(args.plan),
+    )
     at = moment(args.at, "--from")
-    say(shelf.write(shelf.book.assign(now(), customer, plan, at, args.expect, args.note)))
+    say(plan_store.write(plan_store.catalog.assign(now(), customer, plan, at, args.expect, args.note)))
 
 
-def override(shelf: Shelf, args: argparse.Namespace) -> None:
+def override(plan_store: PlanStore, args: argparse.Namespace) -> None:
     from roadpulley.plans.records import read_changes
-    from roadpulley.plans.terms import customer_id
+    from roadpulley.plans.terms import validate_customer_id
 
-    customer = customer_id(args.customer)
+    customer = validate_customer_id(args.customer)
     changes = read_changes(Table(given(args), f"customer {customer}"))
     at, until = moment(args.at, "--from"), moment(args.until, "--until") or 0
-    say(shelf.write(shelf.book.override(now(), customer, changes, at, until, args.expect, args.note)))
+    say(
+        plan_store.write(
+            plan_store.catalog.override(now(), customer, changes, at, until, args.expect, args.note)
+        )
+    )
 
 
-def cancel(shelf: Shelf, args: argparse.Namespace) -> None:
+def cancel(plan_store: PlanStore, args: argparse.Namespace) -> None:
     number = int(args.number) if args.number.isdecimal() else 0
-    rows, subject = of(shelf, args.name)
-    say(shelf.write(shelf.book.call_off(now(), shelf.book.find(rows, number, subject))))
+    rows, subject = of(plan_store, args.name)
+    say(
+        plan_store.write(
+            plan_store.catalog.cancel_version(now(), plan_store.catalog.get_version(rows, number, subject))
+        )
+    )
 
 
-def of(shelf: Shelf, name: str) -> tuple[Any, str]:
-    if name in shelf.book.plans:
-        return shelf.book.plans[name], f"plan {name}"
-    if name in shelf.book.customers:
-        return shelf.book.customers[name], f"customer {name}"
-    known = ", ".join(sorted(shelf.book.plans)) or "none yet"
+def of(plan_store: PlanStore, name: str) -> tuple[Any, str]:
+    if name in plan_store.catalog.plans:
+        return plan_store.catalog.plans[name], f"plan {name}"
+    if name in plan_store.catalog.customers:
+        return plan_store.catalog.customers[name], f"customer {name}"
+    known = ", ".join(sorted(plan_store.catalog.plans)) or "none yet"
     raise ValidationError(name, "is no plan and no customer of the book", f"the plans are: {known}")
 
 
-def listed(shelf: Shelf, args: argparse.Namespace) -> None:
+def listed(plan_store: PlanStore, args: argparse.Namespace) -> None:
     at = now()
-    for name in sorted(shelf.book.plans):
-        version = shelf.book.version_at(name, at)
+    for name in sorted(plan_store.catalog.plans):
+        version = plan_store.catalog.get_version_at(name, at)
         print(f"{name:<20} {in_words(version) if version else 'does not hold yet'}")
-    print(f"{len(shelf.book.customers)} customers with a plan of their own")
+    print(f"{len(plan_store.catalog.customers)} customers with a plan of their own")
 
 
-def show(shelf: Shelf, args: argparse.Namespace) -> None:
-    rows, _ = of(shelf, args.name)
-    if rows is shelf.book.customers.get(args.name):
-        held = shelf.book.holding(args.name, "", now())
+def show(plan_store: PlanStore, args: argparse.Namespace) -> None:
+    rows, _ = of(plan_store, args.name)
+    if rows is plan_store.catalog.customers.get(args.name):
+        held = plan_store.catalog.get_effective_terms(args.name, "", now())
         terms = (
             " ".join(f"{k}={v}" for k, v in vars(held.terms).items())
             if held.terms
@@ -211,20 +223,20 @@
         print(f"{args.name}  {held.plan or 'no plan assigned'} version {held.version}, "
               f"override {held.override or 'none'}: {terms}")  # fmt: skip
         return
-    version = shelf.book.version_at(args.name, now())
+    version = plan_store.catalog.get_version_at(args.name, now())
     print(in_words(version) if version else "does not hold yet")
 
 
-def history(shelf: Shelf, args: argparse.Namespace) -> None:
-    for version in of(shelf, args.name)[0]:
+def history(plan_store: PlanStore, args: argparse.Namespace) -> None:
+    for version in of(plan_store, args.name)[0]:
         print(in_words(version))
 
 
-def publish(shelf: Shelf, args: argparse.Namespace) -> None:
-    if not shelf.shows:
+def publish(plan_store: PlanStore, args: argparse.Namespace) -> None:
+    if not plan_store.publishes_on_write:
         return  # whose duty it is, is asked in the end
-    doc = shelf.publish()
-    print(f"{shelf.feed_file}: {len(doc.plans)} plans and {len(doc.customers)} customers at {doc.seq}")
+    doc = plan_store.publish()
+    print(f"{plan_store.feed_file}: {len(doc.plans)} plans and {len(doc.customers)} customers at {doc.seq}")
 
 
 def say(version: Version) -> None:
@@ -232,22 +244,22 @@
 
 
 def in_words(version: Version) -> str:
-    from roadpulley.plans.book import PlanVersion
+    from roadpulley.plans.catalog import PlanVersion
 
-    words = f"version {version.number} from {shown(version.holds_from)}"
+    words = f"version {version.number} from {shown(version.effective_from)}"
     if isinstance(version, PlanVersion):
         words += ": " + " ".join(f"{k}={v}" for k, v in vars(version.terms).items())
-    elif version.assigns is not None:
-        words += f": plan {version.assigns or 'that its requests name'}"
+    elif version.assigned_plan is not None:
+        words += f": plan {version.assigned_plan or 'that its requests name'}"
     else:
         words += f" until {shown(version.until)}" if version.until else ""
         words += ": " + (" ".join(f"{k}={v}" for k, v in version.changes) or "nothing is overridden")
-    if version.called_off:
-        words += f" (called off at {shown(version.called_off)})"
+    if version.cancelled_at:
+        words += f" (called off at {shown(version.cancelled_at)})"
     return words + (f"  # {version.note}" if version.note else "")
 
 
-ACTS: dict[str, tuple[Callable[[Shelf, argparse.Namespace], None], str, str]] = {
+ACTS: dict[str, tuple[Callable[[PlanStore, argparse.Namespace], None], str, str]] = {
     "list": (listed, "all plans as they hold now", ""),
     "show": (show, "what holds now for a plan or a customer", "name"),
     "set": (set_terms, "new terms of a plan from now on; what is not named stays", "plan"),
--- a/roadpulley/cli/reserve.py
+++ b/roadpulley/cli/reserve.py
@@ -15,8 +15,8 @@
 from .frame import argument, option
 
 if TYPE_CHECKING:
-    from roadpulley.plans.reserve import Reservation
-    from roadpulley.plans.shelf import Shelf
+    from roadpulley.plans.plan_store import PlanStore
+    from roadpulley.plans.reservations import Reservation
 
 
 def command() -> click.Command:
@@ -42,41 +42,41 @@
     return frame.command(name, frame.inherits(plan.run), words, params, act=act, prog="reserve")
 
 
-def make(shelf: Shelf, args: argparse.Namespace) -> None:
-    from roadpulley.plans.records import reservation_id
-    from roadpulley.plans.reserve import No, Reservation
-    from roadpulley.plans.terms import customer_id
+def make(plan_store: PlanStore, args: argparse.Namespace) -> None:
+    from roadpulley.plans.records import validate_reservation_id
+    from roadpulley.plans.reservations import Rejection, Reservation
+    from roadpulley.plans.terms import validate_customer_id
 
     if not args.units.isdecimal():
         raise ValidationError("units", f"is {args.units!r}", "give a whole number")
     start = plan.moment(args.at, "--from") or plan.now()
     end = plan.moment(args.until, "--until") or 0
-    id = reservation_id(args.id or secrets.token_hex(8))
-    customer = customer_id(args.customer)
-    answer = shelf.reserve(
+    id = validate_reservation_id(args.id or secrets.token_hex(8))
+    customer = validate_customer_id(args.customer)
+    answer = plan_store.reserve(
         Reservation(id, customer, int(args.units), start, end, args.on_top, args.kind, args.batch)
     )
-    if isinstance(answer, No):
-        fits = [f"{answer.units:,} units fit into that time"] if answer.units else []
-        fits += [f"all of it fits from {plan.shown(answer.start)}"] if answer.start else []
+    if isinstance(answer, Rejection):
+        fits = [f"{answer.available_units:,} units fit into that time"] if answer.available_units else []
+        fits += [f"all of it fits from {plan.shown(answer.next_start)}"] if answer.next_start else []
         right = " and ".join(fits) or "no time that was looked at has room"
-        raise ValidationError(f"from {plan.shown(answer.at)}", answer.why, right)
+        raise ValidationError(f"from {plan.shown(answer.exceeded_at)}", answer.reason, right)
     print(in_words(answer))
 
 
-def listed(shelf: Shelf, args: argparse.Namespace) -> None:
-    rows = [r for r in shelf.desk.by_id.values() if args.customer in (None, r.customer)]
+def listed(plan_store: PlanStore, args: argparse.Namespace) -> None:
+    rows = [r for r in plan_store.reservations.by_id.values() if args.customer in (None, r.customer)]
     for r in sorted(rows, key=lambda r: (r.start, r.id)):
         print(in_words(r))
-    for customer, at in shelf.desk.short(plan.now()):
+    for customer, at in plan_store.reservations.find_overcommitted(plan.now()):
         print(f"{customer}: its plan bears less than was promised from {plan.shown(at)}", file=sys.stderr)
 
 
-def cancel(shelf: Shelf, args: argparse.Namespace) -> None:
-    print(in_words(shelf.cancel(args.id)))
+def cancel(plan_store: PlanStore, args: argparse.Namespace) -> None:
+    print(in_words(plan_store.cancel(args.id)))
 
 
 def in_words(r: Reservation) -> str:
     words = f"{r.id}  {r.customer}  {r.units:,} units from {plan.shown(r.start)} to {plan.shown(r.end)}"
-    words += f", {r.rate / 1e6:g} a second {'on top of' if r.on_top else 'out of'} its plan"
-    return words + (f" (ended at {plan.shown(r.until)})" if r.ended_at else "")
+    words += f", {r.rate_micro / 1e6:g} a second {'on top of' if r.on_top else 'out of'} its plan"
+    return words + (f" (ended at {plan.shown(r.effective_end)})" if r.ended_at else "")
--- a/roadpulley/fleet/works/plans.py
+++ b/roadpulley/fleet/works/plans.py
@@ -8,8 +8,8 @@
 from roadpulley.fleet.clock import wall_ms
 from roadpulley.fleet.duties.registers import FileRegister
 from roadpulley.fleet.duties.work import HeldDuty, WorkError
+from roadpulley.plans.plan_store import PlanStore
 from roadpulley.plans.settings import PlanSettings
-from roadpulley.plans.shelf import Shelf
 from roadpulley.store import LockedError, Store, StoreError
 
 log = logging.getLogger(__name__)
@@ -33,11 +33,11 @@
         """Publishes if the feed is out of date, was published under another fence, or has expired entries."""
         try:
             with Store.open(self.settings.store) as store:
-                shelf = Shelf(store, self.settings.feed, wall_ms, self.settings.pool)
-                if not shelf.behind(duty.fence) or not duty.is_still_held():
+                plan_store = PlanStore(store, self.settings.feed, wall_ms, self.settings.pool)
+                if not plan_store.needs_publishing(duty.fence) or not duty.is_still_held():
                     return None
                 with self.register.guard(duty.fence):
-                    doc = shelf.publish(duty.fence)
+                    doc = plan_store.publish(duty.fence)
         except LockedError:
             return 0.05  # a command is writing: its changes are published once it is done
         except (StoreError, ValidationError, OSError) as error:
--- a/roadpulley/plans/book.py
+++ b/roadpulley/plans/catalog.py
@@ -15,14 +15,16 @@
 
 from roadpulley.checks import ValidationError
 
-from .terms import FIELDS, Terms
+from .terms import TERM_NAMES, Terms
 
-MOST_AHEAD_MS = 400 * 24 * 3_600_000  # further ahead a time is more likely seconds taken for milliseconds
-LATE_MS = 1_000  # a time that has just passed means now: clocks are apart, and commands take their time
-MOST_VERSIONS = 10_000  # of one plan or customer
+MAX_AHEAD_MS = 400 * 24 * 3_600_000  # further ahead a time is more likely seconds taken for milliseconds
+START_TOLERANCE_MS = (
+    1_000  # a time that has just passed means now: clocks are apart, and commands take their time
+)
+MAX_VERSIONS = 10_000  # of one plan or customer
 
 
-class Stale(Exception):
+class VersionConflictError(Exception):
     """Somebody else made a version first (HTTP 412). Nothing was changed."""
 
     def __init__(self, subject: str, number: int) -> None:
@@ -34,11 +36,11 @@
 class PlanVersion:
     plan: str
     number: int  # 1, 2, ...: in the order in which they were made
-    holds_from: int
+    effective_from: int
     terms: Terms
     made_at: int
     note: str = ""
-    called_off: int = 0  # when; 0: it stands
+    cancelled_at: int = 0  # when; 0: it stands
 
     @property
     def subject(self) -> str:
@@ -51,13 +53,13 @@
 
     customer: str
     number: int
-    holds_from: int
+    effective_from: int
     until: int  # of an override; 0: without end
     made_at: int
-    assigns: str | None = None
+    assigned_plan: str | None = None
     changes: tuple[tuple[str, float | int | str], ...] = ()  # by name of the term
     note: str = ""
-    called_off: int = 0
+    cancelled_at: int = 0
 
     @property
     def subject(self) -> str:
@@ -69,7 +71,7 @@
 
 
 @dataclass(frozen=True)
-class Holding:
+class EffectiveTerms:
     """What holds for a customer at a time, by the versions that use is billed under; 0: none."""
 
     plan: str
@@ -79,13 +81,13 @@
 
 
 @dataclass
-class Book:
+class PlanCatalog:
     plans: dict[str, list[PlanVersion]] = field(default_factory=dict)
     customers: dict[str, list[CustomerVersion]] = field(default_factory=dict)
 
     # ---- what was written ----
 
-    def take(self, version: Version) -> None:
+    def apply(self, version: Version) -> None:
         """A version from the store, or one just written to it; one with a known number replaces that."""
         rows: list[PlanVersion] | list[CustomerVersion]
         if isinstance(version, PlanVersion):
@@ -110,8 +112,8 @@
     ) -> PlanVersion:
         """New terms of a plan, from now on or from a time. Raises ValidationError and Stale."""
         rows = self.plans.get(plan, [])
-        number = self._next(f"plan {plan}", len(rows), expect)
-        return PlanVersion(plan, number, begins(now, at), terms.check(), now, note)
+        number = self._get_next_number(f"plan {plan}", len(rows), expect)
+        return PlanVersion(plan, number, resolve_start_ms(now, at), terms.validate(), now, note)
 
     def assign(
         self,
@@ -123,13 +125,13 @@
         note: str = "",
     ) -> CustomerVersion:
         """Another plan for a customer; "": the one that its requests name."""
-        start = begins(now, at)
-        if plan and not any(v.holds_from <= start for v in standing(self.plans.get(plan, []))):
+        start = resolve_start_ms(now, at)
+        if plan and not any(v.effective_from <= start for v in get_active_versions(self.plans.get(plan, []))):
             raise ValidationError(
                 "plan", f"{plan!r} does not hold at that time", f"give one of {', '.join(sorted(self.plans))}"
             )
-        number = self._next(f"customer {customer}", len(self.customers.get(customer, [])), expect)
-        return CustomerVersion(customer, number, start, 0, now, assigns=plan, note=note)
+        number = self._get_next_number(f"customer {customer}", len(self.customers.get(customer, [])), expect)
+        return CustomerVersion(customer, number, start, 0, now, assigned_plan=plan, note=note)
 
     def override(
         self,
@@ -142,89 +144,95 @@
         note: str = "",
     ) -> CustomerVersion:
         """Single terms of one customer's own; with none of them, what was overridden ends."""
-        start = begins(now, at)
+        start = resolve_start_ms(now, at)
         if until and until <= start:
             raise ValidationError(
                 "until", f"is {until}, and it begins at {start}", "give a later time, or none"
             )
-        if changes and not self.holding(customer, "", start).terms:
+        if changes and not self.get_effective_terms(customer, "", start).terms:
             right = "assign one first, so that it is known what is overridden"
             raise ValidationError(f"customer {customer}", "has no plan assigned at that time", right)
         for name in changes:
-            if name not in FIELDS:
-                raise ValidationError(f"override.{name}", "is no term", f"the terms are {', '.join(FIELDS)}")
-        number = self._next(f"customer {customer}", len(self.customers.get(customer, [])), expect)
+            if name not in TERM_NAMES:
+                raise ValidationError(
+                    f"override.{name}", "is no term", f"the terms are {', '.join(TERM_NAMES)}"
+                )
+        number = self._get_next_number(f"customer {customer}", len(self.customers.get(customer, [])), expect)
         listed = tuple(sorted(changes.items()))
         return CustomerVersion(customer, number, start, until, now, changes=listed, note=note)
 
-    def call_off(self, now: int, version: Version) -> Version:
+    def cancel_version(self, now: int, version: Version) -> Version:
         """One that has not begun.
 
         Raises ValidationError: what has begun is billed by, and only a new version ends it.
         """
-        if version.called_off:
+        if version.cancelled_at:
             raise ValidationError(
                 version.subject, f"version {version.number} is called off already", "nothing is to be done"
             )
-        if version.holds_from <= now:
+        if version.effective_from <= now:
             right = "make a new version that holds from now"
             raise ValidationError(version.subject, f"version {version.number} has begun", right)
-        return replace(version, called_off=now)
+        return replace(version, cancelled_at=now)
 
-    def find(self, rows: list[PlanVersion] | list[CustomerVersion], number: int, subject: str) -> Version:
+    def get_version(
+        self, rows: list[PlanVersion] | list[CustomerVersion], number: int, subject: str
+    ) -> Version:
         if not 1 <= number <= len(rows):
             raise ValidationError(subject, f"has no version {number}", f"give one from 1 to {len(rows)}")
         return rows[number - 1]
 
-    def _next(self, subject: str, last: int, expect: int | None) -> int:
+    def _get_next_number(self, subject: str, last: int, expect: int | None) -> int:
         if expect is not None and expect != last:
-            raise Stale(subject, last)
-        if last >= MOST_VERSIONS:
+            raise VersionConflictError(subject, last)
+        if last >= MAX_VERSIONS:
             raise ValidationError(subject, f"has {last} versions", "that is the most; give it another name")
         return last + 1
 
     # ---- questions ----
 
-    def version_at(self, plan: str, at: int) -> PlanVersion | None:
-        held = [v for v in standing(self.plans.get(plan, [])) if v.holds_from <= at]
-        return max(held, key=lambda v: (v.holds_from, v.number), default=None)
+    def get_version_at(self, plan: str, at: int) -> PlanVersion | None:
+        held = [v for v in get_active_versions(self.plans.get(plan, [])) if v.effective_from <= at]
+        return max(held, key=lambda v: (v.effective_from, v.number), default=None)
 
-    def holding(self, customer: str, named: str, at: int) -> Holding:
+    def get_effective_terms(self, customer: str, named: str, at: int) -> EffectiveTerms:
         """What holds for a customer whose requests name this plan."""
-        held = [v for v in standing(self.customers.get(customer, [])) if v.holds_from <= at]
-        latest = sorted(held, key=lambda v: (v.holds_from, v.number), reverse=True)
-        plan = next((v.assigns for v in latest if v.assigns is not None), "") or named
-        override = next((v for v in latest if v.assigns is None and not 0 < v.until <= at), None)
+        held = [v for v in get_active_versions(self.customers.get(customer, [])) if v.effective_from <= at]
+        latest = sorted(held, key=lambda v: (v.effective_from, v.number), reverse=True)
+        plan = next((v.assigned_plan for v in latest if v.assigned_plan is not None), "") or named
+        override = next((v for v in latest if v.assigned_plan is None and not 0 < v.until <= at), None)
         if override is not None and not override.changes:
             override = None  # what was overridden ends there
-        version = self.version_at(plan, at)
+        version = self.get_version_at(plan, at)
         terms = version.terms if version else None
         if override is not None and terms is not None:
             changed: dict[str, Any] = dict(override.changes)
             terms = replace(terms, **changed)
-        return Holding(plan, version.number if version else 0, override.number if override else 0, terms)
+        return EffectiveTerms(
+            plan, version.number if version else 0, override.number if override else 0, terms
+        )
 
-    def edges(self, customer: str, since: int) -> list[int]:
+    def get_change_times(self, customer: str, since: int) -> list[int]:
         """When what holds for a customer may change, after a time."""
-        rows = standing(self.customers.get(customer, []))
-        plans = {v.assigns for v in rows if v.assigns}
-        times = {t for v in rows for t in (v.holds_from, v.until)}
-        times |= {v.holds_from for p in plans for v in standing(self.plans.get(p, []))}
+        rows = get_active_versions(self.customers.get(customer, []))
+        plans = {v.assigned_plan for v in rows if v.assigned_plan}
+        times = {t for v in rows for t in (v.effective_from, v.until)}
+        times |= {v.effective_from for p in plans for v in get_active_versions(self.plans.get(p, []))}
         return sorted(t for t in times if t > since)
 
 
-def standing(rows: list[V]) -> list[V]:
-    return [v for v in rows if not v.called_off]
+def get_active_versions(rows: list[V]) -> list[V]:
+    return [v for v in rows if not v.cancelled_at]
 
 
-def begins(now: int, at: int | None) -> int:
+def resolve_start_ms(now: int, at: int | None) -> int:
     """The time from which something holds.
 
     Raises ValidationError for one that has passed: its use may be billed.
     """
     if at is None:
         return now
-    if not now - LATE_MS <= at <= now + MOST_AHEAD_MS:
+    if not now - START_TOLERANCE_MS <= at <= now + MAX_AHEAD_MS:
         right = "give a time from now on, at most 400 days ahead"
         raise ValidationError("from", f"is {(at - now) / 1000:+,.0f} s from now", right)
     return max(now, at)
--- a/roadpulley/plans/feed.py
+++ b/roadpulley/plans/feed.py
@@ -19,20 +19,20 @@
 
 from roadpulley.checks import Table, ValidationError, format_value
 
-from .book import Book
-from .reserve import MICRO
-from .terms import Terms, customer_id, plan_name, read_terms, written
+from .catalog import PlanCatalog
+from .reservations import MICRO
+from .terms import Terms, read_terms, terms_to_dict, validate_customer_id, validate_plan_name
 
 FORMAT = 1
-MOST_BYTES = 64 * 2**20  # of a document: some 300,000 customers with terms of their own
-MOST_TIME = 2**53
+MAX_DOCUMENT_BYTES = 64 * 2**20  # of a document: some 300,000 customers with terms of their own
+MAX_TIME_MS = 2**53
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
     """What holds from a time on. `terms` None, of a customer: those of the plan that its requests name."""
 
-    holds_from: int
+    effective_from: int
     plan: str
     version: int
     override: int
@@ -51,34 +51,43 @@
 # ---- written ----
 
 
-Tops = Callable[[str], list[tuple[int, int, int]]]  # of a customer: from, until before, millionths a second
+OnTopRates = Callable[
+    [str], list[tuple[int, int, int]]
+]  # of a customer: from, until before, millionths a second
 
 
-def nothing(customer: str) -> list[tuple[int, int, int]]:
+def no_on_top_rates(customer: str) -> list[tuple[int, int, int]]:
     return []
 
 
-def document(book: Book, now: int, seq: int, tops: Tops = nothing, fence: int = 0) -> Document:
+def build_document(
+    catalog: PlanCatalog, now: int, seq: int, get_on_top_rates: OnTopRates = no_on_top_rates, fence: int = 0
+) -> Document:
     """`tops`: reservations on top, which raise a customer's rate for their time."""
     plans = {}
-    for name, rows in book.plans.items():
-        times = [now, *sorted({v.holds_from for v in rows if v.holds_from > now and not v.called_off})]
-        if entries := timeline(times, lambda at, name=name: of_plan(book, name, at)):
+    for name, rows in catalog.plans.items():
+        times = [
+            now,
+            *sorted({v.effective_from for v in rows if v.effective_from > now and not v.cancelled_at}),
+        ]
+        if entries := build_timeline(times, lambda at, name=name: get_plan_entry(catalog, name, at)):
             plans[name] = entries
     customers = {}
-    for customer in book.customers:
-        extra = tops(customer)
-        edges = sorted({*book.edges(customer, 0), *(t for start, end, _ in extra for t in (start, end))})
-        times = [max((t for t in edges if t <= now), default=0), *(t for t in edges if t > now)]
-        entries = timeline(
-            times, lambda at, customer=customer, extra=extra: of_customer(book, customer, at, extra)
+    for customer in catalog.customers:
+        extra = get_on_top_rates(customer)
+        change_times = sorted(
+            {*catalog.get_change_times(customer, 0), *(t for start, end, _ in extra for t in (start, end))}
+        )
+        times = [max((t for t in change_times if t <= now), default=0), *(t for t in change_times if t > now)]
+        entries = build_timeline(
+            times, lambda at, customer=customer, extra=extra: get_customer_entry(catalog, customer, at, extra)
         )
         if any(e.terms is not None for e in entries):
             customers[customer] = entries
     return Document(seq, now, plans, customers, fence)
 
 
-def timeline(times: list[int], entry: Any) -> tuple[Entry, ...]:
+def build_timeline(times: list[int], entry: Any) -> tuple[Entry, ...]:
     """Entries at these times, without those that change nothing."""
     out: list[Entry] = []
     for at in times:
@@ -89,14 +98,16 @@
     return tuple(out)
 
 
-def of_plan(book: Book, name: str, at: int) -> Entry | None:
-    version = book.version_at(name, at)
-    return Entry(max(version.holds_from, 0), name, version.number, 0, version.terms) if version else None
+def get_plan_entry(catalog: PlanCatalog, name: str, at: int) -> Entry | None:
+    version = catalog.get_version_at(name, at)
+    return Entry(max(version.effective_from, 0), name, version.number, 0, version.terms) if version else None
 
 
-def of_customer(book: Book, customer: str, at: int, extra: list[tuple[int, int, int]]) -> Entry:
-    """Its own terms, where it has an assignment or an override of a plan that the book knows."""
-    assigned, terms = book.holding(customer, "", at), None
+def get_customer_entry(
+    catalog: PlanCatalog, customer: str, at: int, extra: list[tuple[int, int, int]]
+) -> Entry:
+    """Its own terms, where it has an assignment or an override of a plan that the catalog knows."""
+    assigned, terms = catalog.get_effective_terms(customer, "", at), None
     if assigned.terms is not None:
         more = sum(rate for start, end, rate in extra if start <= at < end) / MICRO
         terms = replace(assigned.terms, rate=assigned.terms.rate + more)
@@ -105,7 +116,7 @@
 
 def dump(doc: Document) -> bytes:
     def entry(e: Entry) -> list[Any]:
-        return [e.holds_from, e.plan, e.version, e.override, written(e.terms) if e.terms else None]
+        return [e.effective_from, e.plan, e.version, e.override, terms_to_dict(e.terms) if e.terms else None]
 
     raw = {
         "format": FORMAT,
@@ -123,8 +134,10 @@
 
 def load(data: bytes) -> Document:
     """Raises ValidationError with the place; nothing of a document that is not whole may be used."""
-    if len(data) > MOST_BYTES:
-        raise ValidationError("", f"has {len(data):,} bytes", f"give a feed of at most {MOST_BYTES:,}")
+    if len(data) > MAX_DOCUMENT_BYTES:
+        raise ValidationError(
+            "", f"has {len(data):,} bytes", f"give a feed of at most {MAX_DOCUMENT_BYTES:,}"
+        )
     try:
         raw = json.loads(data)
     except (ValueError, RecursionError) as error:
@@ -134,20 +147,26 @@
         raise ValidationError(
             "format", f"is {format_value(raw['format'])}", f"this program reads format {FORMAT}"
         )
-    seq, made = table.read_int("seq", maximum=MOST_TIME), table.read_int("made_at", maximum=MOST_TIME)
-    fence = table.read_int("fence", 0, maximum=MOST_TIME)
+    seq, made = table.read_int("seq", maximum=MAX_TIME_MS), table.read_int("made_at", maximum=MAX_TIME_MS)
+    fence = table.read_int("fence", 0, maximum=MAX_TIME_MS)
     plans, customers = table.read_table("plans"), table.read_table("customers")
     table.reject_unknown_keys()
     return Document(
         seq,
         made,
-        {plan_name(name, plans.path_of(name)): rows(plans, name, False) for name in plans.raw},
-        {customer_id(name, customers.path_of(name)): rows(customers, name, True) for name in customers.raw},
+        {
+            validate_plan_name(name, plans.path_of(name)): read_entries(plans, name, False)
+            for name in plans.raw
+        },
+        {
+            validate_customer_id(name, customers.path_of(name)): read_entries(customers, name, True)
+            for name in customers.raw
+        },
         fence,
     )
 
 
-def rows(table: Table, name: str, may_lack: bool) -> tuple[Entry, ...]:
+def read_entries(table: Table, name: str, allow_null_terms: bool) -> tuple[Entry, ...]:
     path, value = table.path_of(name), table.raw[name]
     if not isinstance(value, list) or not value:
         raise ValidationError(path, f"is {format_value(value)}", "give a list of entries")
@@ -159,17 +178,17 @@
                 at, f"is {format_value(each)}", "give [from, plan, version, override, terms]"
             )
         table = Table(dict(zip(("from", "plan", "version", "override", "terms"), each, strict=True)), at)
-        start, plan = table.read_int("from", maximum=MOST_TIME), table.read_text("plan", "")
-        if out and start <= out[-1].holds_from:
+        start, plan = table.read_int("from", maximum=MAX_TIME_MS), table.read_text("plan", "")
+        if out and start <= out[-1].effective_from:
             raise ValidationError(f"{at}.from", f"is {start}", "give entries in the order of time")
-        if each[4] is None and not may_lack:
+        if each[4] is None and not allow_null_terms:
             raise ValidationError(f"{at}.terms", "is missing", "give the plan's terms")
-        terms = None if each[4] is None else read_own(table.read_table("terms"))
+        terms = None if each[4] is None else read_complete_terms(table.read_table("terms"))
         out.append(Entry(start, plan, table.read_int("version"), table.read_int("override"), terms))
     return tuple(out)
 
 
-def read_own(table: Table) -> Terms:
+def read_complete_terms(table: Table) -> Terms:
     terms = read_terms(table, whole=True)
     table.reject_unknown_keys()
     return terms
--- a/roadpulley/plans/watch.py
+++ b/roadpulley/plans/feed_watcher.py
@@ -10,62 +10,64 @@
 from roadpulley.core.driver import Driver
 
 from . import feed
-from .follow import Follower
+from .follower import Follower
 
 log = logging.getLogger(__name__)
 
 
-class Watch:
+class FeedWatcher:
     """Looks every `look_ms`. A feed that cannot be read leaves what holds, and is told of once."""
 
-    def __init__(self, path: Path, look_ms: float, driver: Driver, timers: Timers) -> None:
-        self.path, self.look_ms, self.driver, self.timers = path, look_ms, driver, timers
+    def __init__(self, path: Path, poll_interval_ms: float, driver: Driver, timers: Timers) -> None:
+        self.path, self.look_ms, self.driver, self.timers = path, poll_interval_ms, driver, timers
         self.follower = Follower({p.name: p for p in driver.settings.plans})
-        self.seen: tuple[int, int, int] | None = None
-        self.complaint = ""
+        self.last_stamp: tuple[int, int, int] | None = None
+        self.last_error = ""
         self.closed = False
 
-    def look(self) -> None:
+    def poll(self) -> None:
         if self.closed:
             return
         try:
-            self._read()
-            self.complaint = ""
+            self._read_feed()
+            self.last_error = ""
         except (OSError, ValidationError) as error:
-            if str(error) != self.complaint:
-                self.complaint = str(error)
+            if str(error) != self.last_error:
+                self.last_error = str(error)
                 log.error("plans stay as they are: %s: %s", self.path, error)
-        self.begin()
-        self.timers.call_at(min(now_ms() + self.look_ms, max(now_ms(), self.follower.next_at())), self.look)
+        self.apply_due_changes()
+        self.timers.call_at(
+            min(now_ms() + self.look_ms, max(now_ms(), self.follower.get_next_change_ms())), self.poll
+        )
 
-    def begin(self) -> None:
-        for change in self.follower.tick(int(now_ms())):
+    def apply_due_changes(self) -> None:
+        for change in self.follower.advance(int(now_ms())):
             self.driver.handle_event(change)
 
-    def _read(self) -> None:
+    def _read_feed(self) -> None:
         stat = self.path.stat()
         mark = (stat.st_ino, stat.st_mtime_ns, stat.st_size)
-        if mark == self.seen:
+        if mark == self.last_stamp:
             return
         doc = feed.load(self.path.read_bytes())
-        self.seen = mark
-        if doc.fence < self.follower.doc.fence:
+        self.last_stamp = mark
+        if doc.fence < self.follower.document.fence:
             log.error(
                 "plans stay as they are: %s is of fence %d, and %d was seen",
                 self.path,
                 doc.fence,
-                self.follower.doc.fence,
+                self.follower.document.fence,
             )
-        elif doc.seq < self.follower.doc.seq:
+        elif doc.seq < self.follower.document.seq:
             log.error(
                 "plans stay as they are: %s is at %d, and %d was seen",
                 self.path,
                 doc.seq,
-                self.follower.doc.seq,
+                self.follower.document.seq,
             )
-        for change in self.follower.take(int(now_ms()), doc):
+        for change in self.follower.apply(int(now_ms()), doc):
             self.driver.handle_event(change)
-        log.info("plans follow %s at %d", self.path, self.follower.doc.seq)
+        log.info("plans follow %s at %d", self.path, self.follower.document.seq)
 
     def close(self) -> None:
         self.closed = True
--- a/roadpulley/plans/records.py
+++ b/roadpulley/plans/records.py
@@ -13,18 +13,18 @@
 
 from roadpulley.checks import Table, ValidationError
 
-from .book import CustomerVersion, PlanVersion, Version
-from .reserve import MOST_UNITS, Reservation
-from .terms import FIELDS, customer_id, plan_name, read_terms, written
+from .catalog import CustomerVersion, PlanVersion, Version
+from .reservations import MAX_UNITS, Reservation
+from .terms import TERM_NAMES, read_terms, terms_to_dict, validate_customer_id, validate_plan_name
 
-MOST_TIME = 2**53
-RESERVED = b"reserve/"
-ID = re.compile(r"[A-Za-z0-9_-]{1,64}")
-PREFIXES = (b"plan/", b"customer/")
-NOTE = 200  # characters of a note
+MAX_TIME_MS = 2**53
+RESERVATION_PREFIX = b"reserve/"
+RESERVATION_ID_PATTERN = re.compile(r"[A-Za-z0-9_-]{1,64}")
+VERSION_PREFIXES = (b"plan/", b"customer/")
+MAX_NOTE_CHARS = 200  # characters of a note
 
 
-def key(version: Version) -> bytes:
+def build_key(version: Version) -> bytes:
     if isinstance(version, PlanVersion):
         return b"plan/%b/%08d" % (version.plan.encode(), version.number)
     return b"customer/%b/%08d" % (version.customer.encode(), version.number)
@@ -32,15 +32,15 @@
 
 def dump(version: Version) -> bytes:
     raw: dict[str, Any] = {
-        "from": version.holds_from,
+        "from": version.effective_from,
         "made_at": version.made_at,
         "note": version.note,
-        "called_off": version.called_off,
+        "called_off": version.cancelled_at,
     }
     if isinstance(version, PlanVersion):
-        raw["terms"] = written(version.terms)
-    elif version.assigns is not None:
-        raw["assigns"] = version.assigns
+        raw["terms"] = terms_to_dict(version.terms)
+    elif version.assigned_plan is not None:
+        raw["assigns"] = version.assigned_plan
     else:
         raw["until"], raw["changes"] = version.until, dict(version.changes)
     return json.dumps(raw, separators=(",", ":"), sort_keys=True).encode()
@@ -61,25 +61,27 @@
         raise ValidationError(
             path, "is no JSON", "look at the store with `roadpulley store verify`"
         ) from error
-    start, made = table.read_int("from", maximum=MOST_TIME), table.read_int("made_at", maximum=MOST_TIME)
-    note, off = table.read_text("note", ""), table.read_int("called_off", 0, maximum=MOST_TIME)
+    start, made = table.read_int("from", maximum=MAX_TIME_MS), table.read_int("made_at", maximum=MAX_TIME_MS)
+    note, off = table.read_text("note", ""), table.read_int("called_off", 0, maximum=MAX_TIME_MS)
     version: Version
     if kind == "plan":
         terms = read_terms(table.read_table("terms"), whole=True)
-        version = PlanVersion(plan_name(name, path), number, start, terms, made, note, off)
+        version = PlanVersion(validate_plan_name(name, path), number, start, terms, made, note, off)
     elif table.has("assigns"):
         plan = table.read_text("assigns", "")
         if plan:
-            plan_name(plan, table.path_of("assigns"))
-        version = CustomerVersion(customer_id(name, path), number, start, 0, made, plan, (), note, off)
+            validate_plan_name(plan, table.path_of("assigns"))
+        version = CustomerVersion(
+            validate_customer_id(name, path), number, start, 0, made, plan, (), note, off
+        )
     else:
         until, changes = (
-            table.read_int("until", 0, maximum=MOST_TIME),
+            table.read_int("until", 0, maximum=MAX_TIME_MS),
             read_changes(table.read_table("changes")),
         )
         listed = tuple(sorted(changes.items()))
         version = CustomerVersion(
-            customer_id(name, path), number, start, until, made, None, listed, note, off
+            validate_customer_id(name, path), number, start, until, made, None, listed, note, off
         )
     table.reject_unknown_keys()
     return version
@@ -88,10 +90,10 @@
 def read_changes(table: Table) -> dict[str, float | int | str]:
     """Single terms that an override names, each in its range. Raises ValidationError."""
     # Read alone, rate and burst of an override need not fit each other: the plan's own stand beside them.
-    named = {name: table.raw[name] for name in FIELDS if table.has(name)}
+    named = {name: table.raw[name] for name in TERM_NAMES if table.has(name)}
     for name in table.raw:
-        if name not in FIELDS:
-            raise ValidationError(table.path_of(name), "is no term", f"the terms are {', '.join(FIELDS)}")
+        if name not in TERM_NAMES:
+            raise ValidationError(table.path_of(name), "is no term", f"the terms are {', '.join(TERM_NAMES)}")
     found: dict[str, float | int | str] = {}
     for name, value in named.items():
         fits = {"rate": {"burst": 1e9}, "burst": {"rate": 1e-9}}.get(name, {})
@@ -101,8 +103,8 @@
     return found
 
 
-def reservation_key(id: str) -> bytes:
-    return RESERVED + id.encode()
+def build_reservation_key(id: str) -> bytes:
+    return RESERVATION_PREFIX + id.encode()
 
 
 def dump_reservation(r: Reservation) -> bytes:
@@ -119,25 +121,25 @@
             path, "is no JSON", "look at the store with `roadpulley store verify`"
         ) from error
     r = Reservation(
-        reservation_id(table.read_text("id")),
-        customer_id(table.read_text("customer"), table.path_of("customer")),
-        table.read_int("units", minimum=1, maximum=MOST_UNITS),
-        table.read_int("start", maximum=MOST_TIME),
-        table.read_int("end", maximum=MOST_TIME),
+        validate_reservation_id(table.read_text("id")),
+        validate_customer_id(table.read_text("customer"), table.path_of("customer")),
+        table.read_int("units", minimum=1, maximum=MAX_UNITS),
+        table.read_int("start", maximum=MAX_TIME_MS),
+        table.read_int("end", maximum=MAX_TIME_MS),
         table.read_value("on_top", ..., "give true or false") is True,
         table.read_text("kind", ""),
         table.read_text("batch", ""),
-        table.read_int("made_at", maximum=MOST_TIME),
-        table.read_int("ended_at", maximum=MOST_TIME),
+        table.read_int("made_at", maximum=MAX_TIME_MS),
+        table.read_int("ended_at", maximum=MAX_TIME_MS),
     )
     table.reject_unknown_keys()
-    if reservation_key(r.id) != at or r.end <= r.start:
+    if build_reservation_key(r.id) != at or r.end <= r.start:
         right = "look at the store with `roadpulley store dump`"
         raise ValidationError(path, f"holds {r.id!r} from {r.start} to {r.end}", right)
     return r
 
 
-def reservation_id(text: str) -> str:
-    if not ID.fullmatch(text):
+def validate_reservation_id(text: str) -> str:
+    if not RESERVATION_ID_PATTERN.fullmatch(text):
         raise ValidationError("id", f"is {text!r}", "give 1 to 64 letters, digits, '-' and '_'")
     return text
--- a/roadpulley/plans/settings.py
+++ b/roadpulley/plans/settings.py
@@ -8,14 +8,14 @@
 
 from roadpulley.checks import Table, read_toml
 
-from .terms import MOST
+from .terms import MAX_AMOUNT
 
 
 @dataclass(frozen=True)
 class PlanSettings:
     store: Path
     feed: Path
-    look_ms: float
+    poll_interval_ms: float
     pool: float  # units a second that may be reserved on top of plans, all customers together
     fleet: Path | None = None  # its settings, where an instance of a fleet publishes the feed
 
@@ -27,7 +27,7 @@
         table = Table(raw)
         store, feed = table.read_text("store"), table.read_text("feed")
         look = table.read_number("look_ms", 200.0, 10, 60_000)
-        pool = table.read_number("pool", 0.0, 0, MOST)
+        pool = table.read_number("pool", 0.0, 0, MAX_AMOUNT)
         fleet = table.read_text("fleet", "")
         table.reject_unknown_keys()
         shared = path.parent / fleet if fleet else None
--- a/roadpulley/plans/steps.py
+++ b/roadpulley/plans/step_function.py
@@ -9,21 +9,21 @@
 
 from bisect import bisect_right
 
-BLOCK = 256  # steps; a block is cut in two at twice as many
+BLOCK_STEPS = 256  # steps; a block is cut in two at twice as many
 
 
 class Block:
-    __slots__ = ("least", "levels", "most", "plus", "times")
+    __slots__ = ("levels", "max_level", "min_level", "offset", "times")
 
     def __init__(self, times: list[int], levels: list[int]) -> None:
-        self.times, self.levels, self.plus = times, levels, 0
-        self.look()
+        self.times, self.levels, self.offset = times, levels, 0
+        self.update_bounds()
 
-    def look(self) -> None:
-        self.most, self.least = max(self.levels) + self.plus, min(self.levels) + self.plus
+    def update_bounds(self) -> None:
+        self.max_level, self.min_level = max(self.levels) + self.offset, min(self.levels) + self.offset
 
 
-class Steps:
+class StepFunction:
     """Integers throughout, so that what was added and taken away again leaves nothing behind."""
 
     def __init__(self) -> None:
@@ -37,112 +37,116 @@
         """From `start` until before `end`."""
         if start >= end or not amount:
             return
-        self._cut(start)
-        self._cut(end)
-        first, last = self._block(start), self._block(end)
+        self._split_at(start)
+        self._split_at(end)
+        first, last = self._find_block(start), self._find_block(end)
         for number in range(first, last + 1):
             block = self.blocks[number]
             if first < number < last:
-                block.plus += amount
-                block.most += amount
-                block.least += amount
+                block.offset += amount
+                block.max_level += amount
+                block.min_level += amount
                 continue
             low = bisect_right(block.times, start - 1) if number == first else 0
             high = bisect_right(block.times, end - 1) if number == last else len(block.times)
             for at in range(low, high):
                 block.levels[at] += amount
-            block.look()
+            block.update_bounds()
 
-    def most(self, start: int, end: int) -> int:
+    def get_max(self, start: int, end: int) -> int:
         """The highest level of a span."""
-        return max((level for _, level in self._tops(start, end)), default=0)
+        return max((level for _, level in self._get_block_maxima(start, end)), default=0)
 
-    def over(self, start: int, end: int, limit: int) -> tuple[int, int] | None:
+    def find_first_above(self, start: int, end: int, limit: int) -> tuple[int, int] | None:
         """The first stretch of a span whose level is over a limit: from, and until before."""
         began = None
         if start >= end:
             return None
-        for number in range(self._block(start), len(self.blocks)):
+        for number in range(self._find_block(start), len(self.blocks)):
             block = self.blocks[number]
-            if began is None and block.most <= limit:
+            if began is None and block.max_level <= limit:
                 continue
-            if began is not None and block.least > limit and block.times[-1] < end:
+            if began is not None and block.min_level > limit and block.times[-1] < end:
                 continue
             for at, time in enumerate(block.times):
-                until = block.times[at + 1] if at + 1 < len(block.times) else self._after(number)
+                until = (
+                    block.times[at + 1] if at + 1 < len(block.times) else self._get_next_block_start(number)
+                )
                 if until is not None and until <= start:
                     continue
                 if time >= end:
                     return (began, end) if began is not None else None
-                high = block.levels[at] + block.plus > limit
+                high = block.levels[at] + block.offset > limit
                 if high and began is None:
                     began = max(time, start)
                 elif not high and began is not None:
                     return began, time
         return (began, end) if began is not None else None
 
-    def last_over(self, start: int, end: int, limit: int) -> int | None:
+    def find_last_end_above(self, start: int, end: int, limit: int) -> int | None:
         """Where the last stretch of a span ends whose level is over a limit."""
         if start >= end:
             return None
-        for number in range(self._block(end - 1), self._block(start) - 1, -1):
+        for number in range(self._find_block(end - 1), self._find_block(start) - 1, -1):
             block = self.blocks[number]
-            if block.most <= limit:
+            if block.max_level <= limit:
                 continue
             for at in range(bisect_right(block.times, end - 1) - 1, -1, -1):
-                until = block.times[at + 1] if at + 1 < len(block.times) else self._after(number)
+                until = (
+                    block.times[at + 1] if at + 1 < len(block.times) else self._get_next_block_start(number)
+                )
                 if until is not None and until <= start:
                     return None
-                if block.levels[at] + block.plus > limit:
+                if block.levels[at] + block.offset > limit:
                     return end if until is None else min(until, end)
         return None
 
-    def forget(self, before: int) -> None:
+    def drop_before(self, before: int) -> None:
         """Drop the steps of the past, whose place the last of them takes."""
-        number = self._block(before)
+        number = self._find_block(before)
         block = self.blocks[number]
         at = bisect_right(block.times, before) - 1
         block.times, block.levels = block.times[at:], block.levels[at:]
         block.times[0] = 0
-        block.look()
+        block.update_bounds()
         self.blocks, self.starts = self.blocks[number:], [0, *self.starts[number + 1 :]]
 
     # ---- inside ----
 
-    def _block(self, time: int) -> int:
+    def _find_block(self, time: int) -> int:
         return bisect_right(self.starts, time) - 1
 
-    def _after(self, number: int) -> int | None:
+    def _get_next_block_start(self, number: int) -> int | None:
         return self.starts[number + 1] if number + 1 < len(self.starts) else None
 
-    def _tops(self, start: int, end: int) -> list[tuple[int, int]]:
+    def _get_block_maxima(self, start: int, end: int) -> list[tuple[int, int]]:
         if start >= end:
             return []
-        first, last, found = self._block(start), self._block(end - 1), list[tuple[int, int]]()
+        first, last, found = self._find_block(start), self._find_block(end - 1), list[tuple[int, int]]()
         for number in range(first, last + 1):
             block = self.blocks[number]
             if first < number < last:
-                found.append((number, block.most))
+                found.append((number, block.max_level))
                 continue
             low = bisect_right(block.times, start) - 1 if number == first else 0
             high = bisect_right(block.times, end - 1) if number == last else len(block.times)
-            found.append((number, max(block.levels[low:high]) + block.plus))
+            found.append((number, max(block.levels[low:high]) + block.offset))
         return found
 
-    def _cut(self, time: int) -> None:
+    def _split_at(self, time: int) -> None:
         """Have a step begin at a time."""
-        number = self._block(time)
+        number = self._find_block(time)
         block = self.blocks[number]
         at = bisect_right(block.times, time) - 1
         if block.times[at] == time:
             return
         block.times.insert(at + 1, time)
         block.levels.insert(at + 1, block.levels[at])
-        if len(block.times) >= 2 * BLOCK:
-            later = Block(block.times[BLOCK:], block.levels[BLOCK:])
-            later.plus = block.plus
-            later.look()
-            del block.times[BLOCK:], block.levels[BLOCK:]
-            block.look()
+        if len(block.times) >= 2 * BLOCK_STEPS:
+            later = Block(block.times[BLOCK_STEPS:], block.levels[BLOCK_STEPS:])
+            later.offset = block.offset
+            later.update_bounds()
+            del block.times[BLOCK_STEPS:], block.levels[BLOCK_STEPS:]
+            block.update_bounds()
             self.blocks.insert(number + 1, later)
             self.starts.insert(number + 1, later.times[0])
--- a/roadpulley/plans/terms.py
+++ b/roadpulley/plans/terms.py
@@ -10,11 +10,11 @@
 from mintford import interface as api
 from roadpulley.checks import Table, ValidationError, format_value
 
-MOST = 1e9  # units, or units a second: what doubles count exactly to a thousandth
-MOST_SPREAD = 4_096  # gateways of one customer
-NAME = re.compile(r"[a-z0-9][a-z0-9_.-]{0,47}")
-CUSTOMER = re.compile(r"[0-9a-f]{16}")
-PRICE = re.compile(r"\d{1,9}(\.\d{1,6})?")
+MAX_AMOUNT = 1e9  # units, or units a second: what doubles count exactly to a thousandth
+MAX_SPREAD = 4_096  # gateways of one customer
+PLAN_NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9_.-]{0,47}")
+CUSTOMER_ID_PATTERN = re.compile(r"[0-9a-f]{16}")
+PRICE_PATTERN = re.compile(r"\d{1,9}(\.\d{1,6})?")
 
 
 @dataclass(frozen=True)
@@ -33,7 +33,7 @@
     price: str = "0"
     spread: int = 0
 
-    def check(self, path: str = "terms") -> Terms:
+    def validate(self, path: str = "terms") -> Terms:
         """Raises ValidationError for terms that no request could meet, or that contradict each other."""
         if bool(self.rate) != bool(self.burst):
             wrong = f"rate is {self.rate:g} and burst {self.burst:g}"
@@ -50,7 +50,7 @@
             raise ValidationError(f"{path}.ceiling_rate", f"is {self.ceiling_rate:g}", right)
         return self
 
-    def plan(self, base: api.Plan) -> api.Plan:
+    def to_decision_plan(self, base: api.Plan) -> api.Plan:
         """For the decision module. What requests beyond the quota earn and cost stays the deployment's."""
         return replace(
             base,
@@ -62,7 +62,7 @@
         )
 
 
-FIELDS = tuple(f.name for f in fields(Terms))
+TERM_NAMES = tuple(f.name for f in fields(Terms))
 
 
 def read_terms(table: Table, base: Terms | None = None, whole: bool = False) -> Terms:
@@ -76,21 +76,21 @@
         return ... if whole else getattr(was, name)
 
     terms = Terms(
-        rate=table.read_number("rate", default("rate"), 0, MOST),
-        burst=table.read_number("burst", default("burst"), 0, MOST),
+        rate=table.read_number("rate", default("rate"), 0, MAX_AMOUNT),
+        burst=table.read_number("burst", default("burst"), 0, MAX_AMOUNT),
         open_limit=table.read_int("open_limit", default("open_limit"), 0, 10**6),
-        ceiling_rate=table.read_number("ceiling_rate", default("ceiling_rate"), 0, MOST),
-        ceiling_burst=table.read_number("ceiling_burst", default("ceiling_burst"), 0, MOST),
+        ceiling_rate=table.read_number("ceiling_rate", default("ceiling_rate"), 0, MAX_AMOUNT),
+        ceiling_burst=table.read_number("ceiling_burst", default("ceiling_burst"), 0, MAX_AMOUNT),
         price=read_price(table, default("price")),
-        spread=table.read_int("spread", default("spread"), 0, MOST_SPREAD),
+        spread=table.read_int("spread", default("spread"), 0, MAX_SPREAD),
     )
-    return terms.check(table.path)
+    return terms.validate(table.path)
 
 
 def read_price(table: Table, default: Any) -> str:
     text = table.read_text("price", default)
     try:
-        if PRICE.fullmatch(text):
+        if PRICE_PATTERN.fullmatch(text):
             return f"{Decimal(text).normalize():f}"
     except InvalidOperation:
         pass
@@ -99,12 +99,12 @@
     )
 
 
-def written(terms: Terms) -> dict[str, Any]:
+def terms_to_dict(terms: Terms) -> dict[str, Any]:
     return asdict(terms)
 
 
-def plan_name(text: object, path: str = "plan") -> str:
-    if not isinstance(text, str) or not NAME.fullmatch(text):
+def validate_plan_name(text: object, path: str = "plan") -> str:
+    if not isinstance(text, str) or not PLAN_NAME_PATTERN.fullmatch(text):
         raise ValidationError(
             path,
             f"is {format_value(text)}",
@@ -113,8 +113,8 @@
     return text
 
 
-def customer_id(text: object, path: str = "customer") -> str:
-    if not isinstance(text, str) or not CUSTOMER.fullmatch(text):
+def validate_customer_id(text: object, path: str = "customer") -> str:
+    if not isinstance(text, str) or not CUSTOMER_ID_PATTERN.fullmatch(text):
         raise ValidationError(
             path, f"is {format_value(text)}", "give 16 hexadecimal digits in lower case, as in its requests"
         )
--- a/roadpulley/workers/worker.py
+++ b/roadpulley/workers/worker.py
@@ -95,16 +95,16 @@
 def follow_plans(settings: str, driver: Driver) -> PlanVersionLookup:
     """Go by the feed of plans from now on; gives what holds for whom. Raises ConfigError."""
     from roadpulley.checks import ValidationError
+    from roadpulley.plans.feed_watcher import FeedWatcher
     from roadpulley.plans.settings import read_settings
-    from roadpulley.plans.watch import Watch
 
     try:
         found = read_settings(Path(settings))
     except ValidationError as error:
         raise ConfigError(str(error)) from error
-    watch = Watch(found.feed, found.look_ms, driver, driver.timers)
-    watch.look()
-    return watch.follower.versions
+    watch = FeedWatcher(found.feed, found.poll_interval_ms, driver, driver.timers)
+    watch.poll()
+    return watch.follower.get_versions
 
 
 def start_metering(settings: str, name: str, driver: Driver, versions: PlanVersionLookup | None) -> Meter:
--- a/tests/fleet/test_works.py
+++ b/tests/fleet/test_works.py
@@ -18,9 +18,9 @@
 from roadpulley.fleet.works.store_maintenance import MaintenanceSettings, StoreMaintenance
 from roadpulley.fleet.works.usage import BillingPusher, PeriodCloser
 from roadpulley.plans import feed
-from roadpulley.plans.follow import Follower
+from roadpulley.plans.follower import Follower
+from roadpulley.plans.plan_store import PlanStore
 from roadpulley.plans.settings import PlanSettings
-from roadpulley.plans.shelf import Shelf
 from roadpulley.plans.terms import Terms
 from roadpulley.store import Store, Write, fences
 from roadpulley.testbed.sink import Sink
@@ -183,21 +183,21 @@
     old = settings.feed.read_bytes()
     assert second.claim(6, "b") is None
     with Store.open(settings.store) as store:
-        shelf = Shelf(store, settings.feed, lambda: 1)
-        shelf.write(shelf.book.schedule(1, "basic", Terms(rate=5.0, burst=5.0)))
+        plan_store = PlanStore(store, settings.feed, lambda: 1)
+        plan_store.write(plan_store.catalog.schedule(1, "basic", Terms(rate=5.0, burst=5.0)))
     second.act(make_held_duty(6))
     new = feed.load(settings.feed.read_bytes())
     assert (new.fence, "basic" in new.plans) == (6, True)
     with Store.open(settings.store) as store:
-        shelf = Shelf(store, settings.feed, lambda: 1)
-        shelf.write(shelf.book.schedule(1, "basic", Terms(rate=6.0, burst=5.0)))
+        plan_store = PlanStore(store, settings.feed, lambda: 1)
+        plan_store.write(plan_store.catalog.schedule(1, "basic", Terms(rate=6.0, burst=5.0)))
     with pytest.raises(StaleFenceError):
         first.act(make_held_duty(5))
     follower = Follower({})
-    follower.take(10, new)
+    follower.apply(10, new)
     late = replace(feed.load(old), seq=new.seq + 5)  # based on a later book, but written late
-    assert follower.take(11, late) == []
-    assert follower.doc is new
+    assert follower.apply(11, late) == []
+    assert follower.document is new
 
 
 def test_command_keeps_the_fence_of_the_feed(tmp_path: Path) -> None:
@@ -206,7 +206,7 @@
     work.claim(5, "a")
     work.act(make_held_duty(5))
     with Store.open(settings.store) as store:
-        assert Shelf(store, settings.feed, lambda: 1).publish().fence == 5
+        assert PlanStore(store, settings.feed, lambda: 1).publish().fence == 5
 
 
 def test_copies_are_fenced_and_the_oldest_are_removed(tmp_path: Path) -> None:
--- a/tests/plans/test_book.py
+++ b/tests/plans/test_catalog.py
@@ -12,8 +12,8 @@
 from mintford import interface as api
 from roadpulley.checks import ValidationError
 from roadpulley.plans import feed, records
-from roadpulley.plans.book import Book, Stale, Version
-from roadpulley.plans.follow import Follower
+from roadpulley.plans.catalog import PlanCatalog, Version, VersionConflictError
+from roadpulley.plans.follower import Follower
 from roadpulley.plans.terms import Terms
 
 PLANS, CUSTOMERS = ("basic", "firm"), ("00000000000000aa", "00000000000000bb")
@@ -70,7 +70,7 @@
 @settings(max_examples=200, deadline=None)
 def test_a_follower_goes_by_what_the_model_says_at_every_time(steps: list[Any]) -> None:
     """Through records and documents as bytes; a gateway that comes later finds the same."""
-    book, model, now, order, seq = Book(), Model(), 1_000_000, 0, 0
+    catalog, model, now, order, seq = PlanCatalog(), Model(), 1_000_000, 0, 0
     made: list[tuple[Version, tuple[list[Any], Any]]] = []
     follower, told = Follower(BASE), dict[tuple[str, str], api.Plan | None]()
 
@@ -84,12 +84,12 @@
     def publish() -> None:
         nonlocal seq
         seq += 1
-        take(follower.take(now, feed.load(feed.dump(feed.document(book, now, seq)))))
+        take(follower.apply(now, feed.load(feed.dump(feed.build_document(catalog, now, seq)))))
 
     def write(version: Version) -> Version:
-        again = records.load(records.key(version), records.dump(version))
+        again = records.load(records.build_key(version), records.dump(version))
         assert again == version
-        book.take(again)
+        catalog.apply(again)
         return again
 
     for step in steps:
@@ -99,49 +99,51 @@
             if kind == "plan":
                 row = (who, now + step[2], order, float(step[3]))
                 terms = Terms(rate=row[3], burst=10.0)
-                made.append((write(book.schedule(now, who, terms, now + step[2])), (model.plans, row)))
+                made.append((write(catalog.schedule(now, who, terms, now + step[2])), (model.plans, row)))
                 model.plans.append(row)
             elif kind == "assign":
-                made.append((write(book.assign(now, who, step[3], now + step[2])), (model.assigned, 0)))
+                made.append((write(catalog.assign(now, who, step[3], now + step[2])), (model.assigned, 0)))
                 given_ = (who, now + step[2], order, step[3])
                 made[-1] = (made[-1][0], (model.assigned, given_))
                 model.assigned.append(given_)
             elif kind == "override":
                 until = now + step[2] + step[4] if step[4] else 0
                 changes: dict[str, float | int | str] = {"rate": float(step[3])} if step[3] else {}
-                version = write(book.override(now, who, changes, now + step[2], until))
+                version = write(catalog.override(now, who, changes, now + step[2], until))
                 over = (who, now + step[2], until, order, float(step[3]) if step[3] else None)
                 made.append((version, (model.overrides, over)))
                 model.overrides.append(over)
             elif kind == "off" and made:
                 version, (rows, entry) = made.pop(who % len(made))
-                write(book.call_off(now, version))
+                write(catalog.cancel_version(now, version))
                 rows.remove(entry)
             elif kind == "wait":
                 until_ = now + who
-                while follower.next_at() <= until_:
-                    now = max(now, int(follower.next_at()))
-                    take(follower.tick(now))
-                    check_told(model, told, now, seq, book)
+                while follower.get_next_change_ms() <= until_:
+                    now = max(now, int(follower.get_next_change_ms()))
+                    take(follower.advance(now))
+                    check_told(model, told, now, seq, catalog)
                 now = until_
             if kind != "wait":
                 publish()
         except ValidationError:
             continue  # refused: the model does not have it either
-        check_told(model, told, now, seq, book)
+        check_told(model, told, now, seq, catalog)
     late = Follower(BASE)
-    events = late.take(now, feed.document(book, now, seq + 1))
+    events = late.apply(now, feed.build_document(catalog, now, seq + 1))
     fresh = {e.customer: e.plan for e in events if e.customer}
     for customer in CUSTOMERS:
         assert fresh.get(customer) == told.get(("customer", customer))
 
 
-def check_told(model: Model, told: dict[Any, api.Plan | None], now: int, seq: int, book: Book) -> None:
+def check_told(
+    model: Model, told: dict[Any, api.Plan | None], now: int, seq: int, catalog: PlanCatalog
+) -> None:
     if not seq:
         return
     for name in PLANS:
         rate, plan = model.rate(name, now), told.get(("plan", name))
-        held = book.version_at(name, now)
+        held = catalog.get_version_at(name, now)
         assert (held.terms.rate if held else None) == rate
         assert (plan.rate if plan else None) == (rate if rate is not None or plan is None else plan.rate)
     for customer in CUSTOMERS:
@@ -150,20 +152,20 @@
 
 
 def test_a_version_that_has_begun_is_never_changed_and_a_stale_command_changes_nothing() -> None:
-    book = Book()
-    first = book.schedule(1_000, "basic", Terms(rate=1, burst=4))
-    book.take(first)
+    catalog = PlanCatalog()
+    first = catalog.schedule(1_000, "basic", Terms(rate=1, burst=4))
+    catalog.apply(first)
     with pytest.raises(ValidationError, match="has begun"):
-        book.call_off(1_000, first)
-    with pytest.raises(Stale, match="is at version 1"):
-        book.schedule(2_000, "basic", Terms(rate=2, burst=4), expect=0)
+        catalog.cancel_version(1_000, first)
+    with pytest.raises(VersionConflictError, match="is at version 1"):
+        catalog.schedule(2_000, "basic", Terms(rate=2, burst=4), expect=0)
     with pytest.raises(ValidationError, match="from: is -2 s from now"):
-        book.schedule(1_002_000, "basic", Terms(rate=2, burst=4), at=1_000_000)
-    assert book.plans == {"basic": [first]}
+        catalog.schedule(1_002_000, "basic", Terms(rate=2, burst=4), at=1_000_000)
+    assert catalog.plans == {"basic": [first]}
     with pytest.raises(ValidationError, match="no plan assigned"):
-        book.override(2_000, CUSTOMERS[0], {"rate": 5})
+        catalog.override(2_000, CUSTOMERS[0], {"rate": 5})
     with pytest.raises(ValidationError, match="does not hold at that time"):
-        book.assign(2_000, CUSTOMERS[0], "firm")
+        catalog.assign(2_000, CUSTOMERS[0], "firm")
 
 
 @pytest.mark.parametrize(
@@ -177,17 +179,17 @@
 )
 def test_terms_that_contradict_each_other_are_refused_by_name(terms: Terms, place: str) -> None:
     with pytest.raises(ValidationError, match=place.replace(".", r"\.")):
-        Book().schedule(0, "basic", terms)
+        PlanCatalog().schedule(0, "basic", terms)
 
 
 def test_a_restored_store_takes_back_nothing_that_gateways_have() -> None:
-    book, follower = Book(), Follower(BASE)
-    book.take(book.schedule(1_000, "basic", Terms(rate=1, burst=4)))
-    yesterday = feed.document(book, 1_000, 1)
-    book.take(book.schedule(2_000, "basic", Terms(rate=9, burst=4)))
-    (event,) = follower.take(2_000, feed.document(book, 2_000, 2))
+    catalog, follower = PlanCatalog(), Follower(BASE)
+    catalog.apply(catalog.schedule(1_000, "basic", Terms(rate=1, burst=4)))
+    yesterday = feed.build_document(catalog, 1_000, 1)
+    catalog.apply(catalog.schedule(2_000, "basic", Terms(rate=9, burst=4)))
+    (event,) = follower.apply(2_000, feed.build_document(catalog, 2_000, 2))
     assert event.plan == replace(BASE["basic"], rate=9.0)
-    assert follower.take(3_000, yesterday) == [] and follower.doc.seq == 2
+    assert follower.apply(3_000, yesterday) == [] and follower.document.seq == 2
 
 
 RAW = st.recursive(
--- a/tests/plans/test_plans_in_service.py
+++ b/tests/plans/test_plans_in_service.py
@@ -14,11 +14,11 @@
 from roadpulley.cli import main
 from roadpulley.cli.plan import shown
 from roadpulley.core.driver import Driver
-from roadpulley.plans.book import Stale
+from roadpulley.plans.catalog import VersionConflictError
 from roadpulley.plans.feed import load
-from roadpulley.plans.shelf import Shelf
+from roadpulley.plans.feed_watcher import FeedWatcher
+from roadpulley.plans.plan_store import PlanStore
 from roadpulley.plans.terms import Terms
-from roadpulley.plans.watch import Watch
 from roadpulley.store import Store
 
 SETTINGS = 'store = "book"\nfeed = "feed.json"\nlook_ms = 10\n'
@@ -45,8 +45,8 @@
         seen: list[Driver] = []
         monkeypatch.setattr(Driver, "start_lag_monitor", lambda self: seen.append(self))
         async with running(World(Backend())) as world:
-            watch = Watch(tmp_path / "feed.json", 10.0, seen[0], seen[0].timers)
-            watch.look()
+            watch = FeedWatcher(tmp_path / "feed.json", 10.0, seen[0], seen[0].timers)
+            watch.poll()
             assert "plans stay as they are" in caplog.text  # no feed yet, told once
             # The deployment's own plan: 2, and 1 a second, so at most 22 in the time that this test has.
             await through(world, 1)
@@ -55,7 +55,7 @@
                 await loop.run_in_executor(None, plan, tmp_path, "set", "basic", "--rate=1", "--burst=60")
                 == 0
             )
-            await until(lambda: watch.follower.doc.seq)
+            await until(lambda: watch.follower.document.seq)
             await through(world, 40)
             (tmp_path / "feed.json").write_bytes(b'{"format": 1')
             await until(lambda: "is no JSON" in caplog.text)
@@ -75,20 +75,20 @@
 def test_a_crash_between_store_and_feed_is_mended_and_the_second_of_two_is_told(tmp_path: Path) -> None:
     file = tmp_path / "feed.json"
     with Store.open(tmp_path / "book") as store:
-        shelf = Shelf(store, file, lambda: 5_000)
-        version = shelf.book.schedule(5_000, "basic", Terms(rate=1, burst=4))
-        shelf.publish = lambda: 1 / 0  # type: ignore[method-assign, assignment, return-value]
+        plan_store = PlanStore(store, file, lambda: 5_000)
+        version = plan_store.catalog.schedule(5_000, "basic", Terms(rate=1, burst=4))
+        plan_store.publish = lambda: 1 / 0  # type: ignore[method-assign, assignment, return-value]
         with pytest.raises(ZeroDivisionError):
-            shelf.write(version)
+            plan_store.write(version)
     with Store.open(tmp_path / "book") as store:
-        shelf = Shelf(store, file, lambda: 6_000)
-        assert shelf.book.plans == {"basic": [version]}  # acknowledged by the store
-        assert shelf.mend() and not shelf.mend()
+        plan_store = PlanStore(store, file, lambda: 6_000)
+        assert plan_store.catalog.plans == {"basic": [version]}  # acknowledged by the store
+        assert plan_store.publish_if_behind() and not plan_store.publish_if_behind()
         assert load(file.read_bytes()).plans["basic"][0].terms == version.terms
-        other = Shelf(store, file, lambda: 6_000)
-        shelf.write(shelf.book.schedule(6_000, "basic", Terms(rate=2, burst=4)))
-        with pytest.raises(Stale):
-            other.write(other.book.schedule(6_000, "basic", Terms(rate=3, burst=4)))
+        other = PlanStore(store, file, lambda: 6_000)
+        plan_store.write(plan_store.catalog.schedule(6_000, "basic", Terms(rate=2, burst=4)))
+        with pytest.raises(VersionConflictError):
+            other.write(other.catalog.schedule(6_000, "basic", Terms(rate=3, burst=4)))
 
 
 @pytest.mark.parametrize(
@@ -138,7 +138,7 @@
     assert reserve(tmp_path, "make", who, "6000", *span, "--on-top", "--id=b") == 2
     assert "the installation's pool is promised already; 3,000 units fit" in capsys.readouterr().err
     entries = load((tmp_path / "feed.json").read_bytes()).customers[who]
-    assert [(e.holds_from, e.terms and e.terms.rate) for e in entries][1:] == [
+    assert [(e.effective_from, e.terms and e.terms.rate) for e in entries][1:] == [
         (start, 20.0),
         (start + 600_000, 10.0),
     ]
--- a/tests/plans/test_reserve.py
+++ b/tests/plans/test_reservations.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 
 from roadpulley.checks import ValidationError
-from roadpulley.plans import steps
-from roadpulley.plans.reserve import MICRO, Bounds, Desk, No, Reservation
-from roadpulley.plans.steps import Steps
+from roadpulley.plans import step_function
+from roadpulley.plans.reservations import MICRO, Rejection, Reservation, ReservationLedger, TermsTimeline
+from roadpulley.plans.step_function import StepFunction
 from roadpulley.plans.terms import Terms
 
 A, B, S = "00000000000000aa", "00000000000000bb", 1_000
@@ -20,15 +20,15 @@
 SPAN = 20  # seconds that are looked at
 
 
-def desk(lowered: list[int] | None = None) -> Desk:
+def make_ledger(lowered: list[int] | None = None) -> ReservationLedger:
     """A's plan is lowered at each of these seconds, and stays so."""
 
-    def bounds(customer: str, since: int) -> Bounds:
+    def bounds(customer: str, since: int) -> TermsTimeline:
         rows: list[tuple[int, Terms | None]] = [(0, TERMS[customer])]
         rows += [(at * S, LOWER) for at in (lowered or []) if customer == A]
         return tuple(rows)
 
-    return Desk(8.0, bounds)
+    return ReservationLedger(8.0, bounds)
 
 
 @given(
@@ -39,27 +39,27 @@
 @settings(max_examples=300, deadline=None)
 def test_steps_are_as_a_plain_list(steps_: list[Any], block: int, asked: tuple[int, int, int]) -> None:
     """With blocks so small that they are cut all the time."""
-    plain, kept = [0] * 61, steps.BLOCK
-    steps.BLOCK = block
+    plain, kept = [0] * 61, step_function.BLOCK_STEPS
+    step_function.BLOCK_STEPS = block
     try:
-        fast = Steps()
+        fast = StepFunction()
         for start, end, amount in steps_:
             fast.add(start, end, amount)
             for at in range(start, end):
                 plain[at] += amount
         low, high, limit = asked
-        assert fast.most(low, high) == max(plain[low:high], default=0)
+        assert fast.get_max(low, high) == max(plain[low:high], default=0)
         over = next((at for at in range(low, high) if plain[at] > limit), None)
-        found = fast.over(low, high, limit)
+        found = fast.find_first_above(low, high, limit)
         assert (found[0] if found else None) == over
         if found:
             assert found[1] == next((at for at in range(found[0], high) if plain[at] <= limit), high)
         beyond = [at + 1 for at in range(low, high) if plain[at] > limit]
-        assert fast.last_over(low, high, limit) == (beyond[-1] if beyond else None)
-        fast.forget(low)
-        assert fast.most(low, 61) == max(plain[low:], default=0)
+        assert fast.find_last_end_above(low, high, limit) == (beyond[-1] if beyond else None)
+        fast.drop_before(low)
+        assert fast.get_max(low, 61) == max(plain[low:], default=0)
     finally:
-        steps.BLOCK = kept
+        step_function.BLOCK_STEPS = kept
 
 
 ASK = st.tuples(
@@ -79,94 +79,94 @@
 )
 
 
-def promised(book: list[Reservation], at: int, on_top: bool, who: str | None = None) -> int:
-    rows = (r for r in book if r.on_top == on_top and who in (None, r.customer))
-    return sum(r.rate for r in rows if r.start <= at * S < r.until)
+def promised(reservations: list[Reservation], at: int, on_top: bool, who: str | None = None) -> int:
+    rows = (r for r in reservations if r.on_top == on_top and who in (None, r.customer))
+    return sum(r.rate_micro for r in rows if r.start <= at * S < r.effective_end)
 
 
 @given(todo=st.lists(DO, max_size=30))
 @settings(max_examples=200, deadline=None)
 def test_promises_never_exceed_plan_ceiling_and_pool_and_what_is_offered_fits(todo: list[Any]) -> None:
     lowered: list[int] = []
-    book, made, now = desk(lowered), list[Reservation](), 0
+    ledger, made, now = make_ledger(lowered), list[Reservation](), 0
 
     def fits(r: Reservation) -> bool:
         for at in range(r.start // S, min(r.end // S, 400)):
             terms = LOWER if r.customer == A and any(t <= at for t in lowered) else TERMS[r.customer]
             most = terms.ceiling_rate - terms.rate if r.on_top else terms.rate
             if terms.ceiling_rate or not r.on_top:
-                if promised(made, at, r.on_top, r.customer) + r.rate > most * MICRO:
+                if promised(made, at, r.on_top, r.customer) + r.rate_micro > most * MICRO:
                     return False
-            if r.on_top and promised(made, at, True) + r.rate > 8 * MICRO:
+            if r.on_top and promised(made, at, True) + r.rate_micro > 8 * MICRO:
                 return False
         return True
 
     for number, what in enumerate(todo):
         if what[0] == "wait":
             now += what[1]
-            over = book.expire(now * S)
-            assert {r.id for r in over} == {r.id for r in made if r.until <= now * S}
-            made = [r for r in made if r.until > now * S]
+            over = ledger.expire(now * S)
+            assert {r.id for r in over} == {r.id for r in made if r.effective_end <= now * S}
+            made = [r for r in made if r.effective_end > now * S]
         elif what[0] == "lower":
             lowered[:] = [min([what[1], *lowered])]
         elif what[0] == "cancel" and made:
-            r = book.cancel(now * S, made[what[1] % len(made)].id)
-            book.take(r)
+            r = ledger.cancel(now * S, made[what[1] % len(made)].id)
+            ledger.apply(r)
             made = [r if r.id == one.id else one for one in made]
         elif what[0] == "ask":
             _, who, ahead, length, units, on_top = what
             start = (now + ahead) * S
             r = Reservation(f"r{number}", who, units, start, start + length * S, on_top)
-            answer = book.ask(now * S, r)
+            answer = ledger.admit(now * S, r)
             assert isinstance(answer, Reservation) == fits(r), (answer, r)
-            if isinstance(answer, No):
+            if isinstance(answer, Rejection):
                 check_offer(answer, r, fits)
                 continue
-            book.take(answer)
+            ledger.apply(answer)
             made.append(answer)
-            assert book.ask(now * S, r) == answer  # a lost answer, asked again
+            assert ledger.admit(now * S, r) == answer  # a lost answer, asked again
 
 
-def check_offer(no: No, r: Reservation, fits: Any) -> None:
+def check_offer(no: Rejection, r: Reservation, fits: Any) -> None:
     """What is said to fit does, and no more of it and nothing sooner would."""
     from dataclasses import replace
 
-    if no.units:
-        assert no.units < r.units and fits(replace(r, units=no.units))
-    assert not fits(replace(r, units=no.units + 1))
-    assert r.start <= no.at < r.end
-    if no.start is not None:
-        shift = no.start - r.start
-        assert shift > 0 and fits(replace(r, start=no.start, end=r.end + shift))
+    if no.available_units:
+        assert no.available_units < r.units and fits(replace(r, units=no.available_units))
+    assert not fits(replace(r, units=no.available_units + 1))
+    assert r.start <= no.exceeded_at < r.end
+    if no.next_start is not None:
+        shift = no.next_start - r.start
+        assert shift > 0 and fits(replace(r, start=no.next_start, end=r.end + shift))
         for sooner in range(S, shift, S):
             assert not fits(replace(r, start=r.start + sooner, end=r.end + sooner))
 
 
 def test_one_may_begin_in_the_millisecond_in_which_another_ends() -> None:
-    book = desk()
+    ledger = make_ledger()
     for number in range(10):
         r = Reservation(f"r{number}", A, 20, 1_001 + number * 2_000, 3_001 + number * 2_000)
-        answer = book.ask(0, r)
+        answer = ledger.admit(0, r)
         assert isinstance(answer, Reservation)
-        book.take(answer)
-    no = book.ask(0, Reservation("x", A, 20, 2_000, 4_000))
-    assert isinstance(no, No) and (no.limit, no.units, no.start) == ("plan", 0, 21_001)
+        ledger.apply(answer)
+    no = ledger.admit(0, Reservation("x", A, 20, 2_000, 4_000))
+    assert isinstance(no, Rejection) and (no.limit, no.available_units, no.next_start) == ("plan", 0, 21_001)
 
 
 def test_a_plan_lowered_below_its_promises_keeps_them_and_says_so() -> None:
     lowered: list[int] = []
-    book = desk(lowered)
-    answer = book.ask(0, Reservation("r", A, 80, 0, 10_000))
+    ledger = make_ledger(lowered)
+    answer = ledger.admit(0, Reservation("r", A, 80, 0, 10_000))
     assert isinstance(answer, Reservation)
-    book.take(answer)
-    assert list(book.short(0)) == []
+    ledger.apply(answer)
+    assert list(ledger.find_overcommitted(0)) == []
     lowered.append(5)
-    assert list(book.short(0)) == [(A, 5_000)]
-    no = book.ask(0, Reservation("s", A, 1, 6_000, 8_000))
-    assert isinstance(no, No) and no.limit == "plan"
-    book.take(book.cancel(3_000, "r"))
-    assert list(book.short(0)) == []
-    assert isinstance(book.ask(0, Reservation("s", A, 1, 6_000, 8_000)), Reservation)
+    assert list(ledger.find_overcommitted(0)) == [(A, 5_000)]
+    no = ledger.admit(0, Reservation("s", A, 1, 6_000, 8_000))
+    assert isinstance(no, Rejection) and no.limit == "plan"
+    ledger.apply(ledger.cancel(3_000, "r"))
+    assert list(ledger.find_overcommitted(0)) == []
+    assert isinstance(ledger.admit(0, Reservation("s", A, 1, 6_000, 8_000)), Reservation)
 
 
 @pytest.mark.parametrize(
@@ -180,6 +180,6 @@
 )
 def test_what_can_never_be_promised_is_refused_by_name(r: Reservation, place: str) -> None:
     with pytest.raises(ValidationError, match=place):
-        desk().ask(0, r)
+        make_ledger().admit(0, r)
     with pytest.raises(ValidationError, match="no reservation that is open"):
-        desk().cancel(0, "r")
+        make_ledger().cancel(0, "r")
--- a/tests/test_outer_forms.py
+++ b/tests/test_outer_forms.py
@@ -23,7 +23,7 @@
 from roadpulley.fleet.duties import reconfiguration
 from roadpulley.fleet.members.messages import MemberState
 from roadpulley.operations import handover
-from roadpulley.plans import book, records, reserve, terms
+from roadpulley.plans import catalog, records, reservations, terms
 from roadpulley.store.format import Manifest, SealedSegment
 from roadpulley.testbed import ledger
 from roadpulley.usage import exporter, periods
@@ -104,10 +104,10 @@
 
 def plan_records() -> list[Any]:
     """A plan's version, a customer's of both kinds, and a reservation, as the store holds them."""
-    plan = book.PlanVersion("basic", 1, 0, terms.Terms(), 5, "note", 0)
-    assigned = book.CustomerVersion("customer", 1, 0, 0, 5, "basic", (), "", 0)
-    changed = book.CustomerVersion("customer", 2, 0, 9, 5, None, (("rate", 2.0),), "", 0)
-    reservation = reserve.Reservation("r1", "customer", 7, 10, 20)
+    plan = catalog.PlanVersion("basic", 1, 0, terms.Terms(), 5, "note", 0)
+    assigned = catalog.CustomerVersion("customer", 1, 0, 0, 5, "basic", (), "", 0)
+    changed = catalog.CustomerVersion("customer", 2, 0, 9, 5, None, (("rate", 2.0),), "", 0)
+    reservation = reservations.Reservation("r1", "customer", 7, 10, 20)
     versions = [keys(json.loads(records.dump(v))) for v in (plan, assigned, changed)]
     return [*versions, keys(json.loads(records.dump_reservation(reservation)))]
 
