--- a/roadpulley/store/__init__.py
+++ b/roadpulley/store/__init__.py
@@ -1,4 +1,4 @@
-"""An embedded durable store: log, index, compaction, recovery. See docs/design/store.md."""
+"""An embedded, durable, log-structured key-value store. See docs/design/store.md."""
 
 from .errors import (
     ClosedError,
--- a/roadpulley/store/errors.py
+++ b/roadpulley/store/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong with a store, each with what to do about it."""
+"""Errors of the store. Each docstring says what state the store is in afterwards."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class StoreError(Exception):
-    """Any of those below."""
+    """Base class of all errors of the store."""
 
 
 class LockedError(StoreError):
-    """Another process has the folder open."""
+    """Another process has the store's folder open."""
 
 
 class DamagedError(StoreError):
-    """Something that was acknowledged can't be read. Nothing was changed."""
+    """Acknowledged data cannot be read. The files were not changed."""
 
     def __init__(self, damage: Sequence[Damage]) -> None:
         super().__init__("; ".join(str(each) for each in damage))
@@ -24,23 +24,25 @@
 
 
 class FormatVersionError(StoreError):
-    """Written by a later version of this program, or no store at all."""
+    """A file has a format version that this program does not read."""
 
 
 class WriteFailedError(StoreError):
-    """This write is not there; the store goes on. A full disk, say."""
+    """This write was not stored, for example because the disk is full. The store accepts further writes."""
 
 
 class StoreFailedError(StoreError):
-    """A sync failed, or what was begun could not be taken back: the store takes no more until it is opened
-    anew.
+    """A sync failed, or a partial write could not be truncated. The store accepts no writes until reopened.
 
-    Danger: a second sync may succeed though the first one's bytes are lost, so none is tried.
+    A failed sync is not retried: a second sync may succeed although the data of the first one is lost.
     """
 
 
 class ConflictError(StoreError):
-    """The key's version is not the expected one: another writer was first. Read again, then decide."""
+    """The key does not have the expected version, because another write came first.
+
+    Read the key again before retrying.
+    """
 
     def __init__(self, key: bytes, expected: int, found: int) -> None:
         was = f"has version {found}" if found else "is not there"
@@ -50,4 +52,4 @@
 
 
 class ClosedError(StoreError):
-    """The store was closed."""
+    """The store or the snapshot is closed."""
--- a/roadpulley/store/fences.py
+++ b/roadpulley/store/fences.py
@@ -1,6 +1,8 @@
-"""Writes that only the holder of a duty may make: each batch is conditional on the fence in the store.
+"""Fencing tokens: writes that only the current holder of a duty may make.
 
-fence/DUTY    {"fence", "owner"}: the highest that was taken up, and whose claim it was
+Each batch is conditional on the fence record in the store.
+
+fence/DUTY    {"fence", "owner"}: the highest claimed fence and its owner
 """
 
 from __future__ import annotations
@@ -21,7 +23,7 @@
 
 
 def read_fence(store: Store, duty: str) -> tuple[int, str, int]:
-    """The highest fence, its owner, and the version of the record; zeros where none was."""
+    """Return the highest claimed fence, its owner and the record's version; `(0, "", 0)` if none."""
     record = store.entry(get_fence_key(duty))
     if record is None:
         return 0, "", 0
@@ -30,8 +32,10 @@
 
 
 def claim_fence(store: Store, duty: str, fence: int, owner: str) -> int | None:
-    """Take a fence up. None: it is; else the highest that was before. Again by the same owner it is
-    the same."""
+    """Claim a fence. Return None on success, otherwise the highest fence claimed so far.
+
+    Repeating a claim with the same owner succeeds.
+    """
     highest, before, version = read_fence(store, duty)
     if (fence, owner) == (highest, before):
         return None
@@ -46,8 +50,10 @@
 
 
 class FencedStore:
-    """A store as the holder of one duty may use it. Writes raise StaleFenceError once a higher fence was
-    taken up."""
+    """The store as seen by the holder of one duty.
+
+    Writes raise StaleFenceError once a higher fence is claimed.
+    """
 
     def __init__(self, store: Store, duty: str, fence: int) -> None:
         self.store, self.duty, self.fence = store, duty, fence
@@ -57,7 +63,7 @@
         return self.store.version
 
     def check(self) -> None:
-        """Before acts elsewhere that rest on the same holding. Raises StaleFenceError."""
+        """Verify the fence before an action outside the store. Raises StaleFenceError."""
         if (highest := read_fence(self.store, self.duty)[0]) != self.fence:
             raise StaleFenceError(highest)
 
@@ -65,12 +71,13 @@
         highest, owner, version = read_fence(self.store, self.duty)
         if highest != self.fence:
             raise StaleFenceError(highest)
-        # Danger: checked alone, a fence that is taken up between the check and the write would not stop it.
-        same = Write(
+        # Rewriting the fence record on condition of its version makes the check and the batch atomic. With
+        # the check alone, a fence claimed between the check and the write would not stop the write.
+        fence_write = Write(
             get_fence_key(self.duty), json.dumps({"fence": highest, "owner": owner}).encode(), expect=version
         )
         try:
-            return self.store.batch((*writes, same))
+            return self.store.batch((*writes, fence_write))
         except ConflictError:
             if (highest := read_fence(self.store, self.duty)[0]) != self.fence:
                 raise StaleFenceError(highest) from None
--- a/roadpulley/store/files.py
+++ b/roadpulley/store/files.py
@@ -1,4 +1,4 @@
-"""The file layer: all that the store asks of an operating system, so that a test can take its place."""
+"""The file layer: every operating system call of the store, behind interfaces that tests can replace."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class File(Protocol):
-    """One open file. Every method may raise OSError."""
+    """An open file. Every method may raise OSError."""
 
     def read(self, offset: int, length: int) -> bytes:
-        """Fewer bytes only at the end of the file."""
+        """Read `length` bytes, fewer only at the end of the file."""
 
     def write(self, offset: int, data: bytes) -> None:
-        """All of it; on an error any part may have been written."""
+        """Write all of `data`. After an error any part of it may have been written."""
 
     def size(self) -> int: ...
     def sync(self) -> None: ...
@@ -24,29 +24,31 @@
 
 
 class Files(Protocol):
-    """One folder. Every method may raise OSError."""
+    """A folder of files. Every method may raise OSError."""
 
     def make(self) -> None:
-        """The folder itself, where it is missing."""
+        """Create the folder if it does not exist."""
 
     def names(self) -> list[str]: ...
 
     def open(self, name: str, create: bool = False) -> File:
-        """For reading and writing. `create`: it must not be there yet."""
+        """Open a file for reading and writing. With `create` the file must not exist yet."""
 
     def rename(self, old: str, new: str) -> None: ...
     def unlink(self, name: str) -> None: ...
 
     def sync_folder(self) -> None:
-        """New names, renames and unlinks are sure only after this."""
+        """Make created, renamed and removed directory entries durable."""
 
     def lock(self) -> bool:
-        """Whether this process has the folder for itself now."""
+        """Try to lock the folder for this process. Return whether it succeeded."""
 
     def unlock(self) -> None: ...
 
 
 class DiskFile:
+    """A file on a real disk."""
+
     def __init__(self, path: Path, create: bool) -> None:
         flags = os.O_RDWR | os.O_CLOEXEC | (os.O_CREAT | os.O_EXCL if create else 0)
         self.fd = os.open(path, flags, 0o600)
@@ -63,7 +65,7 @@
 
     def write(self, offset: int, data: bytes) -> None:
         rest = memoryview(data)
-        while rest:  # a full disk may take a part first; what is interrupted is tried again by Python
+        while rest:  # a nearly full disk may accept only a part; Python itself retries after EINTR
             done = os.pwrite(self.fd, rest, offset)
             rest, offset = rest[done:], offset + done
 
@@ -127,5 +129,6 @@
 
     def unlock(self) -> None:
         if self.lock_fd is not None:
-            os.close(self.lock_fd)  # which gives the lock back; the file stays, as another may wait for it
+            # Closing releases the lock. The file stays, because another process may have it open.
+            os.close(self.lock_fd)
             self.lock_fd = None
--- a/roadpulley/store/parts.py
+++ b/roadpulley/store/parts.py
@@ -1,4 +1,4 @@
-"""What a store is made of: writes that wait, segments, settings and figures."""
+"""Types shared by the modules of the store: queued batches, segments, options and statistics."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
 log = logging.getLogger(__name__)
 
 DEFAULT_SEGMENT_BYTES = 64 * 1024 * 1024
-DEFAULT_DEAD_RATIO = 0.5  # of a sealed segment's bytes, from which on it is worth writing the rest again
+# A sealed segment is compacted once more than this fraction of its bytes is dead.
+DEFAULT_DEAD_RATIO = 0.5
 MANIFEST = "MANIFEST"
 
 
 @dataclass(frozen=True)
 class Write:
-    """One part of a batch: a value, or None to delete the key.
+    """One write of a batch: a value, or None to delete the key.
 
-    `expect` makes the whole batch conditional: the key's version, 0 for a key that must not be there.
+    `expect` makes the whole batch conditional on the key's version; 0 means that the key must not exist.
     """
 
     key: bytes
@@ -33,14 +34,14 @@
 
 @dataclass(eq=False)
 class PendingBatch:
-    """A batch that waits to be written."""
+    """A batch in the write queue."""
 
     writes: tuple[Write, ...]
-    on_done: Callable[[PendingBatch], None] | None = None  # called once, by the thread that wrote it
+    on_done: Callable[[PendingBatch], None] | None = None  # called once, in the thread that wrote it
     version: int = 0
     error: Exception | None = None
     is_done: bool = False
-    wakeup: threading.Event | None = None  # of a thread that sleeps until it is over, or its turn to write
+    wakeup: threading.Event | None = None  # wakes the waiting thread
 
     @property
     def size_bytes(self) -> int:
@@ -53,25 +54,28 @@
                 try:
                     self.on_done(self)
                 except Exception:
-                    # Danger: others of its group are written too, and must be told so.
-                    log.exception("whoever wrote version %d could not be told", self.version)
+                    # The other batches of the group are written too. Without this their callbacks would not
+                    # be called.
+                    log.exception("the completion callback of version %d failed", self.version)
             if self.wakeup is not None:
                 self.wakeup.set()
 
 
 @dataclass(eq=False)
 class Segment:
+    """An open segment file and its accounting."""
+
     number: int
     file: File
     salt: int
-    length: int  # bytes that count
+    length: int  # bytes in use; later bytes in the file are ignored
     first: int = 0
     last: int = 0
-    live_bytes: int = 0  # bytes of records that count
+    live_bytes: int = 0  # bytes of records that the index refers to
     active_reads: int = 0
     retired: bool = False
-    is_pinned: bool = False  # by readers of an older state
-    hint: format.Hint = field(default_factory=format.Hint)  # of one that is being written
+    is_pinned: bool = False  # by open snapshots
+    hint: format.Hint = field(default_factory=format.Hint)  # of a segment being written
 
     @property
     def dead_ratio(self) -> float:
@@ -81,24 +85,28 @@
 
 @dataclass(frozen=True)
 class Options:
+    """Settings of a store."""
+
     segment_bytes: int = DEFAULT_SEGMENT_BYTES
     dead_ratio: float = DEFAULT_DEAD_RATIO
-    new_salt: Callable[[], int] = field(default=lambda: secrets.randbits(32))  # a test gives known ones
+    new_salt: Callable[[], int] = field(default=lambda: secrets.randbits(32))  # tests pass a fixed sequence
 
 
 @dataclass(frozen=True)
 class StoreStats:
+    """Sizes of a store, and bytes written since it was opened."""
+
     keys: int
     version: int
     segments: int
-    bytes_on_disk: int  # of the segments
+    bytes_on_disk: int  # total size of the segments
     bytes_live: int
-    written_bytes: int  # bytes of segments since it was opened, by batches and by compaction
-    user_bytes: int  # bytes of keys and values that were put since then
+    written_bytes: int  # to segments since opening, by batches and by compaction
+    user_bytes: int  # of keys and values in batches since opening
 
 
 def validate_batch(pending: PendingBatch) -> None:
-    """Raises ValueError, naming the place."""
+    """Check the sizes and conditions of a batch. Raises ValueError naming the invalid write."""
     if not pending.writes:
         raise ValueError("a batch of nothing: give at least one write")
     for number, write in enumerate(pending.writes):
--- a/roadpulley/store/recovery.py
+++ b/roadpulley/store/recovery.py
@@ -1,12 +1,13 @@
-"""What is kept, cut off and refused as a store is opened. Pure: what could be read goes in, a plan comes out.
- The segments before the last were synced whole before the manifest named them sealed, so anything wrong in
-them is damage. In the last one, a frame that can't be read is either the torn end of what was being written
-as the machine went down, or damage. It is damage if anything that can be read after it, in the segment,
-says that the version was durable already: each frame carries the last version that was synced before it was
-written, and a mark with it follows each sync. Otherwise nobody was told that it was written, nor anything
-after it, and it is cut.
- Frames that are whole but that nothing proves durable are kept, and written again: a disk that failed to
-sync once may have dropped them while the operating system's memory still shows them.
+"""Decides what opening a store keeps, truncates or refuses. Pure: scan results go in, a plan comes out.
+
+Sealed segments were synced completely before the manifest listed them as sealed, so any error in them is
+damage. In the active segment an unreadable frame is either a torn write of a crash, or damage. It is damage
+if a readable frame anywhere in the segment proves that its version was durable: each frame carries the last
+version synced before the frame was written, and a mark with that version follows each sync. Otherwise
+neither the frame nor any later one was acknowledged, and they are truncated.
+
+Intact frames that are not proven durable are kept and written again: after a failed sync the disk may have
+dropped them while the page cache of the operating system still returns them.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 @dataclass(frozen=True)
 class Damage:
-    """What is wrong, where, and what is lost by it."""
+    """An error in a file, its offset, and the data lost by it."""
 
     file: str
     offset: int
@@ -45,6 +46,8 @@
 
 @dataclass(frozen=True)
 class Frame:
+    """An intact frame at an offset of a segment."""
+
     offset: int
     header: FrameHeader
     record_metadata: tuple[RecordMetadata, ...]
@@ -56,20 +59,20 @@
 
 @dataclass
 class SegmentScan:
-    """What could be read of one segment."""
+    """The readable part of one segment."""
 
     number: int
     salt: int = 0
     frames: list[Frame] = field(default_factory=list)
-    end: int = 0  # of the last whole frame, or of the header
+    end: int = 0  # of the last intact frame before the problem, or of the header
     size: int = 0  # of the file
-    problem: str = ""  # what is wrong at `end`; "" if the file ends there
+    problem: str = ""  # the error at `end`; "" if the file ends there
     # Offset and header of each intact frame after the problem.
     frames_after_problem: list[tuple[int, FrameHeader]] = field(default_factory=list)
 
     @property
     def durable(self) -> int:
-        """The last version that something in it proves synced."""
+        """The last version that any readable frame proves durable."""
         heads = [frame.header for frame in self.frames] + [head for _, head in self.frames_after_problem]
         return max((head.durable for head in heads), default=0)
 
@@ -79,7 +82,7 @@
 
 
 def scan_segment(data: bytes, number: int) -> SegmentScan:
-    """Read a segment from its bytes. Raises NewerFormatError."""
+    """Parse a segment. Raises NewerFormatError."""
     found = SegmentScan(number, size=len(data))
     try:
         found.salt = read_header(data[: SEGMENT_HEADER.size], number)
@@ -106,12 +109,12 @@
 
 @dataclass
 class RecoveryPlan:
-    """How to go on after opening."""
+    """How opening treats the active segment."""
 
-    keep_bytes: int = 0  # bytes of the last segment that stay as they are
-    rewrite: list[Frame] = field(default_factory=list)  # whole, and not proven durable: written again
-    cut_bytes: int = 0  # bytes of its torn end
-    needs_new_segment: bool = False  # the last segment must not be written to any more
+    keep_bytes: int = 0  # length of the unchanged part of the active segment
+    rewrite: list[Frame] = field(default_factory=list)  # intact, but not proven durable
+    cut_bytes: int = 0  # length of the torn write at its end
+    needs_new_segment: bool = False  # the active segment must not be appended to
     damage: list[Damage] = field(default_factory=list)
 
     @property
@@ -120,7 +123,7 @@
 
 
 def find_sealed_damage(sealed: SealedSegment, found: SegmentScan | None, size: int) -> Damage | None:
-    """What is wrong with a sealed segment, if anything: as scanned, or by its size alone."""
+    """Return the damage of a sealed segment, judged by its scan, or by its size alone if `found` is None."""
     name = segment_name(sealed.number)
     lost = f"what it holds of versions {sealed.first} to {sealed.last} is lost from there on"
     if size < sealed.length:
@@ -131,10 +134,11 @@
 
 
 def plan_recovery(found: SegmentScan, known: int) -> RecoveryPlan:
-    """For the last segment. `known` is the last version that the sealed ones hold."""
+    """Plan the recovery of the active segment. `known` is the last version of the sealed segments."""
     name = segment_name(found.number)
     if not found.salt and found.problem:
-        # Danger: it was synced with its header before the manifest named it.
+        # The header was synced before the manifest named the segment, so an unreadable header is damage and
+        # not a torn write.
         return RecoveryPlan(damage=[Damage(name, 0, found.problem, "all that it holds is lost")])
     durable = found.durable
     if found.problem and durable > max(known, found.last):
@@ -147,8 +151,8 @@
         return RecoveryPlan(
             damage=[Damage(name, found.end, what, f"versions from {found.last + 1} are lost")]
         )
-    # Danger: a mark at the end proves what stands before it and not itself; were it counted as kept, a crash
-    # could leave a hole there. It is written again.
+    # A mark proves the frames before it durable, but not itself. If marks at the end were kept as durable, a
+    # crash could leave a hole in their place, so they are written again.
     proven = [f for f in found.frames if f.header.version <= durable and not f.header.is_mark]
     keep = max([SEGMENT_HEADER.size, *(frame.end for frame in proven)])
     rewrite = [f for f in found.frames if f.header.version > durable and not f.header.is_mark]
@@ -157,7 +161,7 @@
 
 
 def find_orphaned_files(names: Iterable[str], manifest: Manifest) -> list[str]:
-    """Files that the manifest does not name: left by a crash, and holding nothing that counts."""
+    """Return the files that the manifest does not name. A crash left them, and they hold no live data."""
     live = {s.number for s in manifest.sealed} | {manifest.active}
     keep = {f"{number:08d}" for number in live}
     return [n for n in names if n.endswith((".seg", ".hint", ".tmp")) and n.partition(".")[0] not in keep]
