--- a/roadpulley/workers/service.py
+++ b/roadpulley/workers/service.py
@@ -1,4 +1,4 @@
-"""The supervisor's shell: processes, pipes, signals and timers; the machine decides."""
+"""Runs the processes, pipes, signals and timers of a supervisor. The state machine makes the decisions."""
 
 from __future__ import annotations
 
@@ -30,13 +30,15 @@
 
 @dataclass(eq=False)
 class WorkerProcess:
+    """A running worker, with the tasks that read its pipe and wait for its exit."""
+
     process: asyncio.subprocess.Process
     version: int
     tasks: list[asyncio.Task[None]]
 
 
 def bind_socket(address: Address) -> socket.socket:
-    """A TCP socket bound there that does not listen yet. Raises OSError."""
+    """Return a TCP socket that is bound to the address but does not listen yet. Raises OSError."""
     bound_socket = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_STREAM)
     try:
         bound_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -48,9 +50,10 @@
 
 
 class ListeningSocket:
-    """The one listening socket of all workers. It outlives each of them, and what waits at it with it.
+    """The listening socket that all workers share. It and its accept queue outlive each worker.
 
-    It is bound here and listens only once a worker asks for that, so that nobody waits where nobody serves.
+    The socket is only bound here. It listens once a worker calls `listen`, so that no connection is queued while
+    no worker serves.
     """
 
     def __init__(self) -> None:
@@ -58,33 +61,38 @@
         self.socket: socket.socket | None = None
 
     def rebind(self, address: Address) -> None:
-        """Bind anew, if it is another address; those who have the old socket keep it. Raises OSError."""
+        """Bind to the address if it has changed. Running workers keep the old socket. Raises OSError."""
         if address == self.address:
             return
         bound_socket = bind_socket(address)
         if not address[1]:
-            # Danger: a socket that is shut loses a port that the kernel chose; one that is asked for stays.
+            # On shutdown a socket loses a port that the kernel chose, but keeps one that was requested. The
+            # chosen port is therefore bound again by its number.
             with bound_socket:
                 bound_socket = bind_socket(bound_socket.getsockname()[:2])
         self.close()
         self.socket, self.address = bound_socket, address
 
     def refuse_connections(self) -> None:
-        """Connections are refused until the next worker listens: they can go elsewhere at once."""
+        """Refuse connections until the next worker listens, so that clients can use another gateway at once."""
         try:
             if self.socket is not None:
                 self.socket.shutdown(socket.SHUT_RDWR)
         except OSError:
-            pass  # it does not listen
+            pass  # the socket does not listen
 
     def close(self) -> None:
+        """Close the socket, if there is one. Workers keep their copies."""
         if self.socket is not None:
             self.socket.close()
             self.socket = self.address = None
 
 
 class SupervisorService:
-    """`count` gives the number of workers wanted, and is asked again at each replacement."""
+    """Supervises the workers of one gateway.
+
+    `get_worker_count` is called at the start and at each replacement.
+    """
 
     def __init__(
         self, config: str, get_worker_count: Callable[[], int], settings: SupervisorSettings | None = None
@@ -94,14 +102,14 @@
         self.supervisor = Supervisor(get_worker_count(), self.settings)
         self.loop = asyncio.get_running_loop()
         self.processes: dict[int, WorkerProcess] = {}
-        self.pending_signals: dict[int, signal.Signals] = {}  # to processes that are still being made
+        self.pending_signals: dict[int, signal.Signals] = {}  # for processes that are still being created
         self.timer: asyncio.TimerHandle | None = None
         self.listener = ListeningSocket()
         self.finished = asyncio.Event()
-        self.stopping = asyncio.Event()  # it was told to end
+        self.stopping = asyncio.Event()  # set once `stop` was called
 
     async def run(self) -> None:
-        """Keep the workers running until they are told to end and have ended. Raises OSError, ConfigError."""
+        """Run the workers until they are stopped and have exited. Raises OSError, ConfigError."""
         self.listener.rebind(load_config(self.config).listen)
         for signum in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(signum, self.stop)
@@ -111,27 +119,29 @@
             await self.finished.wait()
         finally:
             self.listener.close()
-            for worker in self.processes.values():  # only a fault of this process leaves any
+            for worker in self.processes.values():  # workers remain only after an error in this process
                 worker.process.kill()
             await asyncio.gather(*(worker.process.wait() for worker in self.processes.values()))
 
-    # ---- from outside ----
+    # ---- requests from signals and callers ----
 
     def stop(self) -> None:
-        log.info("ending")
+        """Drain all workers and finish."""
+        log.info("stopping all workers")
         self.stopping.set()
         self.perform(self.supervisor.stop(self.loop.time()))
 
     def replace_workers(self) -> None:
-        """Bring in what the configuration says now: the number of workers, and each worker anew."""
+        """Apply the current configuration: change the number of workers and replace each of them."""
         try:
             worker_count = self.get_worker_count()
-        except Exception as error:  # whatever is wrong with it, those that run go on
+        except Exception as error:  # no error here may stop running workers
             return log.error("not replaced, the workers stay as they are: %s", error)
         try:
             self.listener.rebind(load_config(self.config).listen)
-        except (ConfigError, OSError) as error:  # the machine sees that no second worker starts with it
-            log.error("the address stays as it is: %s", error)
+        except (ConfigError, OSError) as error:
+            # The replacement goes on: with a broken configuration only the first worker is lost.
+            log.error("the listen address is not changed: %s", error)
         now = self.loop.time()
         if worker_count != self.supervisor.worker_count:
             self.perform(self.supervisor.resize(now, worker_count))
@@ -140,6 +150,7 @@
     # ---- actions ----
 
     def perform(self, actions: list[Action]) -> None:
+        """Carry out actions, then set the timer for the next deadline."""
         for action in actions:
             match action:
                 case StartWorker(slot, version):
@@ -162,21 +173,24 @@
             self.timer = self.loop.call_at(max(deadline, self.loop.time()) + 0.001, self.tick)
 
     def tick(self) -> None:
+        """Handle the deadlines that have passed."""
         self.perform(self.supervisor.tick(self.loop.time()))
 
     def signal_worker(self, slot: int, signal_number: signal.Signals) -> None:
+        """Send a signal to the worker of a slot, or keep it until the process exists."""
         worker = self.processes.get(slot)
         if worker is None:
-            # Danger: its process is still being made. A signal that was dropped would leave the slot waiting
-            # for an end that nobody has asked for.
+            # The process is still being created. If the signal were dropped, the slot would wait for the exit of
+            # a process that never received a signal.
             self.pending_signals[slot] = signal_number
             return
         try:
             worker.process.send_signal(signal_number)
         except ProcessLookupError:
-            pass  # its end is on its way here
+            pass  # the process has exited and `wait_for_exit` will report it
 
     async def start_worker(self, slot: int, version: int) -> None:
+        """Create a worker process and the tasks that watch it."""
         assert self.listener.socket is not None
         listener_fd = self.listener.socket.fileno()
         read_fd, write_fd = os.pipe()
@@ -213,6 +227,7 @@
             self.signal_worker(slot, pending_signal)
 
     async def read_messages(self, slot: int, fd: int) -> None:
+        """Read the messages of a worker from its pipe until the pipe is closed."""
         reader = asyncio.StreamReader()
         transport, _ = await self.loop.connect_read_pipe(
             lambda: asyncio.StreamReaderProtocol(reader), os.fdopen(fd, "rb")
@@ -233,6 +248,7 @@
             transport.close()
 
     async def wait_for_exit(self, slot: int, worker: WorkerProcess) -> None:
+        """Report the exit of a worker to the state machine."""
         exit_code = await worker.process.wait()
         if self.processes.get(slot) is worker:
             del self.processes[slot]
--- a/roadpulley/workers/supervisor.py
+++ b/roadpulley/workers/supervisor.py
@@ -1,24 +1,28 @@
-"""Whom to start, to drain and to end, and when. Pure: events and times (seconds) go in, actions come out.
+"""State machine that decides when workers are started, drained and killed.
 
-Each slot is a place for one worker at a time, in one of these states:
+Pure: events and times in seconds go in, actions come out.
 
-    idle      nobody is there; `due` says when to start one
-    starting  a process runs and has not said that it serves
-    serving   it beats; a beat carries the age of the oldest request that is open in it
-    draining  it was told to end and may take `drain_s` for it
-    ending    it was killed, and its end has not been heard yet
+Each slot holds at most one worker process and is in one of these states:
 
-A worker whose time is up is killed only if it was up at an earlier look too, `confirm_s` before. Danger: a
-supervisor that was not run for some seconds finds every beat overdue, and those that have come lie unread.
+    idle      no process runs; `deadline` is the time to start one
+    starting  a process runs and has not reported that it serves
+    serving   the process sends heartbeats, each with the age of its oldest open request
+    draining  the process received SIGTERM and may take `drain_timeout_s` to exit
+    ending    the process was killed and its exit has not been reported yet
 
-A worker that ends uncalled, or is killed because it hangs, is started again after a wait that doubles with
-each time it did not serve for `steady_s`. A replacement takes the workers one by one: the next is drained
-only once the one before serves again, so that no more than one is missing. Danger: without that, a version
-that does not start would take down all.
+An overdue worker is killed only if an earlier check, at least `confirmation_delay_s` before, found it
+overdue or nearly so. Without this, a supervisor that was suspended for some seconds would find every heartbeat overdue
+and kill healthy workers, because the heartbeats that have arrived are still unread in the pipes.
 
-All accept from one socket, which outlives them. Once the last one that accepted has closed or ended, clients
-are refused (`Refuse`) until another serves. Danger: else they would wait in its queue until near their
-deadline, when another gateway could have served them.
+A worker that exits without having been drained, or is killed, is restarted after a backoff. The
+backoff doubles with each exit before which the worker did not serve for `stable_after_s`. A replacement
+handles the workers one by one: the next worker is drained only once all others serve, so at most one
+worker is missing. Without this, a version that fails to start would take down all workers.
+
+All workers accept from one listening socket, which outlives them. Once the last accepting worker has closed
+its listener or exited, connections are refused (`RefuseConnections`) until another worker serves. Otherwise
+clients would wait in the accept queue until shortly before their deadline, although another gateway could
+have served them.
 """
 
 from __future__ import annotations
@@ -28,6 +32,8 @@
 
 
 class State(Enum):
+    """State of a slot."""
+
     IDLE = "idle"
     STARTING = "starting"
     SERVING = "serving"
@@ -37,56 +43,61 @@
 
 @dataclass(frozen=True)
 class SupervisorSettings:
-    """Seconds. Settings of a supervisor; see docs/design/scale-up.md."""
-
-    start_timeout_s: float = 15.0  # from its start until a worker must serve
-    heartbeat_interval_s: float = 0.25  # between two beats
-    heartbeat_timeout_s: float = 3.0  # without a beat: the process lives and does nothing
-    max_request_age_s: float = (
-        5.0  # a request open for longer than any deadline: the loop turns and answers nobody
-    )
-    drain_timeout_s: float = 4.0  # after SIGTERM: the longest deadline that is waited for, and a second
-    confirmation_delay_s: float = (
-        0.25  # between the look that finds a worker overdue and the one that has it killed
-    )
+    """Timeouts and limits of a supervisor. Names that end in `_s` are in seconds. See docs/design/scale-up.md."""
+
+    start_timeout_s: float = 15.0  # from the start of a process until it must serve
+    heartbeat_interval_s: float = 0.25
+    heartbeat_timeout_s: float = 3.0  # without a heartbeat for this long, a worker is considered hung
+    # Older than any request deadline: the event loop still runs but requests are not answered.
+    max_request_age_s: float = 5.0
+    drain_timeout_s: float = 4.0  # from SIGTERM to SIGKILL: the longest request deadline and one second
+    # Between the check that first finds a worker overdue and the one that kills it.
+    confirmation_delay_s: float = 0.25
     initial_backoff_s: float = 0.1
     max_backoff_s: float = 30.0
-    stable_after_s: float = 10.0  # having served for this long, a worker's next end starts the waits anew
-    max_failed_starts: int = (
-        8  # ends in a row without serving, of a replacement's first worker: it is called off
-    )
+    stable_after_s: float = 10.0  # a worker that served for this long restarts with the initial backoff
+    # Consecutive exits of the worker being replaced, without serving, after which a replacement is aborted.
+    max_failed_starts: int = 8
 
 
 @dataclass(frozen=True)
 class StartWorker:
+    """Start a process of the given version in the slot."""
+
     slot: int
     version: int
 
 
 @dataclass(frozen=True)
 class DrainWorker:
+    """Send SIGTERM to the worker of the slot."""
+
     slot: int
 
 
 @dataclass(frozen=True)
 class KillWorker:
+    """Send SIGKILL to the worker of the slot."""
+
     slot: int
     reason: str
 
 
 @dataclass(frozen=True)
 class RefuseConnections:
-    """Nobody accepts connections any more."""
+    """Refuse new connections, because no worker accepts them."""
 
 
 @dataclass(frozen=True)
 class LogMessage:
+    """Write a line to the log."""
+
     text: str
 
 
 @dataclass(frozen=True)
 class ReportFinished:
-    """All workers have ended; nothing more will come."""
+    """Report that all workers have exited after a stop. No action follows."""
 
 
 Action = StartWorker | DrainWorker | KillWorker | RefuseConnections | LogMessage | ReportFinished
@@ -94,22 +105,26 @@
 
 @dataclass
 class Slot:
+    """Place for one worker process at a time. Times are those of the caller's clock, in seconds."""
+
     number: int
     state: State = State.IDLE
-    version: int = 0  # of what runs in it
-    deadline: float = 0.0  # idle: when to start; else: when its patience ends
-    first_overdue_at: float | None = None  # the first look that found it overdue, or nearly so
-    is_stuck: bool = False  # its last beat told of a request that is open for too long
-    serving_since: float | None = None  # since when it serves
-    heartbeat_at: float = 0.0
-    oldest_age_s: float = 0.0  # age of its oldest open request, seconds
-    failures: int = 0  # ends in a row without having served steadily
-    is_accepting: bool = False  # connections, from the socket of all
-    remove_on_exit: bool = False  # not wanted any more once it has ended
+    version: int = 0  # of the running process
+    deadline: float = 0.0  # idle: when to start a process; starting or draining: when it is overdue
+    first_overdue_at: float | None = None  # first check that found the worker overdue or nearly so
+    is_stuck: bool = False  # the last heartbeat reported a request older than `max_request_age_s`
+    serving_since: float | None = None
+    heartbeat_at: float = 0.0  # time of the last heartbeat
+    oldest_age_s: float = 0.0  # age of the oldest open request
+    failures: int = 0  # consecutive exits without having served for `stable_after_s`
+    is_accepting: bool = False  # connections from the shared socket
+    remove_on_exit: bool = False
 
 
 @dataclass
 class Supervisor:
+    """State machine of all slots. Each event handler returns the actions to carry out, in order."""
+
     worker_count: int
     settings: SupervisorSettings = field(default_factory=SupervisorSettings)
 
@@ -117,12 +132,12 @@
         self.slots: dict[int, Slot] = {n: Slot(n) for n in range(self.worker_count)}
         self.version = 1
         self.is_stopping = self.is_finished = False
-        self.replacing_slot: int | None = None  # the slot that is being replaced just now
+        self.replacing_slot: int | None = None  # number of the slot whose worker is being replaced
 
     # ---- events ----
 
     def tick(self, now: float) -> list[Action]:
-        """Time has passed: everything that is due. Call it at `next_at` at the latest."""
+        """Handle all deadlines that have passed. Must be called at `next_deadline` at the latest."""
         actions: list[Action] = []
         for slot in list(self.slots.values()):
             self._check_slot(now, slot, actions)
@@ -131,7 +146,7 @@
         return actions
 
     def handle_serving(self, now: float, number: int) -> list[Action]:
-        """A worker says that it serves."""
+        """Handle the report of a worker that it serves."""
         slot = self.slots.get(number)
         if slot is not None and slot.state is State.STARTING:
             slot.state, slot.serving_since, slot.heartbeat_at, slot.oldest_age_s = (
@@ -144,29 +159,31 @@
             if self.replacing_slot == number:
                 self.replacing_slot = None
         if slot is not None and slot.state is not State.IDLE:
-            slot.is_accepting = True  # also one that was told to end before it served
+            slot.is_accepting = True  # even if it was drained before it served
         return self.tick(now)
 
     def handle_heartbeat(self, now: float, number: int, oldest_age_s: float) -> list[Action]:
+        """Handle a heartbeat, which carries the age of the oldest open request in seconds."""
         slot = self.slots.get(number)
         actions: list[Action] = []
         if slot is not None and slot.state is State.SERVING:
             slot.heartbeat_at, slot.oldest_age_s, slot.first_overdue_at = now, oldest_age_s, None
-            # Danger: a worker that was not run for some seconds beats before it has ended what is overdue.
+            # Two such heartbeats in a row are required. A worker that was suspended for some seconds sends its
+            # first heartbeat before it has ended the requests that are overdue, and must not be killed for it.
             was_stuck, slot.is_stuck = slot.is_stuck, oldest_age_s > self.settings.max_request_age_s
             if was_stuck and slot.is_stuck:
                 self._kill_worker(slot, f"a request is open for {oldest_age_s:.1f} s", actions)
         return actions + self.tick(now)
 
     def handle_closed(self, now: float, number: int) -> list[Action]:
-        """A worker says that it accepts no more connections."""
+        """Handle the report of a worker that it no longer accepts connections."""
         actions: list[Action] = []
         if slot := self.slots.get(number):
             self._stop_accepting(slot, actions)
         return actions + self.tick(now)
 
     def handle_exit(self, now: float, number: int, exit_reason: str) -> list[Action]:
-        """A worker's process has ended."""
+        """Handle the exit of a worker process, or the failure to start it."""
         slot, actions = self.slots.get(number), list[Action]()
         if slot is None or slot.state is State.IDLE:
             return actions
@@ -194,15 +211,15 @@
         return actions + self.tick(now)
 
     def replace_workers(self, now: float) -> list[Action]:
-        """Bring in a new version: every worker in turn."""
+        """Replace all workers by a new version, one by one."""
         if self.is_stopping:
             return []
         self.version += 1
         return [LogMessage(f"replacing workers, version {self.version}"), *self.tick(now)]
 
     def resize(self, now: float, worker_count: int) -> list[Action]:
-        """Change the number of workers; those beyond it are drained."""
-        actions: list[Action] = [LogMessage(f"{worker_count} workers wanted")]
+        """Change the number of workers. Workers in slots beyond it are drained."""
+        actions: list[Action] = [LogMessage(f"{worker_count} workers configured")]
         if not self.is_stopping:
             self.worker_count = worker_count
             for number in range(worker_count):
@@ -213,34 +230,34 @@
         return actions + self.tick(now)
 
     def stop(self, now: float) -> list[Action]:
-        """Drain all at once, and end."""
+        """Drain all workers at the same time, then finish."""
         actions: list[Action] = []
         self.is_stopping = True
         for slot in list(self.slots.values()):
             self._remove_slot(now, slot, actions)
         return actions + self.tick(now)
 
-    # ---- questions ----
+    # ---- queries ----
 
     def next_deadline(self) -> float:
-        """When `tick` must be called next; infinity if only an event can change anything."""
+        """Return the latest time of the next `tick`, or infinity if only an event can change the state."""
         times = [float("inf")]
         for slot in self.slots.values():
             if slot.state is State.IDLE:
                 times.append(slot.deadline)
             elif slot.state is not State.ENDING:
-                times.append(self._get_next_check_at(slot))
+                times.append(self._get_next_check_time(slot))
         return min(times)
 
     def compute_backoff(self, failures: int) -> float:
-        """How long to wait after so many ends in a row; nothing before the first."""
+        """Return the backoff in seconds after this number of consecutive failures; 0 without a failure."""
         if failures <= 0:
             return 0.0
         return min(
             self.settings.max_backoff_s, self.settings.initial_backoff_s * 2.0 ** min(failures - 1, 30)
         )
 
-    # ---- inside ----
+    # ---- internals ----
 
     def _check_slot(self, now: float, slot: Slot, actions: list[Action]) -> None:
         if slot.state is State.IDLE and now >= slot.deadline and not self.is_stopping:
@@ -255,15 +272,18 @@
             self._kill_worker(slot, f"no beat for {now - slot.heartbeat_at:.1f} s", actions)
 
     def _get_deadline(self, slot: Slot) -> float:
-        """When the time of a worker is up."""
+        """Return the time at which a running worker is overdue."""
         return (
             slot.heartbeat_at + self.settings.heartbeat_timeout_s
             if slot.state is State.SERVING
             else slot.deadline
         )
 
-    def _get_next_check_at(self, slot: Slot) -> float:
-        """When to look at a worker next: first shortly before its time is up, then when it is."""
+    def _get_next_check_time(self, slot: Slot) -> float:
+        """Return the time of the next check: `confirmation_delay_s` before the deadline, then at the deadline.
+
+        After a late first check, the second one is `confirmation_delay_s` later.
+        """
         deadline, confirmation_s = self._get_deadline(slot), self.settings.confirmation_delay_s
         return (
             deadline - confirmation_s
@@ -272,11 +292,11 @@
         )
 
     def _is_overdue(self, now: float, slot: Slot) -> bool:
-        if now < self._get_next_check_at(slot):
+        if now < self._get_next_check_time(slot):
             return False
         if slot.first_overdue_at is None:
             slot.first_overdue_at = now
-        return now >= self._get_next_check_at(slot)
+        return now >= self._get_next_check_time(slot)
 
     def _kill_worker(self, slot: Slot, reason: str, actions: list[Action]) -> None:
         slot.state = State.ENDING
@@ -289,7 +309,7 @@
                 actions.append(RefuseConnections())
 
     def _remove_slot(self, now: float, slot: Slot, actions: list[Action]) -> None:
-        """Have a slot empty: at once if nobody is there, else by a drain."""
+        """Remove an idle slot at once, or drain its worker first."""
         if slot.state is State.IDLE:
             del self.slots[slot.number]
             self.replacing_slot = None if self.replacing_slot == slot.number else self.replacing_slot
@@ -305,7 +325,7 @@
         actions.append(DrainWorker(slot.number))
 
     def _replace_next_worker(self, now: float, actions: list[Action]) -> None:
-        """Drain the next worker of an old version, if all others serve."""
+        """Drain the next worker of an old version, if all workers serve."""
         if self.is_stopping or self.replacing_slot is not None:
             return
         remaining_slots = [s for s in self.slots.values() if not s.remove_on_exit]
@@ -317,7 +337,10 @@
             self._drain_worker(now, outdated, actions)
 
     def _abort_replacement(self) -> None:
-        """The others stay what they are; the one that does not start goes on trying, ever more slowly."""
+        """Abort a replacement: mark the serving workers as current so that none of them is drained.
+
+        The worker that failed to start is retried with an increasing backoff.
+        """
         for slot in self.slots.values():
             if slot.state is State.SERVING:
                 slot.version = self.version
