--- a/roadpulley/workers/service.py
+++ b/roadpulley/workers/service.py
@@ -52,8 +52,8 @@
 class ListeningSocket:
     """The listening socket that all workers share. It and its accept queue outlive each worker.
 
-    The socket is only bound here. It listens once a worker calls `listen`, so that no connection is queued while
-    no worker serves.
+    The socket is only bound here. It listens once a worker calls `listen`, so that no connection is
+    queued while no worker serves.
     """
 
     def __init__(self) -> None:
@@ -74,7 +74,7 @@
         self.socket, self.address = bound_socket, address
 
     def refuse_connections(self) -> None:
-        """Refuse connections until the next worker listens, so that clients can use another gateway at once."""
+        """Refuse connections until a worker listens again. Clients can use another gateway at once."""
         try:
             if self.socket is not None:
                 self.socket.shutdown(socket.SHUT_RDWR)
@@ -180,8 +180,8 @@
         """Send a signal to the worker of a slot, or keep it until the process exists."""
         worker = self.processes.get(slot)
         if worker is None:
-            # The process is still being created. If the signal were dropped, the slot would wait for the exit of
-            # a process that never received a signal.
+            # The process is still being created. If the signal were dropped, the slot would wait for the
+            # exit of a process that never received a signal.
             self.pending_signals[slot] = signal_number
             return
         try:
--- a/roadpulley/workers/supervisor.py
+++ b/roadpulley/workers/supervisor.py
@@ -11,8 +11,8 @@
     ending    the process was killed and its exit has not been reported yet
 
 An overdue worker is killed only if an earlier check, at least `confirmation_delay_s` before, found it
-overdue or nearly so. Without this, a supervisor that was suspended for some seconds would find every heartbeat overdue
-and kill healthy workers, because the heartbeats that have arrived are still unread in the pipes.
+overdue or nearly so. Without this, a supervisor that was suspended for some seconds would find every
+heartbeat overdue and kill healthy workers, because the heartbeats that have arrived are still unread.
 
 A worker that exits without having been drained, or is killed, is restarted after a backoff. The
 backoff doubles with each exit before which the worker did not serve for `stable_after_s`. A replacement
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True)
 class SupervisorSettings:
-    """Timeouts and limits of a supervisor. Names that end in `_s` are in seconds. See docs/design/scale-up.md."""
+    """Timeouts and limits of a supervisor; `_s` stands for seconds. See docs/design/scale-up.md."""
 
     start_timeout_s: float = 15.0  # from the start of a process until it must serve
     heartbeat_interval_s: float = 0.25
@@ -168,8 +168,8 @@
         actions: list[Action] = []
         if slot is not None and slot.state is State.SERVING:
             slot.heartbeat_at, slot.oldest_age_s, slot.first_overdue_at = now, oldest_age_s, None
-            # Two such heartbeats in a row are required. A worker that was suspended for some seconds sends its
-            # first heartbeat before it has ended the requests that are overdue, and must not be killed for it.
+            # A worker is killed only after two such heartbeats in a row. One that was suspended for some
+            # seconds may send its first heartbeat before it has ended the requests that are overdue.
             was_stuck, slot.is_stuck = slot.is_stuck, oldest_age_s > self.settings.max_request_age_s
             if was_stuck and slot.is_stuck:
                 self._kill_worker(slot, f"a request is open for {oldest_age_s:.1f} s", actions)
@@ -280,7 +280,7 @@
         )
 
     def _get_next_check_time(self, slot: Slot) -> float:
-        """Return the time of the next check: `confirmation_delay_s` before the deadline, then at the deadline.
+        """Return the next check: `confirmation_delay_s` before the deadline, then at the deadline.
 
         After a late first check, the second one is `confirmation_delay_s` later.
         """
--- a/roadpulley/workers/worker.py
+++ b/roadpulley/workers/worker.py
@@ -1,9 +1,10 @@
-"""One worker: the gateway's program with a heartbeat. Started by the supervisor alone.
+"""Entry point of a worker process: a gateway that sends heartbeats. Only the supervisor starts it.
 
-Its beats go down a pipe, one line each: `serves PORT` once, then `beat MILLISECONDS` with the age of the
-oldest request that is open, and `closes` once it accepts no more. The loop that answers requests writes them:
-a loop that stands still does not beat, and one that turns without answering shows it by that age. The socket
-that it accepts from is the supervisor's, bound by that and shared with the other workers.
+The worker writes one message per line into a pipe to the supervisor: `serves PORT` once, then
+`beat MILLISECONDS` with the age of the oldest open request, and `closes` once it no longer accepts
+connections. The event loop that answers requests also writes the messages. If the loop is blocked, the
+heartbeats stop; if it runs without answering, the reported age grows. The supervisor binds the socket that
+the worker accepts from, and shares it among all workers.
 """
 
 from __future__ import annotations
@@ -30,23 +31,25 @@
     from roadpulley.usage.meter import Meter, PlanVersionLookup
 
 
-AGENT_SOCKET_ENV = "ROADPULLEY_BESIDE"  # the socket of the instance of a fleet
-RIGHTS_ENV = "ROADPULLEY_RIGHTS_TOLD"  # the ceilings that its rights are of
-COUNTER_ENV = "ROADPULLEY_COUNTS"  # set where it counts
-VERDICT_INTERVAL_ENV = "ROADPULLEY_VERDICTS"  # seconds between two words of what is seen, where it is rights
-ORDERS_ENV = "ROADPULLEY_ORDERS"  # how orders of operators are followed, where they are
+# Environment variables by which the gateway's supervisor configures its workers for a fleet.
+AGENT_SOCKET_ENV = "ROADPULLEY_BESIDE"  # path of the socket of the local fleet instance
+RIGHTS_ENV = "ROADPULLEY_RIGHTS_TOLD"  # JSON: the fleet's ceilings, and the ratio of them spent by rights
+COUNTER_ENV = "ROADPULLEY_COUNTS"  # set if the worker uses the replicated counter of the fleet
+VERDICT_INTERVAL_ENV = "ROADPULLEY_VERDICTS"  # seconds between two reports of attempts; unset for none
+ORDERS_ENV = "ROADPULLEY_ORDERS"  # JSON: settings of the follower of operators' orders; unset for none
 
 
 def apply_rights(settings: dict[str, Any], fleet_rights: dict[str, Any]) -> dict[str, Any]:
-    """The settings of a gateway that spends a part of its ceilings by rights. Raises ValueError.
+    """Return the settings of a gateway that spends a ratio of its ceilings by rights.
 
-    Danger: where a ceiling was lowered here and not in the fleet's file, its rights would go beyond it.
+    Raises ValueError if a ceiling differs from the one in the fleet's file. If a ceiling were lowered only in
+    the gateway's file, the rights granted by the fleet would exceed it.
     """
     for plan in settings.get("packages") or ():
         gateway_ceiling = [float(plan.get("neverOverRate") or 0), float(plan.get("hardBurst") or 0)]
         fleet_ceiling = fleet_rights["limits"].get(str(plan["name"]), [0.0, 0.0])
         if gateway_ceiling != fleet_ceiling:
-            remedy = "give both files the same"
+            remedy = "configure the same ceiling in both files"
             raise ValueError(
                 f"the ceiling of {plan['name']} is {gateway_ceiling}, "
                 f"in the fleet's file {fleet_ceiling}; {remedy}"
@@ -55,37 +58,42 @@
 
 
 def load_gateway_config() -> GatewayConfig:
-    """The gateway's configuration with this worker's place. Raises ConfigError."""
+    """Return the gateway's configuration, extended by the index of this worker. Raises ConfigError."""
     path = os.environ["LB_CONFIG"]
     try:
         raw: Any = json.loads(Path(path).read_text())
-        worker_index = {
+        worker_settings = {
             "worker": int(os.environ["ROADPULLEY_WORKER"]),
             "workers": int(os.environ["ROADPULLEY_WORKERS"]),
         }
         if fleet_rights := os.environ.get(RIGHTS_ENV):
             raw["settings"] = apply_rights(raw["settings"], json.loads(fleet_rights))
-        # An operators' address belongs to one process; which worker would hear a call is chance.
-        return replace(parse_config({**raw, **worker_index}), admin=None)
+        # Only one process can serve the admin address. Which worker received a command would be random.
+        return replace(parse_config({**raw, **worker_settings}), admin=None)
     except (OSError, ValueError, TypeError) as error:
         raise ConfigError(f"{path}: {error}") from error
 
 
 class Heartbeat:
+    """Writes messages to the supervisor's pipe, and heartbeats at a fixed interval in seconds."""
+
     def __init__(self, fd: int, interval_s: float) -> None:
         self.fd, self.interval_s = fd, interval_s
         self.driver: Driver | None = None
         os.set_blocking(fd, False)
 
     def write_message(self, message: str) -> None:
+        """Write one line to the pipe, without blocking."""
         try:
             os.write(self.fd, f"{message}\n".encode())
         except BlockingIOError:
-            pass  # nobody reads: the supervisor itself hangs
+            pass  # the pipe is full because the supervisor does not read it
         except OSError:
-            os.kill(os.getpid(), signal.SIGTERM)  # it is gone: nobody would start this one again
+            # The supervisor has exited, so no process would restart this worker.
+            os.kill(os.getpid(), signal.SIGTERM)
 
     async def send_heartbeats(self) -> None:
+        """Send heartbeats until cancelled, once the driver is attached."""
         while True:
             await asyncio.sleep(self.interval_s)
             if self.driver is not None:
@@ -93,22 +101,22 @@
 
 
 def follow_plans(settings: str, driver: Driver) -> PlanVersionLookup:
-    """Go by the feed of plans from now on; gives what holds for whom. Raises ConfigError."""
+    """Follow the feed of plans and return a lookup of the versions in force. Raises ConfigError."""
     from roadpulley.checks import ValidationError
     from roadpulley.plans.feed_watcher import FeedWatcher
     from roadpulley.plans.settings import read_settings
 
     try:
-        found = read_settings(Path(settings))
+        plans_settings = read_settings(Path(settings))
     except ValidationError as error:
         raise ConfigError(str(error)) from error
-    watch = FeedWatcher(found.feed, found.poll_interval_ms, driver, driver.timers)
-    watch.poll()
-    return watch.follower.get_versions
+    watcher = FeedWatcher(plans_settings.feed, plans_settings.poll_interval_ms, driver, driver.timers)
+    watcher.poll()
+    return watcher.follower.get_versions
 
 
 def start_metering(settings: str, name: str, driver: Driver, versions: PlanVersionLookup | None) -> Meter:
-    """Count what is sent on from now on. Raises ConfigError."""
+    """Meter forwarded requests from now on. Raises ConfigError."""
     from roadpulley.checks import ValidationError
     from roadpulley.usage.meter import Meter, look_up_unversioned
     from roadpulley.usage.settings import read_settings
@@ -124,19 +132,19 @@
 
 
 async def connect_agent(socket_path: str) -> AgentLink:
-    """The way to the instance of the fleet on this machine. Raises ConfigError."""
+    """Connect to the fleet instance on this machine. Raises ConfigError."""
     from roadpulley.fleet.agent_link import AgentLink
 
-    found = AgentLink(Path(socket_path))
+    agent_link = AgentLink(Path(socket_path))
     try:
-        await found.open()
+        await agent_link.open()
     except OSError as error:
         raise ConfigError(f"{socket_path}: {error}") from error
-    return found
+    return agent_link
 
 
 def use_fleet(agent_link: AgentLink, driver: Driver) -> None:
-    """Spend rights of its limits, and count with it, as the supervisor said."""
+    """Use the services of the fleet that the environment variables of the supervisor enable."""
     if fleet_rights := os.environ.get(RIGHTS_ENV):
         from roadpulley.fleet.orders.client import LimitSpender
         from roadpulley.fleet.orders.even_shares import EvenShares
@@ -157,6 +165,7 @@
 
 
 def follow_orders(agent_link: AgentLink, driver: Driver, follower_settings: dict[str, Any]) -> None:
+    """Apply operators' orders to the driver and its rights from now on."""
     from roadpulley.fleet.orders.client import LimitSpender, OrderClient, to_orders_changed
     from roadpulley.fleet.orders.follower import FollowerSettings
     from roadpulley.fleet.orders.messages import Order
@@ -170,10 +179,11 @@
 
 
 async def run() -> None:
+    """Serve until SIGTERM or SIGINT. Raises ConfigError."""
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     for signum in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signum, stop.set)
-    loop.add_signal_handler(signal.SIGHUP, lambda: None)  # the supervisor's
+    loop.add_signal_handler(signal.SIGHUP, lambda: None)  # only the supervisor handles SIGHUP
     config = load_gateway_config()
     meters: list[Meter] = []
     agent_link = await connect_agent(path) if (path := os.environ.get(AGENT_SOCKET_ENV)) else None
@@ -208,6 +218,7 @@
 
 
 def main() -> int:
+    """Run a worker and return its exit code: 0 after a stop, 2 for an invalid configuration."""
     log_format = (
         "%(asctime)s %(levelname)s %(name)s[" + os.environ.get("ROADPULLEY_WORKER", "?") + "]: %(message)s"
     )
