--- a/roadpulley/plans/__init__.py
+++ b/roadpulley/plans/__init__.py
@@ -1,1 +1,1 @@
-"""Plans as versioned records, changed while traffic flows. See docs/design/plans.md."""
+"""Plans as versioned records that can change under traffic. See docs/design/plans.md."""
--- a/roadpulley/plans/catalog.py
+++ b/roadpulley/plans/catalog.py
@@ -1,11 +1,14 @@
-"""The book of plans: which terms hold for whom, from when. Pure; what is written goes to the store first.
+"""The plan catalog: which terms are effective for which customer, and from when.
 
-Nothing in it is ever changed, so that use can be billed by the terms it was used under. A plan is a row of
-versions, each with the time from which it holds; at a time the one holds that began last, of two that begin
-together the one made later. A customer has the plan that its requests name, or one assigned to it, under
-overrides of single terms; both are versions of their own. What has not begun yet can be called off.
+The module is pure: callers write a version to the store before they apply it to the catalog.
 
-Times are milliseconds since 1970, by the clock of whoever asks.
+A version never changes once it is effective, so usage can be billed by the terms under which it occurred. A
+plan is a list of versions, each with a start time. The effective version is the one with the latest start
+that has passed; of two with the same start, it is the one with the higher number. A customer has the plan
+that its requests name or one that is assigned to it, plus overrides of single terms. Assignments and
+overrides are versions too. A version that is not effective yet can be cancelled.
+
+Times are milliseconds since 1970, by the clock of the caller.
 """
 
 from __future__ import annotations
@@ -17,15 +20,15 @@
 
 from .terms import TERM_NAMES, Terms
 
-MAX_AHEAD_MS = 400 * 24 * 3_600_000  # further ahead a time is more likely seconds taken for milliseconds
-START_TOLERANCE_MS = (
-    1_000  # a time that has just passed means now: clocks are apart, and commands take their time
-)
-MAX_VERSIONS = 10_000  # of one plan or customer
+# A start further ahead than this is more likely an error in the unit of time.
+MAX_AHEAD_MS = 400 * 24 * 3_600_000
+# A start at most this far in the past means now, because clocks differ and commands take time.
+START_TOLERANCE_MS = 1_000
+MAX_VERSIONS = 10_000  # per plan or customer
 
 
 class VersionConflictError(Exception):
-    """Somebody else made a version first (HTTP 412). Nothing was changed."""
+    """Another process wrote a version first (as with HTTP 412). Nothing was changed."""
 
     def __init__(self, subject: str, number: int) -> None:
         super().__init__(f"{subject} is at version {number} by now; look at it again and repeat")
@@ -34,13 +37,15 @@
 
 @dataclass(frozen=True)
 class PlanVersion:
+    """One version of the terms of a plan."""
+
     plan: str
-    number: int  # 1, 2, ...: in the order in which they were made
+    number: int  # 1, 2, ..., in the order of creation
     effective_from: int
     terms: Terms
     made_at: int
     note: str = ""
-    cancelled_at: int = 0  # when; 0: it stands
+    cancelled_at: int = 0  # time of cancellation; 0: not cancelled
 
     @property
     def subject(self) -> str:
@@ -49,15 +54,18 @@
 
 @dataclass(frozen=True)
 class CustomerVersion:
-    """An assignment (`assigns`: the plan, or "" for the one its requests name) or an override of terms."""
+    """An assignment of a plan to a customer, or an override of single terms.
+
+    `assigned_plan` is the plan's name, "" for the plan that the requests name, and None for an override.
+    """
 
     customer: str
     number: int
     effective_from: int
-    until: int  # of an override; 0: without end
+    until: int  # end of an override; 0: no end
     made_at: int
     assigned_plan: str | None = None
-    changes: tuple[tuple[str, float | int | str], ...] = ()  # by name of the term
+    changes: tuple[tuple[str, float | int | str], ...] = ()  # names and values of the overridden terms
     note: str = ""
     cancelled_at: int = 0
 
@@ -72,23 +80,25 @@
 
 @dataclass(frozen=True)
 class EffectiveTerms:
-    """What holds for a customer at a time, by the versions that use is billed under; 0: none."""
+    """The terms of a customer at a time, with the version numbers for billing; 0: no version."""
 
     plan: str
     version: int
     override: int
-    terms: Terms | None  # None: the plan is not in the book, and the deployment's own settings hold
+    terms: Terms | None  # None: the plan is not in the catalog, and the deployment's settings apply
 
 
 @dataclass
 class PlanCatalog:
+    """All versions of plans and customers, in memory."""
+
     plans: dict[str, list[PlanVersion]] = field(default_factory=dict)
     customers: dict[str, list[CustomerVersion]] = field(default_factory=dict)
 
-    # ---- what was written ----
+    # ---- stored versions ----
 
     def apply(self, version: Version) -> None:
-        """A version from the store, or one just written to it; one with a known number replaces that."""
+        """Add a version that is in the store. It replaces a version with the same number."""
         rows: list[PlanVersion] | list[CustomerVersion]
         if isinstance(version, PlanVersion):
             rows = self.plans.setdefault(version.plan, [])
@@ -99,7 +109,7 @@
         else:
             rows.append(version)  # type: ignore[arg-type]
 
-    # ---- commands: each gives the version that is to be written and then taken ----
+    # ---- commands: each returns the version that the caller writes and then applies ----
 
     def schedule(
         self,
@@ -110,7 +120,10 @@
         expect: int | None = None,
         note: str = "",
     ) -> PlanVersion:
-        """New terms of a plan, from now on or from a time. Raises ValidationError and Stale."""
+        """Create a version of a plan with new terms, effective from `at`, by default from now.
+
+        Raises ValidationError and VersionConflictError.
+        """
         rows = self.plans.get(plan, [])
         number = self._get_next_number(f"plan {plan}", len(rows), expect)
         return PlanVersion(plan, number, resolve_start_ms(now, at), terms.validate(), now, note)
@@ -124,7 +137,10 @@
         expect: int | None = None,
         note: str = "",
     ) -> CustomerVersion:
-        """Another plan for a customer; "": the one that its requests name."""
+        """Assign a plan to a customer; "" selects the plan that its requests name.
+
+        Raises ValidationError and VersionConflictError.
+        """
         start = resolve_start_ms(now, at)
         if plan and not any(v.effective_from <= start for v in get_active_versions(self.plans.get(plan, []))):
             raise ValidationError(
@@ -143,7 +159,10 @@
         expect: int | None = None,
         note: str = "",
     ) -> CustomerVersion:
-        """Single terms of one customer's own; with none of them, what was overridden ends."""
+        """Override single terms for one customer. Empty `changes` end the previous override.
+
+        Raises ValidationError and VersionConflictError.
+        """
         start = resolve_start_ms(now, at)
         if until and until <= start:
             raise ValidationError(
@@ -162,9 +181,9 @@
         return CustomerVersion(customer, number, start, until, now, changes=listed, note=note)
 
     def cancel_version(self, now: int, version: Version) -> Version:
-        """One that has not begun.
+        """Cancel a version that is not effective yet.
 
-        Raises ValidationError: what has begun is billed by, and only a new version ends it.
+        Raises ValidationError for an effective one: usage is billed by it, and only a new version ends it.
         """
         if version.cancelled_at:
             raise ValidationError(
@@ -178,6 +197,7 @@
     def get_version(
         self, rows: list[PlanVersion] | list[CustomerVersion], number: int, subject: str
     ) -> Version:
+        """Return a version by its number. Raises ValidationError for an unknown one."""
         if not 1 <= number <= len(rows):
             raise ValidationError(subject, f"has no version {number}", f"give one from 1 to {len(rows)}")
         return rows[number - 1]
@@ -189,20 +209,21 @@
             raise ValidationError(subject, f"has {last} versions", "that is the most; give it another name")
         return last + 1
 
-    # ---- questions ----
+    # ---- queries ----
 
     def get_version_at(self, plan: str, at: int) -> PlanVersion | None:
-        held = [v for v in get_active_versions(self.plans.get(plan, [])) if v.effective_from <= at]
-        return max(held, key=lambda v: (v.effective_from, v.number), default=None)
+        """Return the version of a plan that is effective at a time."""
+        started = [v for v in get_active_versions(self.plans.get(plan, [])) if v.effective_from <= at]
+        return max(started, key=lambda v: (v.effective_from, v.number), default=None)
 
     def get_effective_terms(self, customer: str, named: str, at: int) -> EffectiveTerms:
-        """What holds for a customer whose requests name this plan."""
-        held = [v for v in get_active_versions(self.customers.get(customer, [])) if v.effective_from <= at]
-        latest = sorted(held, key=lambda v: (v.effective_from, v.number), reverse=True)
+        """Return the terms at a time of a customer whose requests name the plan `named`."""
+        started = [v for v in get_active_versions(self.customers.get(customer, [])) if v.effective_from <= at]
+        latest = sorted(started, key=lambda v: (v.effective_from, v.number), reverse=True)
         plan = next((v.assigned_plan for v in latest if v.assigned_plan is not None), "") or named
         override = next((v for v in latest if v.assigned_plan is None and not 0 < v.until <= at), None)
         if override is not None and not override.changes:
-            override = None  # what was overridden ends there
+            override = None  # an override without terms ends the previous one
         version = self.get_version_at(plan, at)
         terms = version.terms if version else None
         if override is not None and terms is not None:
@@ -213,7 +234,7 @@
         )
 
     def get_change_times(self, customer: str, since: int) -> list[int]:
-        """When what holds for a customer may change, after a time."""
+        """Return the times after `since` at which the terms of a customer may change."""
         rows = get_active_versions(self.customers.get(customer, []))
         plans = {v.assigned_plan for v in rows if v.assigned_plan}
         times = {t for v in rows for t in (v.effective_from, v.until)}
@@ -222,13 +243,14 @@
 
 
 def get_active_versions(rows: list[V]) -> list[V]:
+    """Return the versions that are not cancelled."""
     return [v for v in rows if not v.cancelled_at]
 
 
 def resolve_start_ms(now: int, at: int | None) -> int:
-    """The time from which something holds.
+    """Return the start time of a new version, `now` by default.
 
-    Raises ValidationError for one that has passed: its use may be billed.
+    Raises ValidationError for a start in the past, because usage since then may be billed already.
     """
     if at is None:
         return now
--- a/roadpulley/plans/follower.py
+++ b/roadpulley/plans/follower.py
@@ -1,4 +1,4 @@
-"""One gateway follows the feed: documents and the time go in, events for the module come out. Pure."""
+"""Turns documents of the feed into plan changes for the decision module of one gateway. Pure."""
 
 from __future__ import annotations
 
@@ -11,35 +11,43 @@
 
 
 class Follower:
-    """`base`: the deployment's own plans, by name; what the feed does not know of stays as they say."""
+    """Tracks which entries of the feed are effective.
+
+    `base_plans` are the deployment's plans by name. They apply to everything that the feed doesn't contain.
+    """
 
     def __init__(self, base_plans: dict[str, api.Plan]) -> None:
-        self.base = base_plans
+        self.base_plans = base_plans
         self.document = Document(0, 0, {}, {})
-        self.last_sent: dict[tuple[str, str], api.Plan | None] = {}  # what the module was told last
+        # The last plans sent to the decision module, by kind ("plan" or "customer") and name.
+        self.last_sent: dict[tuple[str, str], api.Plan | None] = {}
         self.active_entries: dict[tuple[str, str], Entry] = {}
-        self.pending: list[tuple[int, str, str, int]] = []  # when, kind, whose, which entry
+        # A heap of scheduled entries: start, kind, name, index of the entry.
+        self.pending: list[tuple[int, str, str, int]] = []
 
-    def apply(self, now: int, doc: Document) -> list[api.PlanChanged]:
-        """A new document. One with a lower `seq` is passed over: a store that was restored knows less.
+    def apply(self, now: int, document: Document) -> list[api.PlanChanged]:
+        """Apply a new document and return the changes. One with a lower `seq` or fence is ignored.
 
-        Danger: going back to it would take back an upgrade that a customer was told of and pays for. One with
-        a lower fence is of a holder that stood still, and wrote after the one that followed it.
+        A lower `seq` comes from a store that was restored from a backup. Going back to it would revoke an
+        upgrade that was confirmed to a customer who pays for it. A lower fence comes from a publisher that
+        was paused and wrote after its successor.
         """
-        if doc.seq < self.document.seq or doc.fence < self.document.fence:
+        if document.seq < self.document.seq or document.fence < self.document.fence:
             return []
-        self.document, self.pending = doc, []
+        self.document, self.pending = document, []
         out: list[api.PlanChanged] = []
-        for kind, table in (("plan", doc.plans), ("customer", doc.customers)):
+        for kind, table in (("plan", document.plans), ("customer", document.customers)):
             for name, entries in table.items():
                 self._advance_entry(now, kind, name, entries, 0, out)
-        known = {("plan", name) for name in doc.plans} | {("customer", name) for name in doc.customers}
+        known = {("plan", name) for name in document.plans} | {
+            ("customer", name) for name in document.customers
+        }
         for kind, name in [each for each in self.last_sent if each not in known]:
-            self._emit_change(kind, name, None, out)  # in the feed no more
+            self._emit_change(kind, name, None, out)  # no longer in the feed
         return out
 
     def advance(self, now: int) -> list[api.PlanChanged]:
-        """What has begun since; call it at `next_at`."""
+        """Return the changes that are due; call it at the time of `get_next_change_ms`."""
         out: list[api.PlanChanged] = []
         while self.pending and self.pending[0][0] <= now:
             _, kind, name, number = heapq.heappop(self.pending)
@@ -48,10 +56,14 @@
         return out
 
     def get_next_change_ms(self) -> float:
+        """Return the time of the next scheduled change, infinity if there is none."""
         return self.pending[0][0] if self.pending else math.inf
 
     def get_versions(self, customer: str, named: str) -> tuple[str, int, int]:
-        """Plan, its version and the override that a try is counted under; 0: the deployment's settings."""
+        """Return the plan, its version and the override under which a try is billed.
+
+        The numbers are 0 if the deployment's settings apply.
+        """
         entry = self.active_entries.get(("customer", customer)) or self.active_entries.get(("plan", named))
         return (entry.plan, entry.version, entry.override) if entry else (named, 0, 0)
 
@@ -66,7 +78,7 @@
         number: int,
         out: list[api.PlanChanged],
     ) -> None:
-        """From an entry to the last that holds by now, and await the next."""
+        """Move from entry `number` to the last effective one, and schedule the next."""
         while number + 1 < len(entries) and entries[number + 1].effective_from <= now:
             number += 1
         entry = entries[number]
@@ -83,10 +95,10 @@
         else:
             self.active_entries.pop((kind, name), None)
         if entry is not None and entry.terms is not None:
-            called = name if kind == "plan" else entry.plan
-            plan = entry.terms.to_decision_plan(self.base.get(called) or api.Plan(called))
+            plan_name = name if kind == "plan" else entry.plan
+            plan = entry.terms.to_decision_plan(self.base_plans.get(plan_name) or api.Plan(plan_name))
         elif kind == "plan":
-            plan = self.base.get(name) or api.Plan(name)
+            plan = self.base_plans.get(name) or api.Plan(name)
         if (kind, name) in self.last_sent and self.last_sent[kind, name] == plan:
             return
         self.last_sent[kind, name] = plan
--- a/roadpulley/plans/plan_store.py
+++ b/roadpulley/plans/plan_store.py
@@ -1,4 +1,4 @@
-"""The book on disk: versions in the project's store, and the feed beside it."""
+"""The plan catalog and the reservations on disk, in a store, and the publication of the feed."""
 
 from __future__ import annotations
 
@@ -30,9 +30,10 @@
         pool: float = 0.0,
         publishes_on_write: bool = True,
     ) -> None:
-        """`pool`: units a second that may be promised on top of plans, all customers together.
+        """Load all records. Raises ValidationError for a malformed one.
 
-        `shows`: whether each change is published at once; False where another process does that.
+        `pool` is the rate in units per second that all customers together may reserve on top of their plans.
+        With `publishes_on_write`, each change is published at once; otherwise another process publishes.
         """
         self.publishes_on_write = publishes_on_write
         self.store, self.feed_file, self.now, self.catalog = store, feed_file, now, PlanCatalog()
@@ -45,26 +46,29 @@
         self.reservations.expire(now())
 
     def get_terms_timeline(self, customer: str, since: int) -> TermsTimeline:
-        """What a customer's plan gives from a time on."""
+        """Return a customer's terms from a time on, each with its start."""
         times = [since, *self.catalog.get_change_times(customer, since)]
         return tuple((at, self.catalog.get_effective_terms(customer, "", at).terms) for at in times)
 
     def reserve(self, r: Reservation) -> Reservation | Rejection:
-        """Promise it, on disk and to the gateways, or say why not. Asked again, it gives the same promise."""
+        """Write and publish a reservation, or return why it is rejected. Repeats return the same reservation.
+
+        Raises ValidationError, StoreError and OSError.
+        """
         answer = self.reservations.admit(self.now(), r)
         if isinstance(answer, Rejection) or r.id in self.reservations.by_id:
             return answer
         return self._write_reservation(answer, None)
 
     def cancel(self, id: str) -> Reservation:
+        """Cancel a reservation from now on. Raises ValidationError, StoreError and OSError."""
         known = self.store.entry(records.build_reservation_key(id))
         return self._write_reservation(self.reservations.cancel(self.now(), id), known)
 
     def _write_reservation(self, r: Reservation, known: Record | None) -> Reservation:
         try:
-            expect = (
-                known.version if known else 0
-            )  # Danger: an id that was used before would be promised twice
+            # Without the expected version, an id that was used before would be granted a second time.
+            expect = known.version if known else 0
             self.store.put(records.build_reservation_key(r.id), records.dump_reservation(r), expect=expect)
         except ConflictError as error:
             raise ValidationError("id", f"{r.id!r} is another reservation's", "give each its own") from error
@@ -73,9 +77,13 @@
         return r
 
     def write(self, version: Version) -> Version:
-        """To the store, to the book, to the gateways, in that order. Raises Stale, StoreError, OSError."""
+        """Write a version to the store, apply it to the catalog and publish the feed, in this order.
+
+        Raises VersionConflictError, StoreError and OSError.
+        """
         at = records.build_key(version)
-        expect = 0  # Danger: a version that another process made would be written over
+        # Without the expected version, the write could overwrite a version that another process created.
+        expect = 0
         if version.cancelled_at:
             known = self.store.entry(at)
             if known is None or known.value != records.dump(replace(version, cancelled_at=0)):
@@ -94,14 +102,15 @@
             self.publish()
 
     def publish(self, fence: int | None = None) -> feed.Document:
-        """Replace the feed whole; `fence`: of the holding that does it, else the one that the feed has.
+        """Replace the feed. `fence` is the fence of the publishing duty; None keeps that of the current feed.
 
-        Danger: a gateway that met half a document would drop the terms of the rest; a rename shows it the old
-        one or the new. It comes after the store is synced: what gateways go by is never lost with the disk.
+        A gateway that read a partly written document would drop the terms that are missing from it. The
+        rename makes either the old or the new document visible. The feed is published after the store is
+        synced, so that gateways never apply a version that a crash removes from the store.
         """
-        standing = self._read_feed()
+        current = self._read_feed()
         if fence is None:
-            fence = standing.fence if standing else 0
+            fence = current.fence if current else 0
         doc = feed.build_document(
             self.catalog, self.now(), self.store.version, self.reservations.get_on_top_rates, fence
         )
@@ -115,24 +124,27 @@
         return doc
 
     def needs_publishing(self, fence: int) -> bool:
-        """Whether the feed lacks something of the book, was published by another, or holds what is over."""
-        standing = self._read_feed()
-        if standing is None or standing.seq < self.store.version or standing.fence != fence:
+        """Return whether the feed is older than the store, has another fence, or has superseded entries."""
+        current = self._read_feed()
+        if current is None or current.seq < self.store.version or current.fence != fence:
             return True
-        lists = (*standing.plans.values(), *standing.customers.values())
+        lists = (*current.plans.values(), *current.customers.values())
         return any(len(rows) > 1 and rows[1].effective_from <= self.now() for rows in lists)
 
     def _read_feed(self) -> feed.Document | None:
-        """The feed as it is, None where there is none that can be read."""
+        """Return the current feed, None if it is missing or malformed."""
         try:
             return feed.load(self.feed_file.read_bytes())
         except (OSError, ValidationError):
             return None
 
     def publish_if_behind(self) -> bool:
-        """Publish where the feed is behind the store: a crash came between the two. Gives whether it was."""
-        standing = self._read_feed()
-        behind = standing is None or standing.seq < self.store.version
+        """Publish if the feed is older than the store, and return whether it was.
+
+        A crash between the write to the store and the publication leaves such a feed.
+        """
+        current = self._read_feed()
+        behind = current is None or current.seq < self.store.version
         if behind:
             self.publish()
         return behind
--- a/roadpulley/plans/terms.py
+++ b/roadpulley/plans/terms.py
@@ -1,4 +1,4 @@
-"""What a plan gives, and its checks. Amounts are units of quota, rates units a second."""
+"""The terms of a plan and their validation. Amounts are in units of quota, rates in units per second."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from mintford import interface as api
 from roadpulley.checks import Table, ValidationError, format_value
 
-MAX_AMOUNT = 1e9  # units, or units a second: what doubles count exactly to a thousandth
-MAX_SPREAD = 4_096  # gateways of one customer
+MAX_AMOUNT = 1e9  # units, or units per second; doubles are exact to a thousandth up to here
+MAX_SPREAD = 4_096  # gateways per customer
 PLAN_NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9_.-]{0,47}")
 CUSTOMER_ID_PATTERN = re.compile(r"[0-9a-f]{16}")
 PRICE_PATTERN = re.compile(r"\d{1,9}(\.\d{1,6})?")
@@ -19,10 +19,11 @@
 
 @dataclass(frozen=True)
 class Terms:
-    """0 of a rate, a burst or a limit means none.
+    """The terms of a plan. A rate, a burst or a limit of 0 means that there is none.
 
-    `price` is of 1,000 units, as decimal digits: money is never a binary fraction. `spread` is the number of
-    gateways that a customer's requests are dealt to; 0 leaves it to the client.
+    `price` is the price of 1,000 units in decimal digits, because binary fractions can't represent money
+    exactly. `spread` is the number of gateways over which a customer's requests are distributed; 0 leaves it
+    to the client.
     """
 
     rate: float = 0.0
@@ -34,7 +35,7 @@
     spread: int = 0
 
     def validate(self, path: str = "terms") -> Terms:
-        """Raises ValidationError for terms that no request could meet, or that contradict each other."""
+        """Return these terms. Raises ValidationError if no request could satisfy them or they contradict."""
         if bool(self.rate) != bool(self.burst):
             wrong = f"rate is {self.rate:g} and burst {self.burst:g}"
             raise ValidationError(path, wrong, "give both, or neither for a plan without a quota")
@@ -51,7 +52,10 @@
         return self
 
     def to_decision_plan(self, base: api.Plan) -> api.Plan:
-        """For the decision module. What requests beyond the quota earn and cost stays the deployment's."""
+        """Return the plan for the decision module.
+
+        Value and cost of requests beyond the quota are those of `base`, the deployment's plan.
+        """
         return replace(
             base,
             rate=self.rate,
@@ -66,14 +70,14 @@
 
 
 def read_terms(table: Table, base: Terms | None = None, whole: bool = False) -> Terms:
-    """Terms from a table; what it does not name is as in `base`. Raises ValidationError.
+    """Read terms from a table; missing ones are taken from `base`. Raises ValidationError.
 
-    `whole`: the table has to name all that matters, as a stored record does.
+    With `whole`, no term may be missing, as in a stored record.
     """
-    was = base or Terms()
+    defaults = base or Terms()
 
     def default(name: str) -> Any:
-        return ... if whole else getattr(was, name)
+        return ... if whole else getattr(defaults, name)
 
     terms = Terms(
         rate=table.read_number("rate", default("rate"), 0, MAX_AMOUNT),
@@ -88,6 +92,7 @@
 
 
 def read_price(table: Table, default: Any) -> str:
+    """Read a price in normalized decimal digits. Raises ValidationError."""
     text = table.read_text("price", default)
     try:
         if PRICE_PATTERN.fullmatch(text):
@@ -100,10 +105,12 @@
 
 
 def terms_to_dict(terms: Terms) -> dict[str, Any]:
+    """Return the terms as the feed and the store hold them."""
     return asdict(terms)
 
 
 def validate_plan_name(text: object, path: str = "plan") -> str:
+    """Return the name of a plan. Raises ValidationError with `path` if it is malformed."""
     if not isinstance(text, str) or not PLAN_NAME_PATTERN.fullmatch(text):
         raise ValidationError(
             path,
@@ -114,6 +121,7 @@
 
 
 def validate_customer_id(text: object, path: str = "customer") -> str:
+    """Return the id of a customer. Raises ValidationError with `path` if it is malformed."""
     if not isinstance(text, str) or not CUSTOMER_ID_PATTERN.fullmatch(text):
         raise ValidationError(
             path, f"is {format_value(text)}", "give 16 hexadecimal digits in lower case, as in its requests"
