--- a/roadpulley/plans/feed_watcher.py
+++ b/roadpulley/plans/feed_watcher.py
@@ -19,7 +19,7 @@
     """Polls the feed file. After a read error the current plans stay, and the error is logged once."""
 
     def __init__(self, path: Path, poll_interval_ms: float, driver: Driver, timers: Timers) -> None:
-        self.path, self.poll_interval_ms, self.driver, self.timers = path, poll_interval_ms, driver, timers
+        self.path, self.interval_ms, self.driver, self.timers = path, poll_interval_ms, driver, timers
         self.follower = Follower({p.name: p for p in driver.settings.plans})
         self.last_stamp: tuple[int, int, int] | None = None
         self.last_error = ""
@@ -38,7 +38,7 @@
                 log.error("plans stay as they are: %s: %s", self.path, error)
         self.apply_due_changes()
         self.timers.call_at(
-            min(now_ms() + self.poll_interval_ms, max(now_ms(), self.follower.get_next_change_ms())),
+            min(now_ms() + self.interval_ms, max(now_ms(), self.follower.get_next_change_ms())),
             self.poll,
         )
 
@@ -52,23 +52,23 @@
         stamp = (stat.st_ino, stat.st_mtime_ns, stat.st_size)
         if stamp == self.last_stamp:
             return
-        document = feed.load(self.path.read_bytes())
+        new_document = feed.load(self.path.read_bytes())
         self.last_stamp = stamp
-        if document.fence < self.follower.document.fence:
+        if new_document.fence < self.follower.document.fence:
             log.error(
                 "plans stay as they are: %s has fence %d, which is below %d",
                 self.path,
-                document.fence,
+                new_document.fence,
                 self.follower.document.fence,
             )
-        elif document.seq < self.follower.document.seq:
+        elif new_document.seq < self.follower.document.seq:
             log.error(
                 "plans stay as they are: %s has sequence number %d, which is below %d",
                 self.path,
-                document.seq,
+                new_document.seq,
                 self.follower.document.seq,
             )
-        for change in self.follower.apply(int(now_ms()), document):
+        for change in self.follower.apply(int(now_ms()), new_document):
             self.driver.handle_event(change)
         log.info("plans follow %s at %d", self.path, self.follower.document.seq)
 
--- a/roadpulley/plans/follower.py
+++ b/roadpulley/plans/follower.py
@@ -17,7 +17,7 @@
     """
 
     def __init__(self, base_plans: dict[str, api.Plan]) -> None:
-        self.base_plans = base_plans
+        self.deployment_plans = base_plans
         self.document = Document(0, 0, {}, {})
         # The last plans sent to the decision module, by kind ("plan" or "customer") and name.
         self.last_sent: dict[tuple[str, str], api.Plan | None] = {}
@@ -25,22 +25,22 @@
         # A heap of scheduled entries: start, kind, name, index of the entry.
         self.pending: list[tuple[int, str, str, int]] = []
 
-    def apply(self, now: int, document: Document) -> list[api.PlanChanged]:
+    def apply(self, now: int, new_document: Document) -> list[api.PlanChanged]:
         """Apply a new document and return the changes. One with a lower `seq` or fence is ignored.
 
         A lower `seq` comes from a store that was restored from a backup. Going back to it would revoke an
         upgrade that was confirmed to a customer who pays for it. A lower fence comes from a publisher that
         was paused and wrote after its successor.
         """
-        if document.seq < self.document.seq or document.fence < self.document.fence:
+        if new_document.seq < self.document.seq or new_document.fence < self.document.fence:
             return []
-        self.document, self.pending = document, []
+        self.document, self.pending = new_document, []
         out: list[api.PlanChanged] = []
-        for kind, table in (("plan", document.plans), ("customer", document.customers)):
+        for kind, table in (("plan", new_document.plans), ("customer", new_document.customers)):
             for name, entries in table.items():
                 self._advance_entry(now, kind, name, entries, 0, out)
-        known = {("plan", name) for name in document.plans} | {
-            ("customer", name) for name in document.customers
+        known = {("plan", name) for name in new_document.plans} | {
+            ("customer", name) for name in new_document.customers
         }
         for kind, name in [each for each in self.last_sent if each not in known]:
             self._emit_change(kind, name, None, out)  # no longer in the feed
@@ -96,9 +96,9 @@
             self.active_entries.pop((kind, name), None)
         if entry is not None and entry.terms is not None:
             plan_name = name if kind == "plan" else entry.plan
-            plan = entry.terms.to_decision_plan(self.base_plans.get(plan_name) or api.Plan(plan_name))
+            plan = entry.terms.to_decision_plan(self.deployment_plans.get(plan_name) or api.Plan(plan_name))
         elif kind == "plan":
-            plan = self.base_plans.get(name) or api.Plan(name)
+            plan = self.deployment_plans.get(name) or api.Plan(name)
         if (kind, name) in self.last_sent and self.last_sent[kind, name] == plan:
             return
         self.last_sent[kind, name] = plan
