--- a/roadpulley/usage/__init__.py
+++ b/roadpulley/usage/__init__.py
@@ -1,1 +1,1 @@
-"""Counted use: what was sent on, by customer, plan version, class and hour. See docs/design/usage.md."""
+"""Usage metering: requests, counted by customer, plan version, class and hour. See docs/design/usage.md."""
--- a/roadpulley/usage/billing_calendar.py
+++ b/roadpulley/usage/billing_calendar.py
@@ -1,4 +1,4 @@
-"""Which billing periods are over and not closed: by the calendar, in UTC. Pure."""
+"""Lists the billing periods that have ended and are not closed, by the calendar in UTC. Pure."""
 
 from __future__ import annotations
 
@@ -7,12 +7,16 @@
 
 HOUR_S = 3_600
 PERIOD_LENGTHS = ("day", "month")
-MOST_AT_ONCE = 62  # periods that one round closes, oldest first; the next round goes on
+MAX_PERIODS_PER_ROUND = 62  # a round closes the oldest; the next round continues
 
 
 @dataclass(frozen=True)
 class Calendar:
-    """`start`: the first hour that is billed, since 1970; `grace`: hours that late use is waited for."""
+    """When periods end and are closed.
+
+    `period_length` is one of PERIOD_LENGTHS. `first_hour` is the first that is billed, in hours since 1970.
+    `grace_hours` is how long late usage is awaited after the end of a period.
+    """
 
     period_length: str
     first_hour: int
@@ -21,21 +25,22 @@
 
 @dataclass(frozen=True)
 class DuePeriod:
-    """Hours since 1970, the end is the first after it."""
+    """A period to close. `start` and the exclusive `end` are in hours since 1970."""
 
     name: str
     start: int
     end: int
 
 
-def list_due_periods(calendar: Calendar, closed: int, now_hour: int) -> list[DuePeriod]:
-    """Those to close, oldest first; `closed`: the first hour that is not closed yet, 0 where none is.
+def list_due_periods(calendar: Calendar, closed_until: int, now_hour: int) -> list[DuePeriod]:
+    """Returns the periods to close, oldest first.
 
-    Danger: a period that is closed before its use has come makes all of that an adjustment.
+    `closed_until` is the first hour that is not closed yet, 0 if none is closed. If a period were closed before its
+    usage has arrived, all of that usage would become an adjustment.
     """
     found: list[DuePeriod] = []
-    at = max(calendar.first_hour, closed)
-    while len(found) < MOST_AT_ONCE:
+    at = max(calendar.first_hour, closed_until)
+    while len(found) < MAX_PERIODS_PER_ROUND:
         name, end = find_period(calendar.period_length, at)
         if end + calendar.grace_hours > now_hour:
             break
@@ -44,11 +49,11 @@
     return found
 
 
-def find_period(every: str, hour: int) -> tuple[str, int]:
-    """The name of the period that an hour is in, and the first hour after it."""
+def find_period(period_length: str, hour: int) -> tuple[str, int]:
+    """Returns the name of the period that contains the hour, and the first hour after the period."""
     at = datetime.fromtimestamp(hour * HOUR_S, UTC)
     day = at.replace(hour=0, minute=0, second=0, microsecond=0)
-    if every == "day":
+    if period_length == "day":
         name, after = f"{day:%Y-%m-%d}", day + timedelta(days=1)
     else:
         first = day.replace(day=1)
--- a/roadpulley/usage/spool.py
+++ b/roadpulley/usage/spool.py
@@ -1,6 +1,7 @@
-"""The way of batches from gateways to the books: files in a folder, written whole, removed once taken in.
+"""The spool: a folder of batch files, written atomically by gateways and removed once in the ledger.
 
-Each gateway writes its own; one process at a time takes them in. A file's name sorts by process and number.
+Each gateway writes its own files, and one process at a time collects them. File names sort by process and
+number.
 """
 
 from __future__ import annotations
@@ -18,46 +19,51 @@
 
 log = logging.getLogger(__name__)
 
-SUFFIX, PART, BAD = ".use", ".part", ".bad"
+SUFFIX = ".use"
+PARTIAL_SUFFIX = ".part"
+DAMAGED_SUFFIX = ".bad"
 
 
 def write(folder: Path, batch: Batch) -> None:
-    """On disk for sure when this returns. Raises OSError: there or not, it is to be written again."""
-    name = folder / f"{quote(batch.gateway, safe='')}-{batch.process_id}-{batch.number:012d}{SUFFIX}"
-    part = name.with_suffix(PART)
-    with part.open("wb") as file:
+    """Writes a batch durably.
+
+    Raises OSError. The file may exist even then, and the same batch has to be written again.
+    """
+    target = folder / f"{quote(batch.gateway, safe='')}-{batch.process_id}-{batch.number:012d}{SUFFIX}"
+    partial = target.with_suffix(PARTIAL_SUFFIX)
+    with partial.open("wb") as file:
         file.write(batch_format.encode_batch(batch))
         file.flush()
         os.fsync(file.fileno())
-    part.replace(name)
-    # Danger: without this a loss of power may take the name, and the gateway has forgotten the batch.
-    at = os.open(folder, os.O_RDONLY)
+    partial.replace(target)
+    # Without this fsync a power failure may lose the file name after the gateway has discarded the batch.
+    folder_fd = os.open(folder, os.O_RDONLY)
     try:
-        os.fsync(at)
+        os.fsync(folder_fd)
     finally:
-        os.close(at)
+        os.close(folder_fd)
 
 
-def collect(folder: Path, books: UsageLedger) -> tuple[int, int, int]:
-    """Take in what is there; gives batches that were new, known already, and that can't be read.
+def collect(folder: Path, ledger: UsageLedger) -> tuple[int, int, int]:
+    """Adds the files to the ledger. Returns how many were new, known already, and damaged.
 
-    A file goes once the store has it. What can't be read is set aside under another name, never removed. One
-    that comes before its predecessor waits for the next time.
+    A file is removed once the store has its batch. A damaged file is renamed and never removed. A file that
+    arrives before its predecessor is left for the next call. Raises StoreError, OSError.
     """
-    new = known = bad = 0
+    added = known = damaged = 0
     for file in sorted(folder.glob(f"*{SUFFIX}")):
         try:
             batch = batch_format.decode_batch(file.read_bytes())
         except ValidationError as error:
-            log.error("%s is set aside: %s", file.name, error)
-            file.replace(file.with_suffix(BAD))
-            bad += 1
+            log.error("%s is damaged and was renamed: %s", file.name, error)
+            file.replace(file.with_suffix(DAMAGED_SUFFIX))
+            damaged += 1
             continue
         try:
-            taken = books.ingest(batch)
+            result = ledger.ingest(batch)
         except ValidationError as error:
-            log.warning("%s waits: %s", file.name, error)
+            log.warning("%s is left for the next collection: %s", file.name, error)
             continue
-        new, known = new + taken.is_new, known + (not taken.is_new)
+        added, known = added + result.is_new, known + (not result.is_new)
         file.unlink()
-    return new, known, bad
+    return added, known, damaged
