--- a/roadpulley/usage/batch_format.py
+++ b/roadpulley/usage/batch_format.py
@@ -44,7 +44,7 @@
 
 
 def decode_batch(data: bytes) -> Batch:
-    """Raises ValidationError, with the location, for a truncated or altered batch; nothing of it may be used."""
+    """Raises ValidationError for a truncated or altered batch. Nothing of it may be used."""
     if len(data) > MAX_BATCH_BYTES:
         raise ValidationError("", f"has {len(data):,} bytes", f"a batch has {MAX_BATCH_BYTES:,} at most")
     body, prefix, digest = data.rpartition(DIGEST_PREFIX)
@@ -70,7 +70,9 @@
     )
     if table.read_int("rows", maximum=MAX_BATCH_ROWS) != len(batch.rows) or len(rows) != len(batch.rows):
         raise ValidationError(
-            "line 1.rows", f"is {head['rows']}, but there are {len(batch.rows)}", "give each row once"
+            "line 1.rows",
+            f"is {head['rows']}, but {len(batch.rows)} different rows follow",
+            "give each row once",
         )
     table.reject_unknown_keys()
     return batch
--- a/roadpulley/usage/billing_calendar.py
+++ b/roadpulley/usage/billing_calendar.py
@@ -35,8 +35,8 @@
 def list_due_periods(calendar: Calendar, closed_until: int, now_hour: int) -> list[DuePeriod]:
     """Returns the periods to close, oldest first.
 
-    `closed_until` is the first hour that is not closed yet, 0 if none is closed. If a period were closed before its
-    usage has arrived, all of that usage would become an adjustment.
+    `closed_until` is the first hour that is not closed yet, 0 if none is closed. If a period were closed
+    before its usage has arrived, all of that usage would become an adjustment.
     """
     found: list[DuePeriod] = []
     at = max(calendar.first_hour, closed_until)
--- a/roadpulley/usage/ledger.py
+++ b/roadpulley/usage/ledger.py
@@ -54,11 +54,11 @@
         if batch.number != last + 1:
             process = f"{batch.gateway} {batch.process_id}"
             raise ValidationError(
-                process, f"batch {batch.number} arrived before {last + 1}", "add them in order"
+                process, f"batch {batch.number} arrived, but {last + 1} has not", "add them in order"
             )
         closed, late, writes = self.closed_until(), 0, [Write(process_key, b"%d" % batch.number)]
         for row, delta in batch.rows.items():
-            # The rows of a closed hour are sealed and billed and must not change. Late usage has its own rows.
+            # The rows of a closed hour are sealed and must not change. Late usage has its own rows.
             key = encode_row_key(row, b"adjust" if row.hour < closed else b"row")
             late += row.hour < closed
             total = self._read_totals(key)
--- a/roadpulley/usage/periods.py
+++ b/roadpulley/usage/periods.py
@@ -1,11 +1,11 @@
 """Billing periods: closed once, sealed by a digest, corrected by signed adjustments. Pure but for the store.
 
-    use/period/NAME              {"start", "end", "lines", "digest", "closed_at"}: hours, `end` is not in it
-    use/adjustment/NAME/NUMBER   {"made_at", "lines": [...], "signature"}: 1, 2, ... without a gap
+    use/period/NAME              {"start", "end", "lines", "digest", "closed_at"}: hours; `end` is exclusive
+    use/adjustment/NAME/NUMBER   {"made_at", "lines": [...], "signature"}: 1, 2, ... without gaps
 
-A period's lines are the sums of its hours, in the order of their keys; as their hours are closed they come
-out the same, byte for byte, for ever, and the digest says so. What came too late is moved out of `use/adjust`
-into an adjustment in one write of the store, so that each correction is in one adjustment and in one only.
+The lines of a period are the totals of its hours, in the order of their keys. As these hours are closed, the
+lines are always the same, byte for byte, which the digest proves. Late usage is moved from `use/adjust` into
+an adjustment in one atomic write, so that each correction is in exactly one adjustment.
 """
 
 from __future__ import annotations
@@ -25,73 +25,78 @@
 from .accumulator import MILLIUNITS_PER_UNIT, UsageKey, UsageTotals
 from .ledger import CLOSED_KEY, UsageLedger, encode_row_key
 
-NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,31}")
-HEAD = ("hour", "customer", "plan", "version", "override", "class", "tries", "units")
-KEY_BYTES = 32  # of the signing key at the least
+PERIOD_NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,31}")
+CSV_HEADER = ("hour", "customer", "plan", "version", "override", "class", "tries", "units")
+MIN_KEY_BYTES = 32  # of the signing key
 
 
 @dataclass(frozen=True)
 class Period:
-    """Hours since 1970."""
+    """A closed period. `start` and the exclusive `end` are in hours since 1970."""
 
     name: str
     start: int
     end: int
     lines: int
-    digest: str  # SHA-256 of its lines as `table` writes them
+    digest: str  # SHA-256 of its lines, as `encode_csv` writes them
     closed_at: int
 
 
 @dataclass(frozen=True)
 class Adjustment:
+    """Signed corrections of a period: usage that arrived after the period was closed."""
+
     period: str
     number: int
     created_at_ms: int
     lines: tuple[tuple[str, ...], ...]
-    signature: str  # HMAC-SHA256 of period, number, time and lines
+    signature: str  # HMAC-SHA256 of period, number, time and lines, in hexadecimal
 
 
 class BillingPeriods:
+    """The closed periods in the store of a ledger."""
+
     def __init__(self, ledger: UsageLedger) -> None:
         self.ledger, self.store = ledger, ledger.store
 
     def list_all(self) -> list[Period]:
+        """Returns the closed periods in the order of their hours."""
         rows = self.store.scan(b"use/period/")
         found = [Period(r.key.decode().rpartition("/")[2], **json.loads(r.value)) for r in rows]
         return sorted(found, key=lambda p: p.start)
 
     def find(self, name: str) -> Period:
+        """Raises ValidationError if no closed period has this name."""
         for period in self.list_all():
             if period.name == name:
                 return period
         known = ", ".join(p.name for p in self.list_all()) or "none yet"
         raise ValidationError("period", f"{name!r} is not closed", f"the closed ones are: {known}")
 
-    def close(self, name: str, start: int, end: int, now_hour: int, now: int) -> Period:
-        """Close the hours of a period and seal it; again it gives the same. Raises ValidationError, and
-        StoreError.
+    def close(self, name: str, start: int, end: int, now_hour: int, now_ms: int) -> Period:
+        """Closes the hours of a period and seals it. Closing it again returns the same period.
 
-        Danger: a crash between closing the hours and the seal would let a late batch change what is sealed;
-        both are one write.
+        The hours are closed and the seal is stored in one write: a crash between two writes would let a late
+        batch change what is sealed. Raises ValidationError, StoreError.
         """
         for known in self.list_all():
             if known.name == name and (known.start, known.end) == (start, end):
                 return known
             if known.name == name or (start < known.end and known.start < end):
-                wrong = (
+                conflict = (
                     f"{name!r} from hour {start} to {end} meets {known.name!r}, {known.start} to {known.end}"
                 )
                 raise ValidationError(
-                    "period", wrong, "each hour belongs to one period, and each name to one"
+                    "period", conflict, "each hour belongs to one period, and each name to one"
                 )
-        if not NAME.fullmatch(name):
+        if not PERIOD_NAME.fullmatch(name):
             raise ValidationError("period", f"is {name!r}", "give 1 to 32 of a-z, 0-9 and '-'")
         if not start < end <= now_hour:
             raise ValidationError(
                 "period", f"runs from hour {start} to {end}, and it is {now_hour}", "close it once it is over"
             )
         lines = self._lines(start, end)
-        period = Period(name, start, end, len(lines), digest(lines), now)
+        period = Period(name, start, end, len(lines), compute_digest(lines), now_ms)
         value = {k: v for k, v in asdict(period).items() if k != "name"}
         writes = [Write(b"use/period/" + name.encode(), json.dumps(value).encode(), expect=0)]
         if end > self.ledger.closed_until():
@@ -100,31 +105,37 @@
         return period
 
     def read_lines(self, period: Period) -> list[tuple[str, ...]]:
-        """As they were when it was closed.
+        """Returns the lines of a period, verified against its digest.
 
-        Raises ValidationError if not: another hand has changed the store.
+        Raises ValidationError if they differ, as something else has changed the store.
         """
         lines = self._lines(period.start, period.end)
-        if len(lines) != period.lines or digest(lines) != period.digest:
-            right = "restore the store from a backup; nothing is exported"
-            raise ValidationError(f"period {period.name}", "its lines are not those that were sealed", right)
+        if len(lines) != period.lines or compute_digest(lines) != period.digest:
+            hint = "restore the store from a backup; nothing is exported"
+            raise ValidationError(f"period {period.name}", "its lines are not those that were sealed", hint)
         return lines
 
-    def create_adjustment(self, period: Period, key: bytes, now: int) -> Adjustment | None:
-        """What came for its hours after it was closed, as a further adjustment; None where nothing did."""
+    def create_adjustment(self, period: Period, key: bytes, now_ms: int) -> Adjustment | None:
+        """Moves late usage of the period into a new adjustment. Returns None if there is none.
+
+        Raises ValidationError for a short key, StoreError.
+        """
         rows = list(self.ledger.rows(b"adjust", period.start, period.end))
         if not rows:
             return None
         number = len(self.list_adjustments(period)) + 1
         lines = tuple(format_line(row, total) for row, total in rows)
-        made = Adjustment(period.name, number, now, lines, sign(key, period.name, number, now, lines))
-        value = {"made_at": now, "lines": lines, "signature": made.signature}
-        at = b"use/adjustment/%b/%08d" % (period.name.encode(), number)
+        adjustment = Adjustment(
+            period.name, number, now_ms, lines, sign(key, period.name, number, now_ms, lines)
+        )
+        value = {"made_at": now_ms, "lines": lines, "signature": adjustment.signature}
+        adjustment_key = b"use/adjustment/%b/%08d" % (period.name.encode(), number)
         moved = [Write(encode_row_key(row, b"adjust"), None) for row, _ in rows]
-        self.store.batch([Write(at, json.dumps(value).encode(), expect=0), *moved])
-        return made
+        self.store.batch([Write(adjustment_key, json.dumps(value).encode(), expect=0), *moved])
+        return adjustment
 
     def list_adjustments(self, period: Period) -> list[Adjustment]:
+        """Returns the adjustments of a period by number."""
         found = []
         for record in self.store.scan(b"use/adjustment/" + period.name.encode() + b"/"):
             raw, number = json.loads(record.value), int(record.key.rpartition(b"/")[2])
@@ -137,7 +148,7 @@
 
 
 def format_line(row: UsageKey, total: UsageTotals) -> tuple[str, ...]:
-    """Units as decimal digits with three places: the same text on every machine."""
+    """Returns the columns of CSV_HEADER. Units have three decimals, formatted without floats."""
     units = (
         f"{'-' if total.units < 0 else ''}{abs(total.units) // MILLIUNITS_PER_UNIT}"
         f".{abs(total.units) % MILLIUNITS_PER_UNIT:03d}"
@@ -155,26 +166,32 @@
 
 
 def encode_csv(lines: Iterable[tuple[str, ...]]) -> bytes:
-    """CSV (RFC 4180) with a head; the same lines give the same bytes."""
+    """Returns CSV (RFC 4180) with a header. The same lines always give the same bytes."""
     out = io.StringIO(newline="")
     writer = csv.writer(out)
-    writer.writerow(HEAD)
+    writer.writerow(CSV_HEADER)
     writer.writerows(lines)
     return out.getvalue().encode()
 
 
-def digest(lines: list[tuple[str, ...]]) -> str:
+def compute_digest(lines: list[tuple[str, ...]]) -> str:
+    """Returns the SHA-256 of the CSV, in hexadecimal."""
     return hashlib.sha256(encode_csv(lines)).hexdigest()
 
 
 def sign(key: bytes, period: str, number: int, made_at: int, lines: tuple[tuple[str, ...], ...]) -> str:
-    if len(key) < KEY_BYTES:
+    """Returns the HMAC-SHA256 of an adjustment, in hexadecimal. Raises ValidationError for a short key."""
+    if len(key) < MIN_KEY_BYTES:
         raise ValidationError(
-            "key", f"has {len(key)} bytes", f"give {KEY_BYTES} or more, such as `openssl rand 32` makes"
+            "key", f"has {len(key)} bytes", f"give {MIN_KEY_BYTES} or more, such as `openssl rand 32` makes"
         )
     head = f"{period}\n{number}\n{made_at}\n".encode()
     return hmac.new(key, head + encode_csv(lines), hashlib.sha256).hexdigest()
 
 
-def is_signature_valid(key: bytes, a: Adjustment) -> bool:
-    return hmac.compare_digest(a.signature, sign(key, a.period, a.number, a.created_at_ms, a.lines))
+def is_signature_valid(key: bytes, adjustment: Adjustment) -> bool:
+    """Compares in constant time. Raises ValidationError for a short key."""
+    return hmac.compare_digest(
+        adjustment.signature,
+        sign(key, adjustment.period, adjustment.number, adjustment.created_at_ms, adjustment.lines),
+    )
--- a/roadpulley/usage/settings.py
+++ b/roadpulley/usage/settings.py
@@ -1,4 +1,4 @@
-"""`deploy/usage.toml`: where the books and the spool are."""
+"""Reads `deploy/usage.toml`: the paths of the ledger and the spool, the billing sink, and the calendar."""
 
 from __future__ import annotations
 
@@ -14,19 +14,22 @@
 
 @dataclass(frozen=True)
 class UsageSettings:
-    store: Path
+    """Settings of usage metering and billing. Optional settings are None or empty."""
+
+    store: Path  # of the ledger
     spool: Path
-    key: Path | None  # a file with the key that adjustments are signed with
-    sink: str  # the address that billing files are pushed under; "": none
-    token: Path | None  # a file with what the sink knows this installation by
+    key: Path | None  # a file with the key that signs adjustments
+    sink: str  # the base URL that billing files are pushed to, "" if there is none
+    token: Path | None  # a file with the bearer token that the sink identifies this installation by
     timeout_s: float  # of one push with its answer
-    fleet: Path | None = None  # its settings, where an instance of a fleet pushes
-    calendar: Calendar | None = None  # by which periods are closed, where an instance of a fleet does it
+    fleet: Path | None = None  # settings of the fleet, if one of its instances pushes
+    calendar: Calendar | None = None  # if an instance of the fleet closes the periods
 
 
 def read_calendar(table: Table) -> Calendar:
-    every, text = table.read_text("every", choices=PERIOD_LENGTHS), table.read_text("from")
-    grace = table.read_int("grace_h", 2, 0, 24 * 31)
+    """Raises ValidationError with the path of the key."""
+    period_length, text = table.read_text("every", choices=PERIOD_LENGTHS), table.read_text("from")
+    grace_hours = table.read_int("grace_h", 2, 0, 24 * 31)
     table.reject_unknown_keys()
     try:
         start = datetime.strptime(text, "%Y-%m-%dT%H").replace(tzinfo=UTC)
@@ -34,11 +37,11 @@
         raise ValidationError(
             table.path_of("from"), f"is {text!r}", "give an hour in UTC, as 2027-01-01T00"
         ) from error
-    return Calendar(every, int(start.timestamp()) // HOUR_S, grace)
+    return Calendar(period_length, int(start.timestamp()) // HOUR_S, grace_hours)
 
 
 def read_settings(path: Path) -> UsageSettings:
-    """Paths are relative to the file. Raises ValidationError with the file and the key."""
+    """Reads a file; paths are relative to it. Raises ValidationError with the file and the key."""
 
     def read(raw: dict[str, Any]) -> UsageSettings:
         table = Table(raw)
@@ -49,7 +52,7 @@
             raise ValidationError(
                 sink.path_of("url"), f"is {url!r}", "give an address that begins with https:// or http://"
             )
-        # Under half of a lease: a push that is still out when the lease ends could cross another exporter's.
+        # At most half of a lease, as a push that outlasts the lease could overlap with another exporter's.
         timeout_s = sink.read_number("timeout_s", 10.0, 0.1, 15.0)
         sink.reject_unknown_keys()
         calendar = read_calendar(table.read_table("close")) if table.has("close") else None
--- a/tests/usage/test_exporter_model.py
+++ b/tests/usage/test_exporter_model.py
@@ -176,35 +176,35 @@
 class NoDigest(Exporter):
     """Takes any receipt."""
 
-    def on_response(self, status: int | None, receipt: Receipt | None, why: str = "") -> exporter.Action:
+    def on_response(self, status: int | None, receipt: Receipt | None, reason: str = "") -> exporter.Action:
         document = self.pending[0]
         if receipt is not None:
             receipt = Receipt(document.key, document.digest)
-        return super().on_response(status, receipt, why)
+        return super().on_response(status, receipt, reason)
 
 
 class Hasty(Exporter):
     """Keeps a receipt for an answer that did not come."""
 
-    def on_response(self, status: int | None, receipt: Receipt | None, why: str = "") -> exporter.Action:
+    def on_response(self, status: int | None, receipt: Receipt | None, reason: str = "") -> exporter.Action:
         document = self.pending[0]
-        return super().on_response(200, Receipt(document.key, document.digest), why)
+        return super().on_response(200, Receipt(document.key, document.digest), reason)
 
 
 class OldList(Exporter):
     """Goes by what was left before it had the lease."""
 
-    def on_lease_result(self, taken: Lease | None, left: list[Document]) -> exporter.Action:
-        return super().on_lease_result(taken, self.pending)
+    def on_lease_result(self, written_lease: Lease | None, remaining: list[Document]) -> exporter.Action:
+        return super().on_lease_result(written_lease, self.pending)
 
 
 class SameFence(Exporter):
     """Takes over with the fence of the one before."""
 
-    def start_round(self, now: int, lease: Lease | None, left: list[Document]) -> exporter.Action:
-        action = super().start_round(now, lease, left)
+    def start_round(self, now: int, lease: Lease | None, remaining: list[Document]) -> exporter.Action:
+        action = super().start_round(now, lease, remaining)
         if isinstance(action, AcquireLease) and lease is not None:
-            return AcquireLease(replace(action.lease, fence=lease.fence), action.over)
+            return AcquireLease(replace(action.lease, fence=lease.fence), action.expected)
         return action
 
 
@@ -235,7 +235,7 @@
 def test_failures_wait_ever_longer_and_a_refusal_is_parked_with_its_reason() -> None:
     x = Exporter("x", Lease("x", 3, 10**9), 0, list(DOCS))
     waits = [x.on_response(503, None) for _ in range(9)]
-    assert [w.ms for w in waits if isinstance(w, Wait)] == [500 * 2**n for n in range(7)] + [60_000] * 2
+    assert [w.delay_ms for w in waits if isinstance(w, Wait)] == [500 * 2**n for n in range(7)] + [60_000] * 2
     assert x.on_response(422, None, "another payload") == ParkDocument(
         DOCS[0], "another payload", Lease("x", 3, 10**9)
     )
