--- a/roadpulley/store/format.py
+++ b/roadpulley/store/format.py
@@ -1,15 +1,17 @@
-"""The bytes on disk: segments of frames, hints, the manifest. Pure; docs/design/store-format.md is the page.
- All numbers are little-endian. Every check is a CRC-32 that starts from the segment's salt, so that a frame
-kept as a value (a backup of another store, say) never passes for one of the segment's own.
+"""The on-disk format: segments of frames, hint files, the manifest. Pure; see docs/design/store-format.md.
+
+All integers are little-endian. Checksums of frames and records are CRC-32 seeded with the segment's salt, so
+that a frame stored inside a value (a backup of another store, say) is never taken for one of the segment.
 
     segment  = header frame*
     header   = "RPSG" format:u16 0:u16 number:u64 salt:u32 crc:u32                        24 bytes
     frame    = "RPFR" length:u32 count:u32 version:u64 durable:u64 body_crc:u32 crc:u32   36 bytes, and body
     body     = record{count}, `length` bytes together
     record   = kind:u8 key_length:u16 value_length:u32 version:u64 crc:u32 key value      19 bytes and these
- A frame is one batch: it counts wholly or not at all. `version` is its batch's place in the order of all
-batches, and `durable` the last version that was known to be synced when the frame was written. A frame
-without records is a mark: it says `durable` and nothing else.
+
+A frame is one batch and is applied as a whole or not at all. `version` is the batch's sequence number, and
+`durable` the last version known to be synced when the frame was written. A frame without records is a mark:
+it only carries `durable`.
 """
 
 from __future__ import annotations
@@ -25,37 +27,38 @@
 SEGMENT_HEADER = struct.Struct("<4sHHQII")
 FRAME_HEADER = struct.Struct("<4sIIQQII")
 RECORD_HEADER = struct.Struct("<BHIQI")
-HINT_HEADER = struct.Struct(
-    "<4sHHQQII"
-)  # magic, format, 0, segment, its length, entries, crc of these and of all that follows
-HINT_ENTRY = struct.Struct(
-    "<BHIQQ"
-)  # kind, key length, value length, version, offset of the record; then the key
+# Magic, format, 0, segment, its length, number of entries, and a checksum of these and of all entries.
+HINT_HEADER = struct.Struct("<4sHHQQII")
+# Kind, key length, value length, version and offset of the record. The key follows.
+HINT_ENTRY = struct.Struct("<BHIQQ")
 PUT, DELETE = 1, 2
 MAX_KEY_BYTES = 0xFFFF
 MAX_VALUE_BYTES = 64 * 1024 * 1024
-MAX_BATCH_BYTES = 128 * 1024 * 1024  # of a batch: it is held in memory more than once while it is written
+# Bounds memory: several copies of a batch exist while it is written.
+MAX_BATCH_BYTES = 128 * 1024 * 1024
 
 
 class UnreadableError(Exception):
-    """Bytes that are not what the format says. The text says what is wrong, in a few words."""
+    """Bytes violate the format. The text names the violation."""
 
 
 class NewerFormatError(UnreadableError):
-    """Written by a later format: nothing is wrong with it, and this program must keep its hands off."""
+    """A file was written in a newer format. It is not damaged, and this program must not change it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Record:
+    """A key, its value and the version of the batch that wrote it."""
+
     kind: int  # PUT or DELETE
     key: bytes
-    value: bytes  # empty where it is deleted
+    value: bytes  # empty for a deletion
     version: int
 
 
 @dataclass(frozen=True, slots=True)
 class FrameHeader:
-    """Of a frame."""
+    """The header of a frame."""
 
     length: int
     count: int
@@ -70,12 +73,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordMetadata:
-    """Where a record stands, and what is known of it without reading it."""
+    """A record's offset in its segment and its fields without the value."""
 
     kind: int
     key: bytes
     version: int
-    offset: int  # of the record
+    offset: int  # of the record in the segment
     value_length: int
 
     @property
@@ -92,7 +95,7 @@
 
 
 def read_header(data: bytes, number: int) -> int:
-    """A segment's salt. Raises UnreadableError."""
+    """Check a segment's header and return its salt. Raises UnreadableError."""
     if len(data) < SEGMENT_HEADER.size:
         raise UnreadableError(f"its header has {len(data)} of {SEGMENT_HEADER.size} bytes")
     magic, form, _, named, salt, crc = SEGMENT_HEADER.unpack_from(data)
@@ -101,7 +104,7 @@
     if form != FORMAT_VERSION:
         raise NewerFormatError(f"it has format {form}; this program reads format {FORMAT_VERSION}")
     if zlib.crc32(data[: SEGMENT_HEADER.size - 4]) != crc:
-        raise UnreadableError("its header's checksum does not fit")
+        raise UnreadableError("the header's checksum does not match")
     if named != number:
         raise UnreadableError(f"it says that it is segment {named}")
     return int(salt)
@@ -117,7 +120,7 @@
 
 
 def pack_frame(records: list[Record], version: int, durable: int, salt: int) -> bytes:
-    """One batch. `records` may have versions of their own: those that were copied from elsewhere."""
+    """Pack one batch. Records copied by compaction keep their own versions."""
     body = b"".join(pack_record(record, salt) for record in records)
     head = FRAME_HEADER.pack(
         FRAME_MAGIC, len(body), len(records), version, durable, zlib.crc32(body, salt), 0
@@ -130,45 +133,45 @@
 
 
 def read_frame_header(data: bytes | memoryview, salt: int) -> FrameHeader:
-    """Raises UnreadableError."""
+    """Parse and check a frame's header. Raises UnreadableError."""
     if len(data) < FRAME_HEADER.size:
-        raise UnreadableError(f"a frame's head has {len(data)} of {FRAME_HEADER.size} bytes")
+        raise UnreadableError(f"a frame's header has {len(data)} of {FRAME_HEADER.size} bytes")
     magic, length, count, version, durable, body_crc, crc = FRAME_HEADER.unpack_from(data)
     if magic != FRAME_MAGIC:
         raise UnreadableError("no frame begins here")
     if zlib.crc32(bytes(data[: FRAME_HEADER.size - 4]), salt) != crc:
-        raise UnreadableError("a frame's head has a checksum that does not fit")
+        raise UnreadableError("a frame's header has a checksum that does not match")
     return FrameHeader(length, count, version, durable, body_crc)
 
 
 def unpack_metadata(head: FrameHeader, body: bytes, offset: int, salt: int) -> list[RecordMetadata]:
-    """The records of a frame whose body begins at an offset. Raises UnreadableError."""
+    """Parse the records of a frame whose body begins at `offset`. Raises UnreadableError."""
     if len(body) != head.length:
         raise UnreadableError(f"a frame has {len(body)} of {head.length} bytes")
     if zlib.crc32(body, salt) != head.body_crc:
-        raise UnreadableError("a frame's checksum does not fit")
+        raise UnreadableError("a frame's checksum does not match")
     found, at = [], 0
     for _ in range(head.count):
         if at + RECORD_HEADER.size > len(body):
-            raise UnreadableError("a frame's records do not fill it as it says")
+            raise UnreadableError("a frame's records do not add up to its length")
         kind, key_length, value_length, version, _ = RECORD_HEADER.unpack_from(body, at)
         key = body[at + RECORD_HEADER.size : at + RECORD_HEADER.size + key_length]
         found.append(RecordMetadata(kind, key, version, offset + at, value_length))
         at += RECORD_HEADER.size + key_length + value_length
     if at != len(body):
-        raise UnreadableError("a frame's records do not fill it as it says")
+        raise UnreadableError("a frame's records do not add up to its length")
     return found
 
 
 def read_record(data: bytes, salt: int) -> Record:
-    """A whole record as it stands on disk. Raises UnreadableError."""
+    """Parse a whole record and check its checksum. Raises UnreadableError."""
     if len(data) < RECORD_HEADER.size:
-        raise UnreadableError(f"a record has {len(data)} bytes, fewer than its head")
+        raise UnreadableError(f"a record has {len(data)} bytes, fewer than its header")
     kind, key_length, value_length, version, crc = RECORD_HEADER.unpack_from(data)
     if len(data) != RECORD_HEADER.size + key_length + value_length:
-        raise UnreadableError(f"a record has {len(data)} bytes, and says otherwise")
+        raise UnreadableError(f"a record has {len(data)} bytes, which contradicts its header")
     if zlib.crc32(data[RECORD_HEADER.size :], zlib.crc32(data[: RECORD_HEADER.size - 4], salt)) != crc:
-        raise UnreadableError("a record's checksum does not fit")
+        raise UnreadableError("a record's checksum does not match")
     split = RECORD_HEADER.size + key_length
     return Record(kind, data[RECORD_HEADER.size : split], data[split:], version)
 
@@ -177,7 +180,7 @@
 
 
 class Hint:
-    """What opening needs of a segment, without its values; gathered as the segment is written."""
+    """Metadata of a segment's records, so that opening need not read the values. Built as it is written."""
 
     __slots__ = ("count", "entries")
 
@@ -195,16 +198,16 @@
 
 
 def read_hint(data: bytes, number: int, length: int) -> list[RecordMetadata]:
-    """The records of a sealed segment of this number and length. Raises UnreadableError."""
+    """Parse the hint file of a sealed segment of this number and length. Raises UnreadableError."""
     if len(data) < HINT_HEADER.size:
         raise UnreadableError(f"its header has {len(data)} of {HINT_HEADER.size} bytes")
     magic, form, _, named, of_length, count, crc = HINT_HEADER.unpack_from(data)
     if magic != HINT_MAGIC or form != FORMAT_VERSION:
-        raise UnreadableError("it is no hint of this format")
+        raise UnreadableError("it is not a hint file of this format")
     if (named, of_length) != (number, length):
-        raise UnreadableError("it is of another segment")
+        raise UnreadableError("it belongs to another segment")
     if zlib.crc32(memoryview(data)[HINT_HEADER.size :], zlib.crc32(data[: HINT_HEADER.size - 4])) != crc:
-        raise UnreadableError("its checksum does not fit")
+        raise UnreadableError("its checksum does not match")
     found, at = [], HINT_HEADER.size
     unpack, size = HINT_ENTRY.unpack_from, HINT_ENTRY.size
     for _ in range(count):
@@ -219,22 +222,22 @@
 
 @dataclass(frozen=True)
 class SealedSegment:
-    """A segment that is never written again."""
+    """A segment that is no longer written to."""
 
     number: int
-    length: int  # bytes that count; what follows them was cut off
-    first: int  # the lowest and the highest version in it
-    last: int
+    length: int  # bytes in use; later bytes in the file are ignored
+    first: int  # the lowest version in it
+    last: int  # the highest version in it
 
 
 @dataclass(frozen=True)
 class Manifest:
-    """Which segments count. Replaced as a whole."""
+    """The list of live segments. It is replaced atomically."""
 
     sealed: tuple[SealedSegment, ...]
-    active: int  # the number of the segment that is written
+    active: int  # the number of the segment that is written to
     next_number: int
-    version: int  # the last one that the active segment does not hold; it may have been compacted away
+    version: int  # the last one before the active segment; compaction may have removed it
 
     def pack(self) -> bytes:
         text = json.dumps({"format": FORMAT_VERSION, **asdict(self)}, indent=1).encode()
@@ -242,10 +245,10 @@
 
     @classmethod
     def read(cls, data: bytes) -> Manifest:
-        """Raises UnreadableError."""
+        """Parse a manifest. Raises UnreadableError, ValueError, KeyError, TypeError."""
         crc, newline, text = data.partition(b"\n")
         if not newline or crc != b"%08x" % zlib.crc32(text):
-            raise UnreadableError("its checksum does not fit")
+            raise UnreadableError("its checksum does not match")
         raw = json.loads(text)
         if raw["format"] != FORMAT_VERSION:
             raise NewerFormatError(
@@ -268,13 +271,13 @@
 
 
 def parse_number(name: str, suffix: str) -> int | None:
-    """Of a file's name; None if it is none of ours."""
+    """Return the segment number in a file name, or None if the name is not of the store."""
     stem = name.removesuffix(suffix)
     return int(stem) if name.endswith(suffix) and len(stem) == 8 and stem.isdecimal() else None
 
 
 def find_frames(data: bytes, offset: int, salt: int) -> Iterator[tuple[int, FrameHeader]]:
-    """Whole frames anywhere from an offset on, found by their magic: what follows damage."""
+    """Search for intact frames by their magic from an offset on, to find frames after damage."""
     at = data.find(FRAME_MAGIC, offset)
     while at >= 0:
         try:
--- a/roadpulley/store/index.py
+++ b/roadpulley/store/index.py
@@ -36,9 +36,8 @@
 
     def __init__(self, keys: Iterable[tuple[bytes, int]] = ()) -> None:
         self.locations: Any = SortedDict(keys)
-        self.history: dict[
-            bytes, list[tuple[int, int | None]]
-        ] = {}  # by key: (version of the replacing write, previous location)
+        # By key: the version of each replacing write, and the location that it replaced.
+        self.history: dict[bytes, list[tuple[int, int | None]]] = {}
         self.snapshots: Counter[int] = Counter()  # number of open snapshots, by version
 
     def set(self, key: bytes, location: int | None, version: int) -> int | None:
--- a/roadpulley/store/store.py
+++ b/roadpulley/store/store.py
@@ -1,6 +1,7 @@
-"""The store: a log of batches on disk, an index of it in memory. See docs/design/store.md.
- A write is acknowledged once its bytes are synced; those that wait meanwhile are written and synced
-together. All calls may come from any thread, and wait for the disk: on an event loop use
+"""The store: a log of batches on disk with an in-memory index. See docs/design/store.md.
+
+A write is acknowledged once its bytes are synced. Batches that queue up during a sync are written and synced
+together (group commit). All calls are thread-safe and block on the disk; on an event loop use
 `roadpulley.store.aio`.
 """
 
@@ -25,35 +26,36 @@
 
 log = logging.getLogger(__name__)
 
-GROUP_BYTES = 8 * 1024 * 1024  # of one write and sync: those that wait longer go with the next
+# Maximum size of a group commit. Further batches go into the next group.
+MAX_GROUP_BYTES = 8 * 1024 * 1024
 
 
 class Store:
-    """Open one with `Store.open`; one process at a time has a folder."""
+    """A store, opened with `Store.open`. Only one process at a time can open a folder."""
 
     def __init__(self, files: Files, options: Options) -> None:
         self.files, self.options = files, options
-        self.lock = threading.Lock()  # of the index, the segments' books and the queue
-        self.committing = threading.Lock()  # held by the one that writes
+        self.lock = threading.Lock()  # protects the index, the accounting of segments and the queue
+        self.committing = threading.Lock()  # held by the thread that writes to the log
         self.compacting = threading.Lock()
         self.queue: deque[PendingBatch] = deque()
         self.segments: dict[int, Segment] = {}
         self.sealed: dict[int, SealedSegment] = {}
         self.index = Index()
         self.version = self.next_number = 0
-        self.sealed_version = 0  # the last version that the active segment does not hold
+        self.sealed_version = 0  # the last version before the active segment
         self.failure: str | None = None
         self.closed = False
-        self.recovery_plan: RecoveryPlan | None = None  # what opening found
+        self.recovery_plan: RecoveryPlan | None = None  # of the opening of this store
         self.written_bytes = self.user_bytes = 0
 
     # ---- opening and closing ----
 
     @classmethod
     def open(cls, folder: Path | str | Files, options: Options | None = None) -> Store:
-        """The store of a folder, made where there is none.
+        """Open the store in a folder, or create one.
 
-        Raises LockedError, FormatVersionError, DamagedError (nothing was changed) and OSError.
+        Raises LockedError, FormatVersionError, DamagedError (the files are unchanged) and OSError.
         """
         files: Files = DiskFiles(folder) if isinstance(folder, str | Path) else folder
         store = cls(files, options or Options())
@@ -68,7 +70,7 @@
         return store
 
     def close(self) -> None:
-        """Wait for what is being written, and let go of the folder. Closing twice does no harm."""
+        """Wait for the running write, fail queued batches and release the folder. May be called twice."""
         with self.compacting, self.exclusive_writes(), self.lock:
             if self.closed:
                 return
@@ -101,17 +103,19 @@
         return self.batch([Write(key, value, expect)])
 
     def delete(self, key: bytes, expect: int | None = None) -> int:
-        """Delete one key, there or not; gives the version of that. Raises as `put`."""
+        """Delete one key, which need not exist, and return the deletion's version. Raises as `put`."""
         return self.batch([Write(key, None, expect)])
 
     def batch(self, writes: Sequence[Write]) -> int:
-        """Write all or nothing, later ones of one key last; gives the one version of all. Raises as `put`."""
+        """Write a batch atomically and return its version. The last write of a key wins. Raises as `put`."""
         pending = self.enqueue(writes)
         while not pending.is_done:
             if self.committing.acquire(blocking=False):
                 self._commit_until_done(pending)
             elif pending.wakeup is None:
-                pending.wakeup = threading.Event()  # and look once more: the turn may just have ended
+                pending.wakeup = (
+                    threading.Event()
+                )  # try again first, as the lock may have been released before the event existed
             else:
                 pending.wakeup.wait()
                 pending.wakeup.clear()
@@ -120,7 +124,7 @@
         return pending.version
 
     def _commit_until_done(self, pending: PendingBatch) -> None:
-        """Write what waits, this batch with it. The caller has taken `committing`, and loses it here."""
+        """Write queued batches until this one is done. The caller holds `committing`; it is released here."""
         try:
             while not pending.is_done:
                 self._commit()
@@ -128,9 +132,9 @@
             self._release_committing()
 
     def _release_committing(self) -> None:
-        """Give `committing` back, and have the first that waits take it.
+        """Release `committing` and wake the thread of the first queued batch to take it.
 
-        Danger: one that comes while it is held finds it taken and sleeps; nobody else would wake it.
+        A thread that finds the lock taken sleeps. Without this nothing would wake it.
         """
         self.committing.release()
         with self.lock:
@@ -140,7 +144,7 @@
 
     @contextmanager
     def exclusive_writes(self) -> Iterator[None]:
-        """Have the log for oneself."""
+        """Hold exclusive write access to the log."""
         self.committing.acquire()
         try:
             yield
@@ -150,7 +154,7 @@
     def enqueue(
         self, writes: Sequence[Write], done: Callable[[PendingBatch], None] | None = None
     ) -> PendingBatch:
-        """Have a batch wait for `flush`. Raises ValueError, ClosedError."""
+        """Queue a batch for `flush`. Raises ValueError, ClosedError."""
         pending = PendingBatch(tuple(writes), done)
         validate_batch(pending)
         with self.lock:
@@ -160,7 +164,7 @@
         return pending
 
     def flush(self) -> None:
-        """Write all that waits. Each batch ends with its version or its error."""
+        """Write all queued batches. Each one completes with its version or its error."""
         with self.exclusive_writes():
             while self.queue:
                 self._commit()
@@ -169,13 +173,13 @@
         group: list[PendingBatch] = []
         size = 0
         with self.lock:
-            while self.queue and (not group or size + self.queue[0].size_bytes <= GROUP_BYTES):
+            while self.queue and (not group or size + self.queue[0].size_bytes <= MAX_GROUP_BYTES):
                 size += self.queue[0].size_bytes
                 group.append(self.queue.popleft())
         return group
 
     def _commit(self) -> None:
-        """Write, sync and acknowledge what waits. The caller holds `committing`."""
+        """Write, sync and acknowledge one group of queued batches. The caller holds `committing`."""
         group = self._take_group()
         try:
             self._write_group(group)
@@ -186,14 +190,16 @@
                 raise
         finally:
             for pending in group:
-                pending.finish(StoreFailedError("it was not written"))  # only if something above forgot it
+                pending.finish(
+                    StoreFailedError("it was not written")
+                )  # no effect on batches already completed
 
     def _write_group(self, group: list[PendingBatch]) -> None:
         if self.failure is not None:
             raise StoreFailedError(self.failure)
         data: list[bytes] = []
         written: list[tuple[PendingBatch, bytes]] = []
-        versions: dict[bytes, int] = {}  # of keys that earlier batches of the group write; 0: deleted
+        versions: dict[bytes, int] = {}  # of keys written by earlier batches of the group; 0: deleted
         version = self.version
         for pending in group:
             try:
@@ -236,7 +242,7 @@
                 raise ConflictError(write.key, write.expect, found)
 
     def _append(self, data: bytes) -> None:
-        """Write and sync at the end of the active segment. Raises WriteFailedError, StoreFailedError."""
+        """Append to the active segment and sync it. Raises WriteFailedError, StoreFailedError."""
         segment = self.active
         try:
             segment.file.write(segment.length, data)
@@ -251,7 +257,7 @@
         self.written_bytes += len(data)
 
     def _truncate_partial_write(self, segment: Segment) -> None:
-        """Cut off what was written in part, so that what follows does not stand behind it."""
+        """Truncate a partial write, so that later frames do not follow unreadable bytes."""
         try:
             segment.file.truncate(segment.length)
         except OSError as error:
@@ -259,28 +265,32 @@
             self.failure = f"{name}: a part could not be taken back: {error.strerror or error}"
 
     def _index_frame(self, segment: Segment, frame: bytes, version: int) -> None:
-        """Let the index know of a frame at the segment's end, which is synced."""
+        """Add the records of a synced frame at the segment's end to the index."""
         head = format.read_frame_header(frame[: format.FRAME_HEADER.size], segment.salt)
         at = segment.length + format.FRAME_HEADER.size
-        found = format.unpack_metadata(head, frame[format.FRAME_HEADER.size :], at, segment.salt)
+        records = format.unpack_metadata(head, frame[format.FRAME_HEADER.size :], at, segment.salt)
         with self.lock:
-            for place in found:
-                here = pack_location(segment.number, place.offset, place.size) if place.kind == PUT else None
-                old = self.index.set(place.key, here, version)
+            for metadata in records:
+                new = (
+                    pack_location(segment.number, metadata.offset, metadata.size)
+                    if metadata.kind == PUT
+                    else None
+                )
+                old = self.index.set(metadata.key, new, version)
                 if old is not None:
                     number, _, size = unpack_location(old)
                     if number in self.segments:
                         self.segments[number].live_bytes -= size
-                segment.live_bytes += place.size if here is not None else 0
+                segment.live_bytes += metadata.size if new is not None else 0
                 segment.hint.add(place)
             segment.length += len(frame)
             segment.first, segment.last = segment.first or version, version
 
     def _append_durable_mark(self) -> None:
-        """Say in the log that all up to here is synced; itself it need not be.
+        """Append a mark that all versions up to now are durable. The mark itself is not synced.
 
-        Danger: without it the last batch before a crash could not be told from one that nobody was told of,
-        and damage to it would pass for a torn end.
+        Without it, recovery could not distinguish the last acknowledged batch before a crash from an
+        unacknowledged one, and damage to that batch would pass for a torn write.
         """
         segment, mark = self.active, format.pack_mark(self.version, self.active.salt)
         try:
@@ -293,7 +303,10 @@
     # ---- segments ----
 
     def _new_segment(self) -> Segment:
-        """A new file, synced with its header and its name. Raises OSError; what it left is removed later."""
+        """Create a segment and sync its header and its folder entry.
+
+        Raises OSError. The next opening removes what a failed call leaves behind.
+        """
         number, salt = self.next_number, self.options.new_salt()
         file = self.files.open(segment_name(number), create=True)
         self.next_number += 1
@@ -315,10 +328,10 @@
         try:
             self.files.unlink(name)
         except OSError:
-            pass  # it is not named by the manifest, and removed at the next opening
+            pass  # the manifest does not name the file, so the next opening removes it
 
     def _rotate(self) -> None:
-        """Seal the active segment and go on in a new one, unless the disk won't have it: then later."""
+        """Seal the active segment and start a new one. If that fails, a later write tries again."""
         with suppress(OSError, StoreFailedError):
             self._seal(self.active, None)
 
@@ -328,14 +341,14 @@
         Raises OSError if nothing changed, and StoreFailedError if it is unknown whether anything changed.
         """
         try:
-            old.file.sync()  # its last mark too: what is sealed is whole
+            old.file.sync()  # includes the last mark: a sealed segment is completely synced
         except OSError as error:
             self.failure = f"{segment_name(old.number)} could not be synced: {error.strerror or error}"
             raise StoreFailedError(self.failure) from error
         segment = segment or self._new_segment()
         before = self.sealed_version
         self.sealed_version = max(before, old.last)
-        if old.last:  # else it holds nothing, and goes
+        if old.last:  # otherwise the segment is empty and is removed
             self.sealed[old.number] = SealedSegment(old.number, old.length, old.first, old.last)
         self.active = segment
         try:
@@ -358,9 +371,9 @@
         self._unlink_best_effort(segment_name(old.number))
 
     def _write_manifest(self) -> None:
-        """Replace it: write, sync, rename, sync the folder.
+        """Replace the manifest atomically: write, sync, rename, sync the folder.
 
-        Raises OSError where the old one stands, and StoreFailedError where which one stands is not known.
+        Raises OSError if the old manifest is still in place, and StoreFailedError if it is unknown which is.
         """
         manifest = Manifest(
             tuple(self.sealed.values()), self.active.number, self.next_number, self.sealed_version
@@ -378,13 +391,13 @@
             self.files.rename(temporary, MANIFEST)
             self.files.sync_folder()
         except OSError as error:
-            # Danger: both manifests name what was written so far. What came after would be in one of them
-            # only.
+            # Either manifest may be on disk. Both name all data written so far, but later writes would be in
+            # segments that only one of them names, so the store accepts no more.
             self.failure = f"{MANIFEST} could not be replaced: {error.strerror or error}"
             raise StoreFailedError(self.failure) from error
 
     def _write_hint(self, number: int, length: int, hint: format.Hint) -> None:
-        """Of a sealed segment. It only saves time, so that failing does no harm, and it needs no sync."""
+        """Write a sealed segment's hint file, unsynced. It only speeds up opening, so errors are ignored."""
         name = hint_name(number)
         try:
             if name in self.files.names():
@@ -402,23 +415,23 @@
     # ---- reading ----
 
     def get(self, key: bytes) -> bytes | None:
-        """A key's value, or None. Raises DamagedError, ClosedError, OSError."""
+        """Return a key's value, or None. Raises DamagedError, ClosedError, OSError."""
         record = self._read(key, None)
         return record.value if record else None
 
     def entry(self, key: bytes) -> Record | None:
-        """A key's value with its version, or None."""
+        """Return a key's record with its version, or None. Raises as `get`."""
         return self._read(key, None)
 
     def scan(self, prefix: bytes = b"", start: bytes = b"", end: bytes | None = None) -> Iterator[Record]:
-        """Records in the order of their keys: with a prefix, from `start` on, before `end`.
+        """Iterate over records in key order: those with a prefix, in [start, end).
 
-        Each is as it stands when it is reached; for one state of all use a snapshot.
+        Each record is read when it is reached. For a consistent view of all use a snapshot.
         """
         return self._scan(prefix, start, end, None)
 
     def snapshot(self) -> Snapshot:
-        """One state of all keys, as it is now. Close it: what it needs stays on disk until then."""
+        """Take a snapshot of all keys. The segments it needs stay on disk until it is closed."""
         with self.lock:
             if self.closed:
                 raise ClosedError("the store is closed")
@@ -455,7 +468,7 @@
         try:
             record = format.read_record(data, segment.salt)
             if record.key != key:
-                raise UnreadableError("the record of another key stands there")
+                raise UnreadableError("the record there has another key")
             return record
         except UnreadableError as error:
             lost = f"the value of {key!r} is lost"
@@ -483,37 +496,39 @@
                     segment.is_pinned = False
                     self._close_if_unused(segment)
 
-    # ---- care ----
+    # ---- maintenance ----
 
     def compact(self, everything: bool = True, stop: Callable[[], bool] = lambda: False) -> bool:
-        """Write what counts of old segments anew, and remove them; whether it was done.
+        """Copy the live records of sealed segments into new ones and remove the old. Return whether it did.
+
+        Without `everything` only mostly dead segments and surplus small ones are compacted. `stop` is called
+        for each record; once it returns True, compaction ends and no data has changed.
 
-        Those of which more than `dead_share` is dead, or all. `stop` is asked all along; stopped or failed,
-        all is as before. Raises OSError, WriteFailedError, DamagedError.
+        Raises OSError, WriteFailedError, DamagedError.
         """
         with self.compacting:
             return compact(self, everything, stop)
 
     def should_compact(self) -> bool:
-        """Whether `compact(everything=False)` would find anything to do."""
+        """Return whether `compact(everything=False)` has segments to compact."""
         return bool(choose_segments(self, everything=False))
 
     def stat(self) -> StoreStats:
         with self.lock:
-            here = [s for s in self.segments.values() if not s.retired]
+            current = [s for s in self.segments.values() if not s.retired]
             return StoreStats(
                 len(self.index.locations),
                 self.version,
-                len(here),
-                sum(s.length for s in here),
-                sum(s.live_bytes for s in here),
+                len(current),
+                sum(s.length for s in current),
+                sum(s.live_bytes for s in current),
                 self.written_bytes,
                 self.user_bytes,
             )
 
 
 class Snapshot:
-    """One state of a store; use it as a context."""
+    """A consistent view of a store at one version. It is a context manager."""
 
     def __init__(self, store: Store, version: int) -> None:
         self.store, self.version, self.open = store, version, True
--- a/tests/store/test_store_format.py
+++ b/tests/store/test_store_format.py
@@ -52,7 +52,7 @@
 def test_a_frame_after_damage_is_found_and_says_what_was_durable() -> None:
     one, two, three = (format.pack_frame([Record(PUT, b"k", b"v" * n, n)], n, n - 1, 9) for n in (1, 2, 3))
     torn = scan_segment(segment(one, two[:-1] + b"?", three), 3)
-    assert torn.problem == "a frame's checksum does not fit" and torn.durable == 2
+    assert torn.problem == "a frame's checksum does not match" and torn.durable == 2
     (damage,) = plan_recovery(torn, 0).damage
     assert (damage.file, damage.offset) == ("00000003.seg", format.SEGMENT_HEADER.size + len(one))
     assert "versions from 2 to 2 were acknowledged" in damage.lost
