--- a/roadpulley/store/aio.py
+++ b/roadpulley/store/aio.py
@@ -1,7 +1,7 @@
-"""The store for an event loop: no call here waits for a disk on it.
- Writes are taken by one thread, which writes and syncs all that wait together, and reads by a few others. A
-write that is cancelled may still be done: whether it was is told by reading. Segments that are mostly dead
-are compacted in a thread of their own, by themselves.
+"""Asynchronous access to a store: no call blocks the event loop on the disk.
+
+One thread writes and syncs all queued batches together, and a few others read. A cancelled write may still
+take effect; read the key to find out. Mostly dead segments are compacted automatically in a separate thread.
 """
 
 from __future__ import annotations
@@ -22,13 +22,15 @@
 
 log = logging.getLogger(__name__)
 
-READER_THREADS = 4  # threads: a read that waits for the disk holds up only those behind it
-SCAN_PAGE_RECORDS = 512  # records of a scan that are read at a time
+# With several threads, a read that blocks on the disk does not delay all others.
+READER_THREADS = 4
+# Default maximum of records that one `scan` call returns.
+SCAN_PAGE_RECORDS = 512
 T = TypeVar("T")
 
 
 class AsyncStore:
-    """Open one with `AsyncStore.open`; close it with `await close()`."""
+    """A store for an event loop, opened with `AsyncStore.open` and closed with `await close()`."""
 
     def __init__(self, store: Store) -> None:
         self.store = store
@@ -40,17 +42,18 @@
 
     @classmethod
     async def open(cls, folder: Path | str | Files, options: Options | None = None) -> AsyncStore:
-        """Raises as `Store.open`."""
+        """Open a store. Raises as `Store.open`."""
         loop = asyncio.get_running_loop()
         return cls(await loop.run_in_executor(None, Store.open, folder, options))
 
     # ---- writing ----
 
     async def put(self, key: bytes, value: bytes, expect: int | None = None) -> int:
-        """As `Store.put`: returns once it is synced."""
+        """Same as `Store.put`. Returns once the write is synced."""
         return await self.batch([Write(key, value, expect)])
 
     async def delete(self, key: bytes, expect: int | None = None) -> int:
+        """Same as `Store.delete`."""
         return await self.batch([Write(key, None, expect)])
 
     async def batch(self, writes: Sequence[Write]) -> int:
@@ -69,7 +72,7 @@
             self.writer.submit(self._write)
 
     def _write(self) -> None:
-        """In the writer's thread: all that waits, and what comes meanwhile."""
+        """Write all queued batches, including those queued meanwhile. Runs in the writer thread."""
         try:
             self.store.flush()
         finally:
@@ -84,11 +87,11 @@
             self.compactor.submit(self._compact)
 
     def _compact(self) -> None:
-        """In the keeper's thread. What fails is tried again after a later write, and harms nothing."""
+        """Compact in the compactor thread. A failure changes no data, and a later write tries again."""
         try:
             self.store.compact(everything=False, stop=lambda: self.is_closing)
         except (OSError, StoreError) as error:
-            log.warning("compaction was given up: %s", error)
+            log.warning("compaction failed; a later write starts it again: %s", error)
         finally:
             self.loop.call_soon_threadsafe(self._on_compacted)
 
@@ -110,9 +113,11 @@
     # ---- reading ----
 
     async def get(self, key: bytes) -> bytes | None:
+        """Same as `Store.get`."""
         return await self._read(partial(self.store.get, key))
 
     async def entry(self, key: bytes) -> Record | None:
+        """Same as `Store.entry`."""
         return await self._read(partial(self.store.entry, key))
 
     async def scan(
@@ -122,26 +127,28 @@
         end: bytes | None = None,
         limit: int = SCAN_PAGE_RECORDS,
     ) -> list[Record]:
-        """At most so many records; go on with `start` = the last key + a zero byte."""
+        """Return at most `limit` records. Continue with `start` = the last key + a zero byte."""
         return await self._read(partial(read_page, self.store, prefix, start, end, limit))
 
     async def snapshot(self) -> Snapshot:
-        """Its own calls wait for the disk: hand it to a thread (a backup, say)."""
+        """Same as `Store.snapshot`. The snapshot's own methods block on the disk: use them in a thread."""
         return await self._read(self.store.snapshot)
 
     async def _read(self, call: partial[T] | object) -> T:
         return await self.loop.run_in_executor(self.readers, call)  # type: ignore[arg-type]
 
-    # ---- care ----
+    # ---- maintenance ----
 
     async def compact(self, everything: bool = True) -> bool:
+        """Same as `Store.compact`."""
         return await self._read(partial(self.store.compact, everything))
 
     async def stat(self) -> StoreStats:
+        """Same as `Store.stat`."""
         return await self._read(self.store.stat)
 
     async def close(self) -> None:
-        """Write what waits, and let go of the folder. A compaction that runs is stopped."""
+        """Write all queued batches, stop a running compaction and release the folder."""
         self.is_closing = True
         await self.loop.run_in_executor(None, self.compactor.shutdown)
         await self.loop.run_in_executor(self.writer, self._flush_and_close)
@@ -155,9 +162,10 @@
 
 
 def read_page(store: Store, prefix: bytes, start: bytes, end: bytes | None, limit: int) -> list[Record]:
-    found: list[Record] = []
+    """Return at most `limit` records of a scan."""
+    records: list[Record] = []
     for record in store.scan(prefix, start, end):
-        if len(found) >= limit:
+        if len(records) >= limit:
             break
-        found.append(record)
-    return found
+        records.append(record)
+    return records
--- a/roadpulley/store/backup.py
+++ b/roadpulley/store/backup.py
@@ -1,8 +1,9 @@
-"""A copy of a store while another process writes to it.
- Segments are only ever written at their end, and sealed ones never: the manifest, the segments that it
-names and what the last of them holds by now are one state, all batches up to some moment. If compaction
-removes one of them meanwhile, the copy begins anew with the manifest of then. The end of the last segment
-may be torn; opening the copy cuts it as after a crash.
+"""Copies a store while another process writes to it.
+
+The active segment is only appended to, and sealed segments never change. So the manifest, the segments it
+names and the present content of the active one form a consistent state: all batches up to some version. If
+compaction removes one of the segments meanwhile, the copy starts over with the new manifest. The copy may end
+in a torn write, which opening it truncates as after a crash.
 """
 
 from __future__ import annotations
@@ -19,19 +20,20 @@
 from .store import Store
 
 COPY_CHUNK_BYTES = 4 * 1024 * 1024
-MAX_ATTEMPTS = 20  # that compaction may get in the way of
+# Attempts at a copy, each of which a concurrent compaction may invalidate.
+MAX_ATTEMPTS = 20
 
 
 class NotEmptyError(StoreError):
-    """There is something in the folder that was to be written to."""
+    """The target folder of a backup is not empty."""
 
 
 class SegmentRemovedError(Exception):
-    """A segment was compacted away."""
+    """Compaction removed a segment during the copy."""
 
 
 def backup(source: Files, target: Files, progress: Progress = lambda done, of: None) -> int:
-    """Copy a store into an empty folder, and open the copy; gives the last version in it.
+    """Copy a store into an empty folder, verify the copy and return its last version.
 
     Raises NotEmptyError, DamagedError, FormatVersionError, OSError.
     """
@@ -47,14 +49,15 @@
                 if name != "LOCK":
                     target.unlink(name)
     else:
-        raise StoreError(f"segments were compacted away under the copy {MAX_ATTEMPTS} times: try again")
+        raise StoreError(f"compaction removed segments during the copy {MAX_ATTEMPTS} times: try again")
     with Store.open(target) as store:
         for _ in store.scan():
-            pass  # each value is checked as it is read
+            pass  # reading verifies the checksum of each value
         return store.version
 
 
 def copy_segments(source: Files, target: Files, progress: Progress) -> None:
+    """Copy the manifest and its segments. Raises SegmentRemovedError, DamagedError, OSError."""
     raw = read_file(source, MANIFEST)
     try:
         manifest = Manifest.read(raw)
@@ -83,24 +86,27 @@
 
 
 def report_progress(progress: Progress, before: int, total: int, done: int) -> None:
+    """Report progress over all files, given the bytes of one."""
     progress(before + done, total)
 
 
-def copy_file(name: str, file: File, length: int, target: Files, said: Callable[[int], None]) -> None:
-    made = target.open(name, create=True)
+def copy_file(name: str, file: File, length: int, target: Files, on_progress: Callable[[int], None]) -> None:
+    """Copy the first `length` bytes of a file and sync the copy."""
+    output_file = target.open(name, create=True)
     try:
-        for at in range(0, length, COPY_CHUNK_BYTES):
-            made.write(at, file.read(at, min(COPY_CHUNK_BYTES, length - at)))
-            said(min(at + COPY_CHUNK_BYTES, length))
-        made.sync()
+        for offset in range(0, length, COPY_CHUNK_BYTES):
+            output_file.write(offset, file.read(offset, min(COPY_CHUNK_BYTES, length - offset)))
+            on_progress(min(offset + COPY_CHUNK_BYTES, length))
+        output_file.sync()
     finally:
-        made.close()
+        output_file.close()
 
 
 def write_file(target: Files, name: str, data: bytes) -> None:
-    made = target.open(name, create=True)
+    """Create a file with the given content and sync it."""
+    output_file = target.open(name, create=True)
     try:
-        made.write(0, data)
-        made.sync()
+        output_file.write(0, data)
+        output_file.sync()
     finally:
-        made.close()
+        output_file.close()
--- a/roadpulley/store/care.py
+++ b/roadpulley/store/care.py
@@ -1,4 +1,4 @@
-"""Looks through a store's files without changing them: what is damaged, and what could be saved."""
+"""Inspects a store's files without changing them, and salvages the readable records of a damaged store."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from .recovery import Damage, SegmentScan, find_sealed_damage, plan_recovery, scan_segment
 from .store import Store
 
-Progress = Callable[[int, int], None]  # bytes done, of how many
+Progress = Callable[[int, int], None]  # bytes or keys done, and their total
 
 
 @dataclass
@@ -31,10 +31,13 @@
 
 
 def inspect_store(files: Files, progress: Progress = lambda done, of: None) -> InspectionReport:
-    """Read every byte of every segment that counts. Raises OSError, FormatVersionError."""
-    found = InspectionReport()
+    """Read and check every live segment, or all segments if the manifest is unreadable.
+
+    Raises OSError, FormatVersionError.
+    """
+    report = InspectionReport()
     names = files.names()
-    manifest = read_manifest(files, names, found)
+    manifest = read_manifest(files, names, report)
     sealed = {s.number: s for s in manifest.sealed} if manifest else {}
     numbers = sorted(n for name in names if (n := parse_number(name, ".seg")) is not None)
     if manifest is not None:
@@ -44,7 +47,7 @@
         name = segment_name(number)
         if name not in names:
             lost = f"versions {sealed[number].first} to {sealed[number].last} are lost"
-            found.damage.append(
+            report.damage.append(
                 Damage(name, 0, "it is not there", lost if number in sealed else "all of it is")
             )
             continue
@@ -52,24 +55,25 @@
         if number in sealed:
             data = data[: sealed[number].length]
         try:
-            one = scan_segment(data, number)
+            segment_scan = scan_segment(data, number)
         except format.NewerFormatError as error:
             raise FormatVersionError(f"{name}: {error}") from error
-        found.segments += 1
+        report.segments += 1
         if number in sealed:
-            problem = find_sealed_damage(sealed[number], one, len(data))
-            found.damage += [problem] if problem else []
+            problem = find_sealed_damage(sealed[number], segment_scan, len(data))
+            report.damage += [problem] if problem else []
         else:
-            decided = plan_recovery(one, manifest.version if manifest else 0)
-            found.damage += decided.damage
-            found.torn_bytes += decided.cut_bytes if not decided.damage else 0
-        collect_records(found, data, one)
+            recovery_plan = plan_recovery(segment_scan, manifest.version if manifest else 0)
+            report.damage += recovery_plan.damage
+            report.torn_bytes += recovery_plan.cut_bytes if not recovery_plan.damage else 0
+        collect_records(report, data, segment_scan)
         done += len(data)
         progress(done, total)
-    return found
+    return report
 
 
-def read_manifest(files: Files, names: list[str], found: InspectionReport) -> Manifest | None:
+def read_manifest(files: Files, names: list[str], report: InspectionReport) -> Manifest | None:
+    """Read the manifest. If that fails, report the damage and return None. Raises FormatVersionError."""
     problem = "it is not there"
     if MANIFEST in names:
         try:
@@ -78,12 +82,13 @@
             raise FormatVersionError(f"{MANIFEST}: {error}") from error
         except (UnreadableError, ValueError, KeyError, TypeError) as error:
             problem = str(error)
-    lost = "which segments count is not known: all that are there are read"
-    found.damage.append(Damage(MANIFEST, 0, problem, lost))
+    lost = "the list of live segments is lost; all segments present are read"
+    report.damage.append(Damage(MANIFEST, 0, problem, lost))
     return None
 
 
 def read_file(files: Files, name: str) -> bytes:
+    """Return the content of a file."""
     file = files.open(name)
     try:
         return file.read(0, file.size())
@@ -92,6 +97,7 @@
 
 
 def get_segment_size(files: Files, number: int, names: list[str]) -> int:
+    """Return the size of a segment's file in bytes, 0 if it does not exist."""
     if segment_name(number) not in names:
         return 0
     file = files.open(segment_name(number))
@@ -101,35 +107,40 @@
         file.close()
 
 
-def collect_records(found: InspectionReport, data: bytes, one: SegmentScan) -> None:
-    """Take in all that can be read of a segment, what stands after damage too."""
-    starts = [(frame.offset, frame.header) for frame in one.frames] + one.frames_after_problem
+def collect_records(report: InspectionReport, data: bytes, segment_scan: SegmentScan) -> None:
+    """Add all readable records of a segment to the report, including those after damage."""
+    starts = [
+        (frame.offset, frame.header) for frame in segment_scan.frames
+    ] + segment_scan.frames_after_problem
     for offset, head in starts:
         body_at = offset + FRAME_HEADER.size
         body = data[body_at : body_at + head.length]
-        found.batches += not head.is_mark
-        for place in format.unpack_metadata(head, body, body_at, one.salt):
-            found.records += 1
-            record = format.read_record(data[place.offset : place.offset + place.size], one.salt)
-            known = found.readable.get(record.key)
-            if known is None or known.version <= record.version:
-                found.readable[record.key] = record
-
-
-def write_salvaged(found: InspectionReport, target: Files, progress: Progress = lambda done, of: None) -> int:
-    """Write what can be saved into a new store; gives how many keys. Raises as `Store.open` and `batch`.
-
-    Versions are new: whoever remembers one from before finds a conflict, and reads again.
+        report.batches += not head.is_mark
+        for place in format.unpack_metadata(head, body, body_at, segment_scan.salt):
+            report.records += 1
+            record = format.read_record(data[place.offset : place.offset + place.size], segment_scan.salt)
+            previous = report.readable.get(record.key)
+            if previous is None or previous.version <= record.version:
+                report.readable[record.key] = record
+
+
+def write_salvaged(
+    report: InspectionReport, target: Files, progress: Progress = lambda done, of: None
+) -> int:
+    """Write the readable records into a new store and return the number of keys.
+
+    The records get new versions, so a conditional write with an old version fails with ConflictError.
+    Raises as `Store.open` and `Store.batch`.
     """
-    kept = [r for _, r in sorted(found.readable.items()) if r.kind != DELETE]
+    live = [r for _, r in sorted(report.readable.items()) if r.kind != DELETE]
     with Store.open(target, Options()) as store:
         batch: list[Write] = []
         size = 0
-        for number, record in enumerate(kept, 1):
+        for number, record in enumerate(live, 1):
             batch.append(Write(record.key, record.value))
             size += len(record.value)
-            if size > 1024 * 1024 or len(batch) == 1_000 or number == len(kept):
+            if size > 1024 * 1024 or len(batch) == 1_000 or number == len(live):
                 store.batch(batch)
                 batch, size = [], 0
-                progress(number, len(kept))
-    return len(kept)
+                progress(number, len(live))
+    return len(live)
--- a/roadpulley/store/compaction.py
+++ b/roadpulley/store/compaction.py
@@ -1,8 +1,8 @@
-"""Writes what counts of sealed segments anew. Stopped at any moment, it has changed nothing that is read.
+"""Copies the live records of sealed segments into new segments. It can stop at any point without data loss.
 
-New segments are written and synced first, then the manifest names them in place of the old, then the index
-follows, and only then the old files go. A deletion is kept as long as any segment outside may hold an older
-record of its key: without it, what was deleted would come back at the next opening.
+The new segments are written and synced first. Then the manifest names them instead of the old ones, the index
+is updated, and only then are the old files removed. A deletion is copied as long as any segment outside the
+compaction may hold an older record of its key: without it the key would reappear at the next opening.
 """
 
 from __future__ import annotations
@@ -31,25 +31,27 @@
 
 @dataclass
 class CompactionOutput:
-    """The segment that is being written."""
+    """A segment that compaction writes."""
 
     store: Store
     segment: Segment
-    waiting: list[tuple[Record, int | None]] = field(default_factory=list)  # with where it stood
+    buffered: list[tuple[Record, int | None]] = field(default_factory=list)  # with its old location
     size: int = 0
-    moved: list[tuple[bytes, int, int]] = field(default_factory=list)  # key, where it stood, where it stands
+    moved: list[tuple[bytes, int, int]] = field(default_factory=list)  # key, old location, new location
     versions: list[int] = field(default_factory=list)
 
     def add(self, record: Record, old: int | None) -> None:
-        self.waiting.append((record, old))
+        """Buffer a record with its old location; None for a deletion."""
+        self.buffered.append((record, old))
         self.size += format.RECORD_HEADER.size + len(record.key) + len(record.value)
         if self.size >= MAX_FRAME_BYTES:
             self.flush()
 
     def flush(self) -> None:
-        if not self.waiting:
+        """Write the buffered records as one frame, without syncing."""
+        if not self.buffered:
             return
-        records = [record for record, _ in self.waiting]
+        records = [record for record, _ in self.buffered]
         highest = max(record.version for record in records)
         self.versions += [record.version for record in records]
         data = format.pack_frame(records, highest, highest, self.segment.salt)
@@ -59,16 +61,16 @@
         self.segment.file.write(self.segment.length, data)
         self.segment.length += len(data)
         self.store.written_bytes += len(data)
-        for place, (record, old) in zip(found, self.waiting, strict=True):
+        for place, (record, old) in zip(found, self.buffered, strict=True):
             self.segment.hint.add(place)
             if old is not None:
                 new = pack_location(self.segment.number, place.offset, place.size)
                 self.moved.append((record.key, old, new))
-        self.waiting, self.size = [], 0
+        self.buffered, self.size = [], 0
 
 
 def choose_segments(store: Store, everything: bool) -> list[Segment]:
-    """The sealed segments that are worth it: mostly dead ones, and small ones once there are many."""
+    """Choose the sealed segments to compact: mostly dead ones, and small ones once there are many."""
     with store.lock:
         sealed = [store.segments[number] for number in store.sealed]
     if everything:
@@ -79,18 +81,18 @@
 
 
 def compact(store: Store, everything: bool, stop: Callable[[], bool]) -> bool:
-    """See `Store.compact`, whose caller holds `compacting`."""
+    """Implement `Store.compact`. The caller holds `compacting`."""
     if everything:
         with store.exclusive_writes():
             store._check_open()
             if store.active.length > format.SEGMENT_HEADER.size and store.failure is None:
                 store._seal(store.active, None)
-    victims = choose_segments(store, everything)
-    if not victims:
+    inputs = choose_segments(store, everything)
+    if not inputs:
         return False
     outputs: list[CompactionOutput] = []
     try:
-        if not copy_live_records(store, victims, outputs, stop):
+        if not copy_live_records(store, inputs, outputs, stop):
             return discard_outputs(store, outputs)
         for output in outputs:
             output.flush()
@@ -99,7 +101,7 @@
         discard_outputs(store, outputs)
         raise
     try:
-        install_outputs(store, victims, [o for o in outputs if o.versions])
+        install_outputs(store, inputs, [o for o in outputs if o.versions])
     except OSError:
         discard_outputs(store, outputs)
         raise
@@ -108,15 +110,18 @@
 
 
 def copy_live_records(
-    store: Store, victims: list[Segment], outputs: list[CompactionOutput], stop: Callable[[], bool]
+    store: Store, inputs: list[Segment], outputs: list[CompactionOutput], stop: Callable[[], bool]
 ) -> bool:
-    """Write what counts of them; false if it was stopped."""
-    numbers = {segment.number for segment in victims}
+    """Copy the live records of the segments. Return False if stopped.
+
+    Raises DamagedError, OSError.
+    """
+    numbers = {segment.number for segment in inputs}
     with store.lock:
         rest = [s for s in store.segments.values() if s.number not in numbers and not s.retired]
         oldest_outside = min((s.first for s in rest if s.first), default=None)
-    kept: dict[bytes, int] = {}  # deletions, by key: only the highest matters
-    for segment in victims:
+    deletions: dict[bytes, int] = {}  # the highest version by key
+    for segment in inputs:
         sealed = store.sealed[segment.number]
         data = segment.file.read(0, sealed.length)
         found = scan_segment(data, segment.number)
@@ -132,14 +137,15 @@
                 raw = data[place.offset : place.offset + place.size]
                 get_output(store, outputs).add(format.read_record(raw, segment.salt), old)
             elif place.kind == DELETE and current is None:
-                kept[place.key] = max(kept.get(place.key, 0), place.version)
-    for key, version in kept.items():
+                deletions[place.key] = max(deletions.get(place.key, 0), place.version)
+    for key, version in deletions.items():
         if oldest_outside is not None and oldest_outside < version:
             get_output(store, outputs).add(Record(DELETE, key, b"", version), None)
     return True
 
 
 def get_output(store: Store, outputs: list[CompactionOutput]) -> CompactionOutput:
+    """Return the last output, or a new one once it is full."""
     if not outputs or outputs[-1].segment.length + outputs[-1].size >= store.options.segment_bytes:
         if outputs:
             outputs[-1].flush()
@@ -148,11 +154,11 @@
     return outputs[-1]
 
 
-def install_outputs(store: Store, victims: list[Segment], outputs: list[CompactionOutput]) -> None:
-    """Have the manifest name the new ones, then the index, then remove the old files."""
+def install_outputs(store: Store, inputs: list[Segment], outputs: list[CompactionOutput]) -> None:
+    """Switch the manifest and the index to the new segments, then remove the old files."""
     with store.exclusive_writes():
         before = dict(store.sealed)
-        for segment in victims:
+        for segment in inputs:
             del store.sealed[segment.number]
         for o in outputs:
             number, first, last = o.segment.number, min(o.versions), max(o.versions)
@@ -163,7 +169,7 @@
         try:
             store._write_manifest()
         except (OSError, StoreFailedError):
-            # Danger: after `StoreFailedError` either manifest may stand, so that neither's files may go.
+            # After StoreFailedError either manifest may be on disk, so the files of neither may be removed.
             store.sealed = before
             raise
         with store.lock:
@@ -171,16 +177,17 @@
                 for key, old, new in o.moved:
                     if store.index.move(key, old, new):
                         o.segment.live_bytes += unpack_location(new)[2]
-            for segment in victims:
+            for segment in inputs:
                 segment.retired, segment.live_bytes = True, 0
                 segment.is_pinned = bool(store.index.snapshots)
                 store._close_if_unused(segment)
-    for segment in victims:
+    for segment in inputs:
         store._unlink_best_effort(segment_name(segment.number))
         store._unlink_best_effort(hint_name(segment.number))
 
 
 def discard_outputs(store: Store, outputs: list[CompactionOutput]) -> bool:
+    """Remove the outputs and return False, the result of a compaction that was stopped."""
     for o in outputs:
         with store.lock:
             store.segments.pop(o.segment.number, None)
--- a/roadpulley/store/format.py
+++ b/roadpulley/store/format.py
@@ -98,15 +98,15 @@
     """Check a segment's header and return its salt. Raises UnreadableError."""
     if len(data) < SEGMENT_HEADER.size:
         raise UnreadableError(f"its header has {len(data)} of {SEGMENT_HEADER.size} bytes")
-    magic, form, _, named, salt, crc = SEGMENT_HEADER.unpack_from(data)
+    magic, format_version, _, found_number, salt, crc = SEGMENT_HEADER.unpack_from(data)
     if magic != SEGMENT_MAGIC:
         raise UnreadableError(f"it begins with {magic!r}, not with {SEGMENT_MAGIC!r}")
-    if form != FORMAT_VERSION:
-        raise NewerFormatError(f"it has format {form}; this program reads format {FORMAT_VERSION}")
+    if format_version != FORMAT_VERSION:
+        raise NewerFormatError(f"it has format {format_version}; this program reads format {FORMAT_VERSION}")
     if zlib.crc32(data[: SEGMENT_HEADER.size - 4]) != crc:
         raise UnreadableError("the header's checksum does not match")
-    if named != number:
-        raise UnreadableError(f"it says that it is segment {named}")
+    if found_number != number:
+        raise UnreadableError(f"it says that it is segment {found_number}")
     return int(salt)
 
 
@@ -201,10 +201,10 @@
     """Parse the hint file of a sealed segment of this number and length. Raises UnreadableError."""
     if len(data) < HINT_HEADER.size:
         raise UnreadableError(f"its header has {len(data)} of {HINT_HEADER.size} bytes")
-    magic, form, _, named, of_length, count, crc = HINT_HEADER.unpack_from(data)
-    if magic != HINT_MAGIC or form != FORMAT_VERSION:
+    magic, format_version, _, found_number, of_length, count, crc = HINT_HEADER.unpack_from(data)
+    if magic != HINT_MAGIC or format_version != FORMAT_VERSION:
         raise UnreadableError("it is not a hint file of this format")
-    if (named, of_length) != (number, length):
+    if (found_number, of_length) != (number, length):
         raise UnreadableError("it belongs to another segment")
     if zlib.crc32(memoryview(data)[HINT_HEADER.size :], zlib.crc32(data[: HINT_HEADER.size - 4])) != crc:
         raise UnreadableError("its checksum does not match")
--- a/roadpulley/store/opening.py
+++ b/roadpulley/store/opening.py
@@ -1,4 +1,4 @@
-"""Opening a store: reads what is there, has recovery decide, and makes it ready to be written on."""
+"""Opens a store: loads its files, applies the recovery plan and prepares the store for writing."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class StoreOpener:
-    """One opening of a store's folder, which is locked already."""
+    """Loads one store from its folder, which is locked already."""
 
     def __init__(self, store: Store) -> None:
         self.store = store
@@ -43,25 +43,25 @@
         best: dict[bytes, int] = {}
         where: dict[bytes, int | None] = {}
         damage: list[Damage] = []
-        unhinted: list[tuple[Segment, format.Hint]] = []
+        missing_hints: list[tuple[Segment, format.Hint]] = []
         for sealed in manifest.sealed:
-            problem = self.load_sealed(sealed, names, best, where, unhinted)
+            problem = self.load_sealed(sealed, names, best, where, missing_hints)
             if problem is not None:
                 damage.append(problem)
         self.store.sealed_version = manifest.version
-        found, decided = self.scan_active(manifest.active, manifest.version)
-        damage += decided.damage
+        found, active_plan = self.scan_active(manifest.active, manifest.version)
+        damage += active_plan.damage
         if damage:
             raise DamagedError(damage)
         for name in find_orphaned_files(names, manifest):
             self.store.files.unlink(name)
-        for each, hint in unhinted:
-            self.store._write_hint(each.number, each.length, hint)
-        self.store.recovery_plan = decided
+        for unhinted, hint in missing_hints:
+            self.store._write_hint(unhinted.number, unhinted.length, hint)
+        self.store.recovery_plan = active_plan
         segment = self.store.segments[manifest.active]
-        segment.salt, segment.length = found.salt, decided.keep_bytes
-        kept = [frame for frame in found.frames if frame.end <= decided.keep_bytes]
-        for frame in kept:
+        segment.salt, segment.length = found.salt, active_plan.keep_bytes
+        kept_frames = [frame for frame in found.frames if frame.end <= active_plan.keep_bytes]
+        for frame in kept_frames:
             self.add_records(segment, frame.record_metadata, best, where)
             for place in frame.record_metadata:
                 segment.hint.add(place)
@@ -70,10 +70,10 @@
         for _, location in self.store.index.locations.items():
             number, _, size = unpack_location(location)
             self.store.segments[number].live_bytes += size
-        self.resume_writing(manifest, decided)
+        self.resume_writing(manifest, active_plan)
 
     def may_hold_data(self, name: str) -> bool:
-        """Whether a segment without a manifest may hold anything that was acknowledged."""
+        """Return whether a segment without a manifest may hold acknowledged data."""
         file = self.store.files.open(name)
         try:
             return file.size() > format.SEGMENT_HEADER.size
@@ -87,7 +87,7 @@
         except format.NewerFormatError as error:
             raise FormatVersionError(f"{MANIFEST}: {error}") from error
         except (UnreadableError, ValueError, KeyError, TypeError) as error:
-            lost = "which segments count is not known; see `roadpulley store repair --dry-run`"
+            lost = "the list of live segments is lost; see `roadpulley store repair --dry-run`"
             raise DamagedError([Damage(MANIFEST, 0, str(error), lost)]) from error
         finally:
             file.close()
@@ -95,7 +95,7 @@
     def create_store(self) -> None:
         for name in self.store.files.names():
             if name.endswith((".seg", ".hint", ".tmp")):
-                self.store.files.unlink(name)  # of a creation that was cut off
+                self.store.files.unlink(name)  # left by an interrupted creation
         self.store.next_number = 1
         segment = self.store._new_segment()
         self.store.active = segment
@@ -107,7 +107,7 @@
         names: Sequence[str],
         best: dict[bytes, int],
         where: dict[bytes, int | None],
-        unhinted: list[tuple[Segment, format.Hint]],
+        missing_hints: list[tuple[Segment, format.Hint]],
     ) -> Damage | None:
         name = segment_name(sealed.number)
         if name not in names:
@@ -133,13 +133,13 @@
             hint = format.Hint()
             for place in places:
                 hint.add(place)
-            unhinted.append((segment, hint))
+            missing_hints.append((segment, hint))
         self.add_records(segment, places, best, where)
         segment.first, segment.last = sealed.first, sealed.last
         return None
 
     def read_hint(self, sealed: SealedSegment, names: Sequence[str]) -> list[RecordMetadata] | None:
-        """What a hint says; None if it is missing or spoilt, and the segment has to be read whole."""
+        """Read a hint file. Return None if it is missing or invalid and the whole segment has to be read."""
         if hint_name(sealed.number) not in names:
             return None
         file = self.store.files.open(hint_name(sealed.number))
@@ -170,10 +170,10 @@
         best: dict[bytes, int],
         where: dict[bytes, int | None],
     ) -> None:
-        """Take in a segment's records: of one key's, that of the highest version counts."""
-        number, seen = segment.number, best.get
+        """Merge a segment's records into `best` and `where`. The highest version of a key wins."""
+        number, get_version = segment.number, best.get
         for place in places:
-            if place.version >= seen(place.key, 0):
+            if place.version >= get_version(place.key, 0):
                 best[place.key] = place.version
                 size = place.size
                 where[place.key] = pack_location(number, place.offset, size) if place.kind == PUT else None
@@ -181,19 +181,19 @@
                 segment.last = place.version
             segment.first = min(segment.first or place.version, place.version)
 
-    def resume_writing(self, manifest: Manifest, decided: RecoveryPlan) -> None:
-        """Write on where the last process stopped, or in a new segment what it left unproven."""
+    def resume_writing(self, manifest: Manifest, active_plan: RecoveryPlan) -> None:
+        """Continue in the active segment, or move its frames not proven durable to a new one."""
         old = self.store.segments[manifest.active]
-        if not decided.needs_new_segment:
+        if not active_plan.needs_new_segment:
             self.store.active = old
             if old.last:
                 self.store._append_durable_mark()
             return
-        # Danger: what is written again may have been acknowledged, as a mark is not synced. The manifest may
-        # cut it off the old segment only once it is safe in the new one.
+        # The rewritten frames may have been acknowledged, because marks are not synced. They must be durable
+        # in the new segment before the manifest cuts them from the old one, or a crash would lose them.
         segment = self.store._new_segment()
         durable = self.store.version
-        for frame in decided.rewrite:
+        for frame in active_plan.rewrite:
             self.rewrite_frame(segment, frame, old, durable)
         segment.file.sync()
         self.store._seal(old, segment)
--- a/roadpulley/store/store.py
+++ b/roadpulley/store/store.py
@@ -282,7 +282,7 @@
                     if number in self.segments:
                         self.segments[number].live_bytes -= size
                 segment.live_bytes += metadata.size if new is not None else 0
-                segment.hint.add(place)
+                segment.hint.add(metadata)
             segment.length += len(frame)
             segment.first, segment.last = segment.first or version, version
 
