--- a/tests/operations/test_drain_and_metrics.py
+++ b/tests/operations/test_drain_and_metrics.py
@@ -1,4 +1,4 @@
-"""Drains and figures on sockets: a gateway in the loop, clients, and an operator."""
+"""Drains and metrics over sockets, with a gateway in the loop, clients and an operator."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
         return int(free.getsockname()[1])
 
 
-class Operated(World):
-    """A world whose gateway has an operators' address."""
+class OperatedWorld(World):
+    """A world whose gateway serves operators."""
 
     def __init__(self, *backends: Backend) -> None:
         super().__init__(*backends)
@@ -39,14 +39,14 @@
         finally:
             writer.close()
 
-    async def figures(self) -> dict[str, int]:
+    async def read_metrics(self) -> dict[str, int]:
         *lines, end = (await self.call(b"METRICS")).decode().split()
         assert end == "END"
         return {name.removeprefix("edge_lb."): int(value) for name, value in (x.split("=") for x in lines)}
 
 
-class Gate:
-    """A backend's script that answers while it is open."""
+class GatedScript:
+    """A backend's script that answers once it is open."""
 
     def __init__(self) -> None:
         self.open = asyncio.Event()
@@ -57,10 +57,10 @@
         return self.reply
 
 
-def test_a_paused_gateway_says_no_serves_the_last_moments_and_closes_what_rests() -> None:
+def test_paused_gateway_rejects_ping_serves_late_requests_and_closes_idle_connections() -> None:
     async def scenario() -> None:
-        gate = Gate()
-        async with running(Operated(Backend(gate))) as world:
+        gate = GatedScript()
+        async with running(OperatedWorld(Backend(gate))) as world:
             busy, idle, front = [await world.client() for _ in range(3)]
             for peer in (busy, idle, front):
                 peer.send(b"PING")
@@ -84,26 +84,26 @@
     in_loop(scenario)
 
 
-def test_a_resume_takes_clients_at_once_and_calls_that_repeat_are_harmless() -> None:
+def test_resume_serves_clients_at_once_and_repeated_calls_are_harmless() -> None:
     async def scenario() -> None:
-        async with running(Operated(Backend())) as world:
+        async with running(OperatedWorld(Backend())) as world:
             for _ in range(2):
                 assert await world.call(b"PAUSE") == b"OK paused\n"
             for _ in range(2):
                 assert await world.call(b"RESUME") == b"OK serving\n"
             peer = await world.client()
             assert await world.ask(peer) == b"value"
-            peer.send(b"PING")  # the connection is kept again
+            peer.send(b"PING")  # idle connections stay open again
             assert await peer.receive() == b"PONG"
 
     in_loop(scenario)
 
 
-def test_what_comes_long_after_a_pause_is_refused_by_the_module(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_request_after_the_notice_time_of_a_pause_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("roadpulley.operations.lifecycle.PAUSE_NOTICE_MS", 0.0)
 
     async def scenario() -> None:
-        async with running(Operated(Backend())) as world:
+        async with running(OperatedWorld(Backend())) as world:
             await world.call(b"PAUSE")
             peer = await world.client()
             assert str(await world.ask(peer)).startswith("BUSY")
@@ -113,17 +113,19 @@
     in_loop(scenario)
 
 
-def test_a_command_that_has_begun_to_come_is_waited_for_in_a_drain() -> None:
-    """Closed in its middle it would be turned back unheard."""
+def test_drain_waits_for_a_command_that_is_partly_received() -> None:
+    """If the connection were closed within a command, the client would get no answer."""
 
     async def scenario() -> None:
-        async with running(Operated(Backend())) as world:
+        async with running(OperatedWorld(Backend())) as world:
             peer = await world.client()
             assert await world.ask(peer) == b"value"
             peer.writer.write(b"*4\r\n$8\r\nAPI.")
             await peer.writer.drain()
             other = await world.client()
-            assert await world.ask(other, id=b"other") == b"value"  # what was written before it has come
+            assert (
+                await world.ask(other, id=b"other") == b"value"
+            )  # so the part written before it has arrived
             await world.call(b"PAUSE")
             assert await other.receive() is None
             rest = b"READ\r\n$16\r\n00000000b4d65521\r\n$4\r\nlate\r\n"
@@ -135,17 +137,17 @@
     in_loop(scenario)
 
 
-def test_figures_are_what_clients_counted() -> None:
+def test_metrics_equal_what_clients_counted() -> None:
     async def scenario() -> None:
-        gate = Gate()
+        gate = GatedScript()
         gate.open.set()
-        async with running(Operated(Backend(gate))) as world:
-            seen: Tally[str] = Tally()
+        async with running(OperatedWorld(Backend(gate))) as world:
+            counted: Tally[str] = Tally()
             peer = await world.client()
 
             async def ask(id: bytes, **given: object) -> None:
                 got = await world.ask(peer, id=id, **given)
-                seen["served" if got == b"value" else str(got).split()[0]] += 1
+                counted["served" if got == b"value" else str(got).split()[0]] += 1
 
             for number in range(5):
                 await ask(b"v%d" % number)
@@ -154,22 +156,22 @@
             await ask(b"unknown", plan=b"gold")
             gate.reply = b"-ERR failed\r\n"
             await ask(b"w", name=b"wipe")
-            found = await world.figures()
-            view = [found[f"operations.view.{name}"] for name in ("fulfilled", "throttled", "faulted")]
-            wipe = [found[f"operations.wipe.{name}"] for name in ("fulfilled", "throttled", "faulted")]
-            assert view == [seen["served"], seen["BUSY"], 1] and wipe == [0, 0, 1]
-            # How many of the four the quota pays for hangs on the counter's time; each is counted either way.
-            assert seen.total() == 11 and seen["ERR"] == 2 and seen["BUSY"] > 0
-            assert seen["served"] + 1 == found["relayed"]  # and the one that failed
-            assert found["relayed"] == len(world.backends[0].got) and found["open_requests"] == 0
-            assert found["registry_entries"] == 1 and found["cfg_accepted"] == found["cfg_invalid"] == 0
+            metrics = await world.read_metrics()
+            view = [metrics[f"operations.view.{name}"] for name in ("fulfilled", "throttled", "faulted")]
+            wipe = [metrics[f"operations.wipe.{name}"] for name in ("fulfilled", "throttled", "faulted")]
+            assert view == [counted["served"], counted["BUSY"], 1] and wipe == [0, 0, 1]
+            # How many of the four the quota admits depends on when the counter answers; each is counted.
+            assert counted.total() == 11 and counted["ERR"] == 2 and counted["BUSY"] > 0
+            assert counted["served"] + 1 == metrics["relayed"]  # plus the one that failed
+            assert metrics["relayed"] == len(world.backends[0].got) and metrics["open_requests"] == 0
+            assert metrics["registry_entries"] == 1 and metrics["cfg_accepted"] == metrics["cfg_invalid"] == 0
 
     in_loop(scenario)
 
 
-def test_callers_that_never_finish_do_not_keep_others_out() -> None:
+def test_connections_that_never_finish_a_call_do_not_block_others() -> None:
     async def scenario() -> None:
-        async with running(Operated(Backend())) as world:
+        async with running(OperatedWorld(Backend())) as world:
             silent = [await asyncio.open_connection(LOCAL, world.admin) for _ in range(40)]
             silent[0][1].write(b"STAT")
             assert await world.call(b"STATUS") == b"OK serving\n"
@@ -181,50 +183,50 @@
     in_loop(scenario)
 
 
-def test_what_is_open_and_what_is_avoided_is_asked_when_it_is_read() -> None:
+def test_open_requests_and_avoided_backends_are_current_when_read() -> None:
     async def scenario() -> None:
-        gate = Gate()
-        async with running(Operated(Backend(gate), Backend(gate))) as world:
+        gate = GatedScript()
+        async with running(OperatedWorld(Backend(gate), Backend(gate))) as world:
             peer = await world.client()
             peer.send(*request(name=b"wipe"))
             await until(lambda: world.backends[0].got or world.backends[1].got)
-            assert (await world.figures())["open_requests"] == 1
+            assert (await world.read_metrics())["open_requests"] == 1
             hosts = world.hosts()
             world.discovery.change(2, {**hosts[0], "health": "draining"})
-            while (await world.figures())["out_of_rotation"] != 1:
+            while (await world.read_metrics())["out_of_rotation"] != 1:
                 pass
-            assert (await world.figures())["registry_entries"] == 2
+            assert (await world.read_metrics())["registry_entries"] == 2
             gate.open.set()
             assert await peer.receive() == b"value"
-            assert (await world.figures())["open_requests"] == 0
+            assert (await world.read_metrics())["open_requests"] == 0
 
     in_loop(scenario)
 
 
-def test_figures_stay_true_when_clients_leave() -> None:
+def test_metrics_stay_correct_when_clients_disconnect() -> None:
     async def scenario() -> None:
-        gate = Gate()
-        async with running(Operated(Backend(gate))) as world:
+        gate = GatedScript()
+        async with running(OperatedWorld(Backend(gate))) as world:
             stays, leaves = await world.client(), await world.client()
             leaves.send(*request(b"leaves", name=b"wipe"))
             await until(lambda: world.backends[0].got)
             leaves.close()
-            while (await world.figures())["open_requests"]:
+            while (await world.read_metrics())["open_requests"]:
                 pass
             gate.open.set()
             assert await world.ask(stays, id=b"stays", name=b"wipe") == b"value"
-            found = await world.figures()
-            assert found["operations.wipe.fulfilled"] == 1 and found["relayed"] == 2
-            assert found["operations.wipe.throttled"] == found["operations.wipe.faulted"] == 0
+            metrics = await world.read_metrics()
+            assert metrics["operations.wipe.fulfilled"] == 1 and metrics["relayed"] == 2
+            assert metrics["operations.wipe.throttled"] == metrics["operations.wipe.faulted"] == 0
 
     in_loop(scenario)
 
 
-def test_figures_come_in_the_middle_of_a_burst() -> None:
-    """A caller is answered before what came with it is worked off, and not after."""
+def test_metrics_are_answered_during_a_burst() -> None:
+    """An operator is answered while requests that arrived at the same time are still being processed."""
 
     async def scenario() -> None:
-        async with running(Operated(Backend())) as world:
+        async with running(OperatedWorld(Backend())) as world:
             peers = [await world.client() for _ in range(20)]
             for number, peer in enumerate(peers):
                 for serial in range(100):
@@ -238,30 +240,30 @@
                     answered += 1
 
             burst = asyncio.gather(*map(drain, peers))
-            found = await world.figures()
-            # Counted where they are answered: the rest was still to come.
-            assert sum(found[f"operations.view.{name}"] for name in OUTCOMES) < 2_000
+            metrics = await world.read_metrics()
+            # Requests count when they are answered, and most were not yet.
+            assert sum(metrics[f"operations.view.{name}"] for name in OUTCOMES) < 2_000
             await burst
-            after = await world.figures()
+            after = await world.read_metrics()
             assert sum(after[f"operations.view.{name}"] for name in OUTCOMES) == 2_000
 
     in_loop(scenario)
 
 
-def test_a_request_that_came_as_its_connection_is_closed_is_served() -> None:
-    """It lies unread in the kernel when the drain closes what rests; closed over, it would be turned back."""
+def test_request_that_arrives_as_its_connection_is_closed_is_served() -> None:
+    """The request is unread in the kernel when the drain closes idle connections, and must not be lost."""
 
     async def scenario() -> None:
         with server_seen() as servers:
-            async with running(Operated(Backend())) as world:
-                await crosses(world, servers[0])
+            async with running(OperatedWorld(Backend())) as world:
+                await send_during_close(world, servers[0])
 
-    async def crosses(world: Operated, server: RespServer) -> None:
+    async def send_during_close(world: OperatedWorld, server: RespServer) -> None:
         own = socket.create_connection((LOCAL, world.port))
         peer = Peer(*await asyncio.open_connection(sock=own))
         assert await world.ask(peer) == b"value"
         fd = peer.writer.get_extra_info("socket").fileno()
-        os.write(fd, encode(*request(b"crosses")))  # past the loop, which has not read it yet
+        os.write(fd, encode(*request(b"crosses")))  # bypasses the loop, which has not read it yet
         server.set_admission(answers_ping=False, accepts=True, keeps_idle=False)
         assert await peer.receive() == b"value"
         assert await peer.receive() is None
@@ -270,7 +272,7 @@
     in_loop(scenario)
 
 
-def test_a_head_in_single_bytes_is_waited_for_as_long_as_a_client_may_take(
+def test_command_in_single_bytes_is_accepted_until_the_command_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     assert (
@@ -281,7 +283,7 @@
     monkeypatch.setattr(resp_server, "SWEEP_INTERVAL_MS", 20.0)
 
     async def scenario() -> None:
-        async with running(Operated(Backend())) as world:
+        async with running(OperatedWorld(Backend())) as world:
             peer = await world.client()
             for byte in encode(*request()):
                 peer.writer.write(bytes([byte]))
@@ -289,6 +291,6 @@
             assert await peer.receive() == b"value"
             other = await world.client()
             other.writer.write(b"*4\r\n$8\r\nAPI.")
-            assert "protocol error" in str(await other.receive())  # and no longer
+            assert "protocol error" in str(await other.receive())  # after the timeout
 
     in_loop(scenario)
--- a/tests/operations/test_inherited_listener.py
+++ b/tests/operations/test_inherited_listener.py
@@ -1,4 +1,4 @@
-"""A listening socket that outlives processes: taken over under load, and refused where it is none."""
+"""An inherited listening socket: taken over under load, and rejected if the descriptor does not listen."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     try:
         while b"serves at" not in (line := await process.stderr.readline()):
             assert line, "it ended"
-    except BaseException:  # its time is up, too: nobody else knows of it yet
+    except BaseException:  # includes a timeout; no other code would kill this process
         process.kill()
         raise
     return process
@@ -50,14 +50,14 @@
         config.write_text(json.dumps({**world.config(), "listen": f"{LOCAL}:{port}"}))
         processes = [await start(config, listener)]
         answers: list[object] = []
-        going = True
+        running = True
 
         async def client(name: int) -> None:
-            """Asks on and on; goes on where a connection was closed between two requests."""
+            """Sends requests in a loop; reconnects when a connection was closed between two of them."""
             number = 0
-            while going:
+            while running:
                 peer = Peer(*await asyncio.open_connection(LOCAL, port))
-                while going:
+                while running:
                     peer.send(*request(b"%d-%d" % (name, number)))
                     got = await peer.receive()
                     if got is None:
@@ -74,9 +74,11 @@
                 processes[-2].send_signal(signal.SIGTERM)
                 assert await processes[-2].wait() == 0
                 after = len(answers)
-                while len(answers) < after + 20:  # the socket still listens, and the new one takes what comes
+                while (
+                    len(answers) < after + 20
+                ):  # the socket still listens, and the new process accepts from it
                     await asyncio.sleep(0.002)
-            going = False
+            running = False
             await asyncio.gather(*clients)
             assert set(answers) == {b"value"}
         finally:
@@ -93,20 +95,20 @@
     in_loop(scenario)
 
 
-@pytest.mark.parametrize("what", ["word", "closed", "file", "unlistening"])
-def test_a_descriptor_that_does_not_listen_is_named_in_one_line(tmp_path: Path, what: str) -> None:
+@pytest.mark.parametrize("kind", ["word", "closed", "file", "unlistening"])
+def test_descriptor_that_does_not_listen_is_named_in_the_error(tmp_path: Path, kind: str) -> None:
     config = tmp_path / "config.json"
     config.write_text(json.dumps({**World().config(), "listen": f"{LOCAL}:1"}))
     with open(config) as file, socket.socket() as unlistening:
-        told = {"word": "five", "closed": "77", "file": file.fileno()}.get(what, unlistening.fileno())
+        descriptor = {"word": "five", "closed": "77", "file": file.fileno()}.get(kind, unlistening.fileno())
         fds = (file.fileno(), unlistening.fileno())
-        said = refused_start(config, fds, LB_ACCEPT_FD=str(told))
-    assert "LB_ACCEPT_FD is " in said and "a listening TCP socket over IPv4" in said
+        stderr = refused_start(config, fds, LB_ACCEPT_FD=str(descriptor))
+    assert "LB_ACCEPT_FD is " in stderr and "a listening TCP socket over IPv4" in stderr
 
 
-@pytest.mark.parametrize("told", ["here", ":19000", "127.0.0.1:99999", 5])
-def test_an_operators_address_that_can_not_be_is_named_in_one_line(tmp_path: Path, told: object) -> None:
+@pytest.mark.parametrize("value", ["here", ":19000", "127.0.0.1:99999", 5])
+def test_invalid_operators_address_is_named_in_the_error(tmp_path: Path, value: object) -> None:
     config = tmp_path / "config.json"
-    config.write_text(json.dumps({**World().config(), "listen": f"{LOCAL}:1", "admin": told}))
-    said = refused_start(config)
-    assert "admin is " in said and "give HOST:PORT" in said
+    config.write_text(json.dumps({**World().config(), "listen": f"{LOCAL}:1", "admin": value}))
+    stderr = refused_start(config)
+    assert "admin is " in stderr and "give HOST:PORT" in stderr
