--- a/tests/operations/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -1,4 +1,4 @@
-"""Two processes of one gateway: what they let out together, and what the link takes from a stranger."""
+"""Handover between two processes of one gateway: the ceilings of both together, and malformed messages."""
 
 from __future__ import annotations
 
@@ -29,19 +29,19 @@
 )
 
 
-def estate_of(actions: list[api.Action]) -> api.HandoverState:
-    (told,) = [action.handover_state for action in actions if isinstance(action, api.SendHandover)]
-    return told
+def handed_over_state(actions: list[api.Action]) -> api.HandoverState:
+    (state,) = [action.handover_state for action in actions if isinstance(action, api.SendHandover)]
+    return state
 
 
-def over_the_link(estate: api.HandoverState, kind: str, now: float) -> api.HandoverState:
-    got = decode_message(encode_message(kind, "n0", estate), kind, "n0", now)
-    assert got is not None
-    return got
+def send_over_link(state: api.HandoverState, kind: str, now: float) -> api.HandoverState:
+    received = decode_message(encode_message(kind, "n0", state), kind, "n0", now)
+    assert received is not None
+    return received
 
 
-class Pair:
-    """One gateway as two processes in virtual time; whatever breaks is a message that does not come."""
+class ProcessPair:
+    """One gateway as two processes in virtual time. A failure is a message that is not delivered."""
 
     def __init__(self, counted: bool) -> None:
         self.settings: dict[str, Any] = dict(gateways=1, plans=(HARD,), has_counter=counted)
@@ -67,19 +67,19 @@
                 self.sent.append(world.now)
                 self.give(world, api.AttemptEnded(send.request, 0, send.backend, api.Outcome.OK, 1.0, True))
 
-    def meet(self) -> None:
-        given = estate_of(self.old.give(api.GatewayShareChanged(0.5)))
+    def start_handover(self) -> None:
+        given = handed_over_state(self.old.give(api.GatewayShareChanged(0.5)))
         self.new.give(api.GatewayShareChanged(0.5))
-        self.new.give(api.HandoverReceived(over_the_link(given, PARTIAL_STATE, self.new.now)))
+        self.new.give(api.HandoverReceived(send_over_link(given, PARTIAL_STATE, self.new.now)))
 
-    def leave(self, told: bool) -> None:
-        rest = estate_of(self.old.give(api.GatewayShareChanged(0.0)))
+    def finish_handover(self, delivered: bool) -> None:
+        rest = handed_over_state(self.old.give(api.GatewayShareChanged(0.0)))
         self.new.give(api.GatewayShareChanged(1.0))
-        if told:
-            self.new.give(api.HandoverReceived(over_the_link(rest, REMAINING_STATE, self.new.now)))
+        if delivered:
+            self.new.give(api.HandoverReceived(send_over_link(rest, REMAINING_STATE, self.new.now)))
 
-    def check(self) -> None:
-        """In no stretch of time more than the ceiling's burst and what its rate gives."""
+    def check_ceiling(self) -> None:
+        """In any interval, at most the ceiling's burst plus its rate times the interval was sent."""
         for first, begin in enumerate(self.sent):
             for last in range(first, len(self.sent)):
                 span = (self.sent[last] - begin) / 1000
@@ -90,86 +90,86 @@
 
 
 @given(floods, floods, floods, st.booleans(), st.booleans())
-def test_together_they_never_pass_a_ceiling(
+def test_two_processes_together_never_exceed_a_ceiling(
     before: list[tuple[bool, int, int]],
-    beside: list[tuple[bool, int, int]],
+    during: list[tuple[bool, int, int]],
     after: list[tuple[bool, int, int]],
-    told: bool,
+    delivered: bool,
     counted: bool,
 ) -> None:
-    pair = Pair(counted)
+    pair = ProcessPair(counted)
     pair.pass_time(5_000)
     for _, requests, wait in before:
         pair.flood(pair.old, requests)
         pair.pass_time(wait)
-    pair.meet()
-    for of_new, requests, wait in beside:
+    pair.start_handover()
+    for of_new, requests, wait in during:
         pair.flood(pair.new if of_new else pair.old, requests)
         pair.pass_time(wait)
-    pair.leave(told)
+    pair.finish_handover(delivered)
     for _, requests, wait in after:
         pair.flood(pair.new, requests)
         pair.pass_time(wait)
-    pair.check()
+    pair.check_ceiling()
 
 
-def test_a_new_process_goes_on_with_what_the_old_one_had_rather_than_from_nothing() -> None:
-    pair = Pair(counted=False)
+def test_new_process_continues_with_the_units_of_the_old_one() -> None:
+    pair = ProcessPair(counted=False)
     pair.pass_time(10_000)
-    pair.flood(pair.old, 1)  # the customer is known there
-    pair.meet()
+    pair.flood(pair.old, 1)  # so that the old process has a record of the customer
+    pair.start_handover()
     pair.flood(pair.new, 30)
     begun = len(pair.sent)
-    assert begun > HARD.ceiling_burst / 2 - 2  # half of a full ceiling; counted from nothing it would be none
-    pair.leave(told=True)
+    assert begun > HARD.ceiling_burst / 2 - 2  # half of a full ceiling; without the handover it would be none
+    pair.finish_handover(delivered=True)
     pair.flood(pair.new, 60)
     assert len(pair.sent) > begun + HARD.ceiling_burst / 2 - 2  # the other half
 
 
-def test_a_customer_that_the_old_process_had_not_met_lately_has_a_full_ceiling_in_halves() -> None:
-    pair = Pair(counted=False)
+def test_customer_unknown_to_the_old_process_has_half_a_ceiling_at_each_process() -> None:
+    pair = ProcessPair(counted=False)
     pair.pass_time(10_000)
-    pair.meet()
+    pair.start_handover()
     pair.flood(pair.new, 60)
     assert len(pair.sent) == HARD.ceiling_burst / 2
     pair.flood(pair.old, 60)
     assert len(pair.sent) == HARD.ceiling_burst
 
 
-def test_what_the_old_process_had_not_told_the_counter_the_new_one_tells() -> None:
-    """Else the other gateways would never know of it, and spend it once more."""
-    pair = Pair(counted=True)
+def test_new_process_reports_the_unreported_units_of_the_old_one() -> None:
+    """Otherwise the other gateways would not learn of these units and would spend them again."""
+    pair = ProcessPair(counted=True)
     assert pair.counter is not None
     pair.pass_time(10_000)
     pair.flood(pair.old, 3)
-    pair.meet()
-    pair.counter.fails = api.Outcome.CONNECT  # nothing more is told by the old one
+    pair.start_handover()
+    pair.counter.fails = api.Outcome.CONNECT  # the old process can report no more units
     pair.flood(pair.old, 2)
-    unsaid = pair.old.gateway.quotas.customers["c"].unreported_units
-    assert unsaid > 0
+    unreported = pair.old.gateway.quotas.customers["c"].unreported_units
+    assert unreported > 0
     pair.counter.fails = None
     before = pair.new.gateway.quotas.customers["c"].store
-    pair.leave(told=True)
+    pair.finish_handover(delivered=True)
     c = pair.new.gateway.quotas.customers["c"]
-    assert c.unreported_units == pytest.approx(unsaid) and c.store == pytest.approx(before - unsaid)
+    assert c.unreported_units == pytest.approx(unreported) and c.store == pytest.approx(before - unreported)
     assert pair.old.gateway.quotas.customers["c"].unreported_units == 0
 
 
-def test_a_successor_that_dies_leaves_the_old_one_the_whole_rate() -> None:
-    pair = Pair(counted=False)
+def test_old_process_has_the_whole_rate_again_after_the_successor_died() -> None:
+    pair = ProcessPair(counted=False)
     pair.pass_time(10_000)
     pair.flood(pair.old, 1)
-    pair.meet()
-    pair.old.give(api.GatewayShareChanged(1.0))  # the link broke
+    pair.start_handover()
+    pair.old.give(api.GatewayShareChanged(1.0))  # the link failed
     pair.pass_time(10_000)
     pair.flood(pair.old, 60)
     assert len(pair.sent) == 1 + HARD.ceiling_burst
 
 
-def test_beside_one_that_does_not_answer_nothing_of_a_ceiling_is_let_out_until_it_must_be_gone() -> None:
+def test_ceiling_is_empty_until_a_silent_predecessor_must_have_exited() -> None:
     world = World(gateways=1, plans=(HARD,), has_counter=False)
     world.give(api.HandoverReceived(api.HandoverState(world.now + 9_700, (), (), 0.0, 0.0)))
-    pair = Pair(counted=False)
+    pair = ProcessPair(counted=False)
     pair.new = world
     pair.flood(world, 10)
     assert not pair.sent
@@ -178,15 +178,15 @@
     assert pair.sent
 
 
-def test_what_was_seen_of_backends_goes_over_but_not_of_ones_that_started_anew() -> None:
+def test_health_of_backends_is_handed_over_except_of_restarted_ones() -> None:
     old, new = World(has_counter=False), World(has_counter=False)
     for world in (old, new):
         world.now = 20_000.0
     old.gateway.fleet.backends[1].marks = {"all": (0.9, 19_000.0)}
     old.gateway.fleet.backends[2].marks = {"all": (0.9, 19_000.0)}
     new.gateway.fleet.backends[2].started = 7.0
-    given = estate_of(old.give(api.GatewayShareChanged(0.5)))
-    new.give(api.HandoverReceived(over_the_link(given, PARTIAL_STATE, new.now)))
+    given = handed_over_state(old.give(api.GatewayShareChanged(0.5)))
+    new.give(api.HandoverReceived(send_over_link(given, PARTIAL_STATE, new.now)))
     assert new.gateway.fleet.backends[1].marks == {"all": (0.9, 19_000.0)}
     assert not new.gateway.fleet.backends[2].marks
 
@@ -194,27 +194,27 @@
 # ---- the messages ----
 
 
-def full_estate() -> api.HandoverState:
+def example_state() -> api.HandoverState:
     world = World(plans=(FIRM,), has_counter=False)
     world.ask(plan="firm")
     world.gateway.fleet.backends[1].marks = {"all": (0.5, 9_000.0)}
-    return estate_of(world.give(api.GatewayShareChanged(0.5)))
-
-
-def test_an_estate_comes_over_as_it_was() -> None:
-    told = full_estate()
-    got = over_the_link(told, PARTIAL_STATE, 20_000.0)
-    (held,), (had,) = got.customers, told.customers
-    left, was = held.lease.pop("left"), had.lease.pop("left")
-    assert math.isnan(left) == math.isnan(was) and held == had
-    assert got.backends == told.backends and (got.complete_since, got.typical) == (
-        told.complete_since,
-        told.typical,
+    return handed_over_state(world.give(api.GatewayShareChanged(0.5)))
+
+
+def test_state_is_the_same_after_encoding_and_decoding() -> None:
+    sent = example_state()
+    received = send_over_link(sent, PARTIAL_STATE, 20_000.0)
+    (received_snapshot,), (sent_snapshot,) = received.customers, sent.customers
+    received_estimate, sent_estimate = received_snapshot.lease.pop("left"), sent_snapshot.lease.pop("left")
+    assert math.isnan(received_estimate) == math.isnan(sent_estimate) and received_snapshot == sent_snapshot
+    assert received.backends == sent.backends and (received.complete_since, received.typical) == (
+        sent.complete_since,
+        sent.typical,
     )
 
 
-def test_a_message_cut_at_any_byte_is_garbled() -> None:
-    whole = encode_message(PARTIAL_STATE, "n0", full_estate())
+def test_message_truncated_at_any_byte_is_rejected() -> None:
+    whole = encode_message(PARTIAL_STATE, "n0", example_state())
     for length in range(len(whole) - 1):
         with pytest.raises(MessageError):
             decode_message(whole[:length], PARTIAL_STATE, "n0", 0.0)
@@ -231,29 +231,29 @@
         {"estate": []},
     ],
 )
-def test_another_version_kind_or_gateway_is_garbled(change: dict[str, Any]) -> None:
-    message = {**json.loads(encode_message(PARTIAL_STATE, "n0", full_estate())), **change}
+def test_message_of_another_version_kind_or_gateway_is_rejected(change: dict[str, Any]) -> None:
+    message = {**json.loads(encode_message(PARTIAL_STATE, "n0", example_state())), **change}
     with pytest.raises(MessageError):
         decode_message(json.dumps(message).encode(), PARTIAL_STATE, "n0", 0.0)
 
 
-BAD = [None, "x", True, [], {}, float("nan"), float("inf"), "9" * 300]
+WRONG_VALUES = [None, "x", True, [], {}, float("nan"), float("inf"), "9" * 300]
 
 
-def places(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+def leaf_paths(value: Any, path: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
     if isinstance(value, dict):
-        return [found for key in value for found in places(value[key], (*path, key))]
+        return [found for key in value for found in leaf_paths(value[key], (*path, key))]
     if isinstance(value, list):
-        return [found for at, each in enumerate(value) for found in places(each, (*path, at))]
+        return [found for at, each in enumerate(value) for found in leaf_paths(each, (*path, at))]
     return [path]
 
 
-ESTATE = json.loads(encode_message(PARTIAL_STATE, "n0", full_estate()))["estate"]
+RAW_STATE = json.loads(encode_message(PARTIAL_STATE, "n0", example_state()))["estate"]
 
 
-@given(st.sampled_from(places(ESTATE)), st.sampled_from(BAD))
-def test_a_value_of_another_kind_is_garbled_or_of_the_right_kind(path: tuple[Any, ...], bad: Any) -> None:
-    raw = json.loads(json.dumps(ESTATE))
+@given(st.sampled_from(leaf_paths(RAW_STATE)), st.sampled_from(WRONG_VALUES))
+def test_value_of_another_type_is_rejected_or_valid(path: tuple[Any, ...], bad: Any) -> None:
+    raw = json.loads(json.dumps(RAW_STATE))
     table = raw
     for step in path[:-1]:
         table = table[step]
@@ -261,25 +261,25 @@
     line = json.dumps({"v": VERSION, "kind": PARTIAL_STATE, "gateway": "n0", "estate": raw}).encode()
     may_be = {"since": None, "left": None, "heard": True, "ended": True, "customer": str, "plan": str}
     try:
-        got = decode_message(line, PARTIAL_STATE, "n0", 20_000.0)
+        received = decode_message(line, PARTIAL_STATE, "n0", 20_000.0)
     except MessageError:
         return
     right = may_be.get(str(path[-1]), ...)
     empty = path[-1] in ("totals", "unsure") and bad == {}
-    assert got is not None and (bad is right or (right is str and bad == "x") or empty)
+    assert received is not None and (bad is right or (right is str and bad == "x") or empty)
 
 
-def test_of_very_many_customers_those_met_last_are_told_and_the_rest_start_from_nothing() -> None:
-    (held,) = full_estate().customers
-    many = tuple(
+def test_only_customers_with_the_latest_demand_are_sent_above_the_maximum() -> None:
+    (held,) = example_state().customers
+    snapshots = tuple(
         api.CustomerSnapshot(f"c{n}", "firm", 2, {**held.lease, "asked_at": float(n)}, 1.0, 1.0, 0.0)
         for n in range(MAX_CUSTOMERS + 5)
     )
-    got = over_the_link(api.HandoverState(5.0, many, (), 0.0, 0.0), PARTIAL_STATE, 777.0)
-    assert len(got.customers) == MAX_CUSTOMERS and got.complete_since == 777.0
-    assert {held.customer for held in got.customers}.isdisjoint({f"c{n}" for n in range(5)})
+    received = send_over_link(api.HandoverState(5.0, snapshots, (), 0.0, 0.0), PARTIAL_STATE, 777.0)
+    assert len(received.customers) == MAX_CUSTOMERS and received.complete_since == 777.0
+    assert {held.customer for held in received.customers}.isdisjoint({f"c{n}" for n in range(5)})
 
 
-def test_words_without_an_estate_are_read_as_such() -> None:
+def test_messages_without_a_state_are_decoded_as_none() -> None:
     for kind in (HELLO, SERVING):
         assert decode_message(encode_message(kind, "n0"), kind, "n0", 0.0) is None
