--- a/tests/store/test_store_care.py
+++ b/tests/store/test_store_care.py
@@ -1,4 +1,4 @@
-"""Backups while it is written to, a look through the files, what can be saved, and the commands for it."""
+"""Backups during writes, inspection, salvage, the `roadpulley store` commands and the async store."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
         return state(store)
 
 
-def test_a_writer_that_is_killed_over_and_over_loses_nothing_that_it_was_told_of(tmp_path: Path) -> None:
+def test_repeatedly_killed_writer_loses_no_acknowledged_write(tmp_path: Path) -> None:
     rng = random.Random(1)
     for _ in range(KILLS):
         command = [sys.executable, "-c", WRITER, str(tmp_path / "s")]
@@ -75,7 +75,7 @@
         assert found == right
 
 
-def test_a_second_process_is_kept_out(tmp_path: Path) -> None:
+def test_second_process_cannot_open_the_store(tmp_path: Path) -> None:
     with Store.open(tmp_path / "s"):
         code = "import sys; from roadpulley.store import Store; Store.open(sys.argv[1])"
         command = [sys.executable, "-c", code, str(tmp_path / "s")]
@@ -86,7 +86,7 @@
             Store.open(tmp_path / "s")
 
 
-def test_a_backup_of_a_store_that_is_written_to_is_one_state_of_it(tmp_path: Path) -> None:
+def test_backup_during_writes_is_a_consistent_state(tmp_path: Path) -> None:
     stop = threading.Event()
     store = Store.open(tmp_path / "s", SMALL)
 
@@ -119,14 +119,14 @@
         backup(DiskFiles(tmp_path / "s"), DiskFiles(tmp_path / "copy1"))
 
 
-def test_a_backup_begins_anew_when_a_segment_is_compacted_away_under_it() -> None:
+def test_backup_starts_over_when_compaction_removes_a_segment() -> None:
     disk = MemoryDisk()
     store = Store.open(disk, SMALL)
     for number in range(60):
         store.put(b"k%d" % (number % 9), b"%d" % number * 40)
 
     class Busy(MemoryDisk):
-        """Compacts as soon as the manifest has been read, the first three times."""
+        """Compacts right after the manifest is read, the first three times."""
 
         times = 0
 
@@ -145,7 +145,7 @@
     store.close()
 
 
-def test_what_can_be_read_on_both_sides_of_damage_is_saved() -> None:
+def test_readable_records_before_and_after_damage_are_salvaged() -> None:
     disk = MemoryDisk()
     with Store.open(disk, Options(new_salt=lambda: 7)) as store:
         for number in range(5):
@@ -163,7 +163,7 @@
         assert state(saved) == {b"k0": b"value 0", b"k1": b"value 1", b"k3": b"value 3"}
 
 
-def test_without_a_manifest_all_segments_are_read(tmp_path: Path) -> None:
+def test_inspection_without_a_manifest_reads_all_segments(tmp_path: Path) -> None:
     right = write(tmp_path / "s")
     (tmp_path / "s" / "MANIFEST").unlink()
     found = inspect_store(DiskFiles(tmp_path / "s"))
@@ -173,7 +173,7 @@
         assert state(saved) == right
 
 
-def test_the_commands(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_store_commands(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     right, folder = write(tmp_path / "s"), str(tmp_path / "s")
     assert main(["store", "verify", folder]) == 0
     assert "whole" in capsys.readouterr().out
@@ -197,7 +197,7 @@
         assert "verify a backup of it" in capsys.readouterr().err
 
 
-def test_the_commands_on_a_damaged_store(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_store_commands_on_a_damaged_store(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     write(tmp_path / "s")
     folder, path = str(tmp_path / "s"), tmp_path / "s" / segment_name(1)
     data = bytearray(path.read_bytes())
@@ -217,7 +217,7 @@
     assert main(["store", "verify", str(tmp_path / "t")]) == 0
 
 
-def test_many_writers_on_an_event_loop_are_synced_together(tmp_path: Path) -> None:
+def test_concurrent_writes_on_an_event_loop_share_syncs(tmp_path: Path) -> None:
     async def work() -> None:
         store = await AsyncStore.open(tmp_path / "s", SMALL)
         async with asyncio.timeout(20):
@@ -243,7 +243,7 @@
         assert len(state(store)) == 219
 
 
-def test_the_loop_turns_while_the_disk_is_slow() -> None:
+def test_slow_disk_does_not_block_the_event_loop() -> None:
     """A sync that hangs holds up its writers, and nobody else; what came meanwhile is one group after it."""
     let_go, entered, syncs = threading.Event(), threading.Event(), 0
     disk = MemoryDisk()
@@ -276,7 +276,7 @@
 
 
 def test_mostly_dead_segments_are_compacted_by_themselves(tmp_path: Path) -> None:
-    """Space stays bounded: at most twice what counts, one segment, and a compaction under way."""
+    """Disk space is bounded: twice the live data, one segment and a running compaction."""
 
     async def work() -> None:
         store = await AsyncStore.open(tmp_path / "s", SMALL)
--- a/tests/store/test_store_crashes.py
+++ b/tests/store/test_store_crashes.py
@@ -1,4 +1,4 @@
-"""Every state that a crash may leave: what was acknowledged is there, and batches are whole or not at all."""
+"""Crashes: acknowledged writes survive in every possible disk state, and batches are atomic."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Workload:
-    """Batches on a store, with a note in the disk's log when each was begun and acknowledged."""
+    """Writes batches to a store and records in the disk's log when each is begun and acknowledged."""
 
     def __init__(self, seed: int, batches: int) -> None:
         self.rng, self.disk = random.Random(seed), MemoryDisk()
@@ -56,7 +56,7 @@
         self.disk.say("acknowledged", len(self.states) - 1)
 
     def check(self, count: int, chance: Chance) -> None:
-        """Reopen after a crash, twice, and write on."""
+        """Reopen the store after a crash, twice, and write again."""
         done, begun = marks(self.disk.log[:count])
         disk = self.disk.crashed(count, chance)
         store = Store.open(disk, SMALL)
@@ -80,7 +80,7 @@
     return last("acknowledged"), last("begun")
 
 
-def test_every_crash_of_a_small_workload() -> None:
+def test_recovery_from_every_crash_of_a_small_workload() -> None:
     """Each moment, with nothing kept, everything, and each of the unsynced entries alone kept or lost or
     torn."""
     work = Workload(1, 16)
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_drawn_crashes_of_a_larger_workload(seed: int) -> None:
+def test_recovery_from_random_crashes_of_a_larger_workload(seed: int) -> None:
     work = Workload(100 + seed, 60)
     rng = random.Random(seed)
     for number in range(DRAWN):
@@ -110,7 +110,7 @@
         work.check(count, Chance.drawn((seed, number)))
 
 
-def test_a_machine_that_loses_power_over_and_over_leaves_no_heap_of_segments() -> None:
+def test_repeated_power_loss_does_not_accumulate_segments() -> None:
     disk, options = MemoryDisk(), Options(segment_bytes=4_000, new_salt=lambda: 7)
     for number in range(40):
         store = Store.open(disk, options)
@@ -128,7 +128,7 @@
         assert state_of(store) == {b"last": b"39", **{b"k%d" % n: b"%d" % n for n in range(40)}}
 
 
-def test_a_crash_while_recovering_from_a_crash() -> None:
+def test_recovery_from_a_crash_during_recovery() -> None:
     work = Workload(5, 30)
     rng = random.Random(5)
     for number in range(300):
--- a/tests/store/test_store_damage.py
+++ b/tests/store/test_store_damage.py
@@ -1,4 +1,4 @@
-"""Files that are cut, changed, missing or of another time: said with place and loss, never passed over."""
+"""Truncated, changed, missing or newer files are reported with the offset and the loss."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def filled() -> tuple[MemoryDisk, list[dict[bytes, bytes]]]:
-    """A store with every kind of record, and the state after each batch."""
+    """Return the disk of a store with every kind of record, and the state after each batch."""
     disk = MemoryDisk()
     states: list[dict[bytes, bytes]] = [{}]
     with Store.open(disk, SMALL) as store:
@@ -39,8 +39,8 @@
         return {r.key: r.value for r in store.scan()}
 
 
-def test_every_file_cut_at_every_byte() -> None:
-    """The last segment keeps what is whole; any other file that is cut is refused, or does not matter."""
+def test_truncated_files_are_recovered_or_refused() -> None:
+    """The active segment keeps its intact frames. Truncation of another file is refused or harmless."""
     whole, states = filled()
     active = max(name for name in whole.names() if name.endswith(".seg"))
     kept: set[int] = set()
@@ -68,7 +68,7 @@
     assert kept and max(kept) == len(states) - 1 and kept == set(range(min(kept), max(kept) + 1))
 
 
-def test_every_byte_changed_is_noticed_or_does_not_matter() -> None:
+def test_changed_bytes_are_detected_or_harmless() -> None:
     whole, states = filled()
     noticed = 0
     for name in whole.names():
@@ -90,7 +90,7 @@
     assert noticed > 500
 
 
-def test_a_changed_byte_of_a_value_in_a_sealed_segment_is_told_with_its_place() -> None:
+def test_changed_value_in_a_sealed_segment_is_reported_with_its_offset() -> None:
     disk = MemoryDisk()
     with Store.open(disk, SMALL) as store:
         store.put(b"key", b"needle" * 20)
@@ -110,7 +110,7 @@
         assert store.get(b"other") is not None
 
 
-def test_a_missing_segment_or_manifest_is_told() -> None:
+def test_missing_segment_or_manifest_is_reported() -> None:
     whole, _ = filled()
     for name in whole.names():
         disk = whole.copy()
@@ -122,7 +122,7 @@
             reopened(disk)
 
 
-def test_a_later_format_is_not_touched() -> None:
+def test_files_of_a_newer_format_are_not_changed() -> None:
     whole, _ = filled()
     first = min(name for name in whole.names() if name.endswith(".seg"))
     disk = whole.copy()
@@ -140,14 +140,14 @@
     assert before == {n: bytes(disk.content[i]) for n, i in disk.entries.items()}
 
 
-def test_one_at_a_time() -> None:
+def test_store_cannot_be_opened_twice() -> None:
     disk = MemoryDisk()
     with Store.open(disk, SMALL), pytest.raises(LockedError):
         Store.open(disk, SMALL)
     Store.open(disk, SMALL).close()
 
 
-def test_opening_again_and_again_leaves_no_heap_of_segments() -> None:
+def test_repeated_opening_does_not_accumulate_segments() -> None:
     disk = MemoryDisk()
     Store.open(disk, SMALL).close()
     names = disk.names()
--- a/tests/store/test_store_faults.py
+++ b/tests/store/test_store_faults.py
@@ -1,4 +1,4 @@
-"""Calls of the operating system that fail: what is not sure is not acknowledged, then or later."""
+"""Failing operating system calls: no write is acknowledged unless it is durable."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Once:
-    """Fails the first call of a kind that comes once it is armed."""
+    """Fails the first call of a kind after it is armed."""
 
     def __init__(self, disk: MemoryDisk, what: str, how: OSError | int) -> None:
         self.what, self.how, self.hit = what, how, False
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize("how", [ENOSPC, EIO, 0, 1, 36, 50])
-def test_a_write_that_fails_is_not_there_and_the_store_goes_on(how: OSError | int) -> None:
+def test_failed_write_is_not_stored_and_later_writes_succeed(how: OSError | int) -> None:
     disk = MemoryDisk()
     store = Store.open(disk, SMALL)
     store.put(b"a", b"1")
@@ -60,7 +60,7 @@
         assert state(again) == {b"a": b"1", b"b": b"3"}
 
 
-def test_a_part_that_can_not_be_taken_back_ends_the_store() -> None:
+def test_partial_write_that_cannot_be_truncated_fails_the_store() -> None:
     disk = MemoryDisk()
     store = Store.open(disk, SMALL)
     store.put(b"a", b"1")
@@ -76,8 +76,8 @@
         assert state(again) == {b"a": b"1"}
 
 
-def test_a_sync_that_fails_is_final_and_nothing_is_acknowledged_after_it() -> None:
-    """The bytes may be lost though a later sync succeeds: what was not acknowledged must not be, later."""
+def test_failed_sync_fails_the_store_for_good() -> None:
+    """The bytes may be lost although a later sync succeeds, so the write must not be acknowledged later."""
     disk = MemoryDisk()
     store = Store.open(disk, SMALL)
     store.put(b"a", b"1")
@@ -90,7 +90,7 @@
             store.put(b"c", b"4")
     assert state(store) == {b"a": b"1"}
     store.close()
-    # Opened without a crash: the operating system still shows what the disk may have dropped.
+    # Without a crash the page cache still returns what the disk may have dropped.
     again = Store.open(disk, SMALL)
     shown = state(again)
     again.put(b"d", b"5")
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize("what", ["write", "sync", "create", "rename", "unlink", "sync-folder"])
 @pytest.mark.parametrize("nth", range(12))
-def test_any_call_that_fails_leaves_all_that_was_acknowledged(what: str, nth: int) -> None:
+def test_failed_call_loses_no_acknowledged_write(what: str, nth: int) -> None:
     disk = MemoryDisk()
     store = Store.open(disk, SMALL)
     calls = 0
@@ -138,7 +138,7 @@
                 assert found[key] == value or found[key] in doubtful.get(key, ())
 
 
-def test_a_full_disk_in_a_compaction_leaves_all_as_it_was() -> None:
+def test_full_disk_during_compaction_changes_no_data() -> None:
     disk = MemoryDisk()
     with Store.open(disk, SMALL) as store:
         for number in range(20):
@@ -162,7 +162,7 @@
         assert store.compact() and state(store) == {**before, b"after": b"1"}
 
 
-def test_compaction_stopped_at_any_moment_changes_nothing() -> None:
+def test_stopped_compaction_changes_no_data() -> None:
     for moment in range(0, 30, 3):
         disk = MemoryDisk()
         with Store.open(disk, SMALL) as store:
@@ -181,7 +181,7 @@
             assert state(again) == before
 
 
-def test_a_conflict_takes_nothing_of_its_batch_and_leaves_others_of_its_group() -> None:
+def test_conflict_fails_its_whole_batch_and_no_other_of_the_group() -> None:
     disk = MemoryDisk()
     store = Store.open(disk, SMALL)
     one = store.put(b"a", b"1", expect=0)
@@ -219,7 +219,7 @@
         ([Write(b"k", b"1"), Write(b"k", b"2", expect=0)], "is written twice"),
     ],
 )
-def test_what_can_not_be_written_is_told_before(writes: list[Write], words: str) -> None:
+def test_invalid_batch_raises_value_error(writes: list[Write], words: str) -> None:
     with Store.open(MemoryDisk(), SMALL) as store:
         with pytest.raises(ValueError, match=words):
             store.batch(writes)
@@ -234,7 +234,7 @@
         assert state(store) == {b"": b"", b"large": large, b"none": b""}
 
 
-def test_who_can_not_be_told_does_not_keep_the_others_of_its_group_from_it() -> None:
+def test_failing_callback_does_not_affect_other_batches_of_the_group() -> None:
     def broken(pending: PendingBatch) -> None:
         raise RuntimeError("its loop is closed")
 
@@ -246,9 +246,7 @@
         assert state(store) == {b"a": b"1", b"b": b"2"}
 
 
-def test_a_write_that_the_system_takes_in_parts_is_whole(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_short_writes_are_completed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     real = os.pwrite
     monkeypatch.setattr(os, "pwrite", lambda fd, data, offset: real(fd, bytes(data)[:7], offset))
     with Store.open(tmp_path, SMALL) as store:
@@ -259,7 +257,7 @@
         assert state(store) == {b"k%d" % n: b"v" * n for n in range(30)}
 
 
-def test_signals_between_its_calls_do_not_break_a_write(tmp_path: Path) -> None:
+def test_signals_do_not_break_a_write(tmp_path: Path) -> None:
     """Calls that are interrupted (EINTR) are made again by Python; 16 MiB take long enough to be."""
     came = 0
 
@@ -280,7 +278,7 @@
         assert all(len(r.value) == 16 * 1024 * 1024 for r in store.scan()) and came
 
 
-def test_a_snapshot_reads_what_compaction_has_removed_since() -> None:
+def test_snapshot_reads_records_that_compaction_removed() -> None:
     disk = MemoryDisk()
     with Store.open(disk, SMALL) as store:
         for number in range(12):
@@ -301,7 +299,7 @@
             held.get(b"k0")
 
 
-def test_no_version_is_given_twice_though_all_that_had_it_is_compacted_away() -> None:
+def test_versions_are_not_reused_after_compaction() -> None:
     disk = MemoryDisk()
     for _ in range(3):
         with Store.open(disk, SMALL) as store:
--- a/tests/store/test_store_format.py
+++ b/tests/store/test_store_format.py
@@ -1,4 +1,4 @@
-"""Frames, hints and manifests: what is written is read, and nothing else passes for it."""
+"""Frames, hints and manifests: round trips, and detection of changed bytes."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 @given(st.lists(records, min_size=1, max_size=5), salts)
-def test_a_segment_is_read_as_it_was_written(batch: list[Record], salt: int) -> None:
+def test_segment_round_trip(batch: list[Record], salt: int) -> None:
     data = segment(format.pack_frame(batch, 5, 4, salt), format.pack_mark(5, salt), salt=salt)
     found = scan_segment(data, 3)
     assert (found.problem, found.end, found.durable, found.salt) == ("", len(data), 5, salt)
@@ -33,7 +33,7 @@
 
 
 @given(st.lists(records, min_size=1, max_size=3), st.data())
-def test_no_changed_byte_of_a_frame_passes(batch: list[Record], data: st.DataObject) -> None:
+def test_changed_byte_of_a_frame_is_detected(batch: list[Record], data: st.DataObject) -> None:
     whole = bytearray(segment(format.pack_frame(batch, 5, 4, 9)))
     at = data.draw(st.integers(format.SEGMENT_HEADER.size, len(whole) - 1))
     whole[at] ^= data.draw(st.integers(1, 255))
@@ -42,21 +42,21 @@
 
 
 @given(records, salts, salts)
-def test_a_frame_of_another_segment_does_not_pass(record: Record, salt: int, other: int) -> None:
-    """A value may hold a whole store: its frames begin as ours do."""
+def test_frame_of_another_segment_is_rejected(record: Record, salt: int, other: int) -> None:
+    """A value may contain frames of another store, which begin with the same magic."""
     inner = format.pack_frame([record], 7, 6, other)
     data = segment(b"torn", format.pack_frame([Record(PUT, b"k", inner, 1)], 1, 0, salt)[:-1], salt=salt)
     assert not scan_segment(data, 3).frames_after_problem or salt == other
 
 
-def test_a_frame_after_damage_is_found_and_says_what_was_durable() -> None:
+def test_frame_after_damage_proves_the_durable_version() -> None:
     one, two, three = (format.pack_frame([Record(PUT, b"k", b"v" * n, n)], n, n - 1, 9) for n in (1, 2, 3))
     torn = scan_segment(segment(one, two[:-1] + b"?", three), 3)
     assert torn.problem == "a frame's checksum does not match" and torn.durable == 2
     (damage,) = plan_recovery(torn, 0).damage
     assert (damage.file, damage.offset) == ("00000003.seg", format.SEGMENT_HEADER.size + len(one))
     assert "versions from 2 to 2 were acknowledged" in damage.lost
-    # Both were written before either was synced: nobody was told of them.
+    # Both were written before either was synced, so neither was acknowledged.
     three = format.pack_frame([Record(PUT, b"k", b"v", 3)], 3, 1, 9)
     cut = plan_recovery(scan_segment(segment(one, two[:-1] + b"?", three), 3), 0)
     assert (
@@ -66,7 +66,7 @@
     )
 
 
-def test_what_nothing_proves_durable_is_written_again() -> None:
+def test_frames_not_proven_durable_are_rewritten() -> None:
     one, two = (format.pack_frame([Record(PUT, b"k", b"v", n)], n, n - 1, 9) for n in (1, 2))
     found = plan_recovery(scan_segment(segment(one, two), 3), 0)
     assert [f.header.version for f in found.rewrite] == [
@@ -81,7 +81,7 @@
     )
 
 
-def test_the_last_batch_is_not_taken_for_a_torn_end_once_a_mark_follows_it() -> None:
+def test_damaged_last_batch_before_a_mark_is_not_a_torn_write() -> None:
     one = format.pack_frame([Record(PUT, b"k", b"v", 1)], 1, 0, 9)
     data = bytearray(segment(one, format.pack_mark(1, 9)))
     data[format.SEGMENT_HEADER.size + len(one) - 1] ^= 1
@@ -89,12 +89,12 @@
 
 
 @pytest.mark.parametrize("cut", range(format.SEGMENT_HEADER.size))
-def test_a_segment_without_its_header_is_damage(cut: int) -> None:
+def test_segment_without_its_header_is_damaged(cut: int) -> None:
     (damage,) = plan_recovery(scan_segment(segment()[:cut], 3), 0).damage
     assert damage.offset == 0
 
 
-def test_a_later_format_is_told_apart_from_damage() -> None:
+def test_newer_format_is_distinguished_from_damage() -> None:
     head = bytearray(segment())
     head[4] = format.FORMAT_VERSION + 1
     with pytest.raises(format.NewerFormatError, match="format 2; this program reads format 1"):
@@ -104,7 +104,7 @@
 
 
 @given(st.lists(records, max_size=5))
-def test_a_hint_is_read_as_it_was_written_and_no_changed_byte_passes(batch: list[Record]) -> None:
+def test_hint_round_trip_and_changed_bytes_are_detected(batch: list[Record]) -> None:
     found = scan_segment(segment(format.pack_frame(batch or [Record(PUT, b"", b"", 1)], 5, 4, 9)), 3)
     hint = format.Hint()
     for place in found.frames[0].record_metadata:
@@ -122,7 +122,7 @@
                 format.read_hint(wrong, 3, found.end)
 
 
-def test_a_manifest_is_read_as_it_was_written_and_no_changed_byte_passes() -> None:
+def test_manifest_round_trip_and_changed_bytes_are_detected() -> None:
     made = Manifest((SealedSegment(1, 900, 1, 7), SealedSegment(4, 30, 8, 9)), 5, 6, 9)
     data = made.pack()
     assert Manifest.read(data) == made
--- a/tests/store/test_store_machine.py
+++ b/tests/store/test_store_machine.py
@@ -1,4 +1,4 @@
-"""Any order of calls beside a dictionary, with crashes and full disks between them."""
+"""Compares the store with a dictionary under random calls, crashes and full disks."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 batches = st.lists(st.builds(Write, keys, values), min_size=1, max_size=4)
 
 
-class Beside(RuleBasedStateMachine):
+class StoreComparison(RuleBasedStateMachine):
     @initialize()
     def begin(self) -> None:
         self.disk = MemoryDisk()
@@ -140,5 +140,5 @@
             self.store.close()
 
 
-TestBeside = Beside.TestCase
+TestBeside = StoreComparison.TestCase
 TestBeside.settings = settings(max_examples=60, stateful_step_count=40, deadline=None)
--- a/tests/store/test_store_second_reader.py
+++ b/tests/store/test_store_second_reader.py
@@ -1,4 +1,4 @@
-"""A reader written from docs/design/store-format.md alone: it reads what the store wrote."""
+"""A second reader, written only from docs/design/store-format.md, reads what the store wrote."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def hinted(files: dict[str, bytes], number: int) -> list[tuple[bytes, int]]:
-    """Keys and offsets of a hint."""
+    """Return the keys and offsets of a hint file."""
     data, found, at = files[f"{number:08d}.hint"], [], 32
     magic, form, zero, named, _, count, check = struct.unpack("<4sHHQQII", data[:32])
     assert (magic, form, zero, named) == (b"RPHT", 1, 0, number)
@@ -62,7 +62,7 @@
     return found
 
 
-def test_a_second_reader_reads_the_same() -> None:
+def test_second_reader_reads_the_same_records() -> None:
     rng, disk = random.Random(3), MemoryDisk()
     with Store.open(disk, Options(segment_bytes=900)) as store:
         for number in range(120):
@@ -81,15 +81,15 @@
             assert segment[offset + 19 : offset + 19 + len(key)] == key
 
 
-def test_no_part_of_the_store_reads_a_clock() -> None:
-    """A clock that steps can't hurt what does not look at it."""
+def test_store_reads_no_clock() -> None:
+    """A stepping clock cannot affect code that reads none."""
     sources = [path.read_text() for path in PACKAGE.glob("*.py")]
     assert len(sources) > 8
     assert not any(re.search(r"^(import|from) (time|datetime)\b", text, re.M) for text in sources)
 
 
-def test_many_threads_each_get_their_turn() -> None:
-    """A thread that finds the log taken sleeps; whoever gives it back must wake the next."""
+def test_many_writing_threads_all_complete() -> None:
+    """A thread that finds the log locked sleeps. The thread that releases the lock must wake the next one."""
     store, told = Store.open(MemoryDisk(), Options(segment_bytes=3_000)), list[int]()
 
     def write(mine: int) -> None:
@@ -109,7 +109,7 @@
     store.close()
 
 
-def test_one_that_came_while_another_wrote_is_woken_though_nobody_comes_after() -> None:
+def test_thread_queued_during_a_write_is_woken_without_later_writers() -> None:
     entered, let_go, told = threading.Event(), threading.Event(), list[int]()
 
     def fault(op: Op) -> None:
