--- a/roadpulley/plans/feed.py
+++ b/roadpulley/plans/feed.py
@@ -1,13 +1,13 @@
-"""The feed: what gateways follow. Everything that holds now or is known to hold later, in one document.
+"""The feed that gateways follow: all current and scheduled terms in one document.
 
     {"format": 1, "seq": 7, "fence": 12, "made_at": 1796135433513,
      "plans":     {"basic": [[from, version, {terms}], ...]},
      "customers": {"00000000b4d65521": [[from, plan, version, override, {terms} or null], ...]}}
 
-Each list is in the order of time and its first entry holds already; a gateway goes from one entry to the next
-by its own clock, so that a change holds everywhere at its time without a message. `null`: the customer has
-the plan that its requests name, as the deployment's settings or `plans` have it. `fence`: of the holding
-under which it was published, where a fleet does that; 0 or missing: by a command.
+Each list is in the order of time, and its first entry is effective already. A gateway moves from one entry to
+the next by its own clock, so a change takes effect everywhere at its time without a message. `null` terms
+mean that the customer has the plan that its requests name, from `plans` or the deployment's settings. `fence` is
+the fence of the fleet's duty that published the document; it is 0 or missing if a command published it.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 from .terms import Terms, read_terms, terms_to_dict, validate_customer_id, validate_plan_name
 
 FORMAT = 1
-MAX_DOCUMENT_BYTES = 64 * 2**20  # of a document: some 300,000 customers with terms of their own
+MAX_DOCUMENT_BYTES = 64 * 2**20  # about 300,000 customers with terms of their own
 MAX_TIME_MS = 2**53
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """What holds from a time on. `terms` None, of a customer: those of the plan that its requests name."""
+    """Terms from a time on. `terms` is None for a customer with the plan that its requests name."""
 
     effective_from: int
     plan: str
@@ -41,6 +41,8 @@
 
 @dataclass(frozen=True)
 class Document:
+    """A feed document. A later one has a higher `seq`."""
+
     seq: int
     made_at: int
     plans: dict[str, tuple[Entry, ...]]
@@ -48,22 +50,24 @@
     fence: int = 0
 
 
-# ---- written ----
+# ---- encoding ----
 
 
-OnTopRates = Callable[
-    [str], list[tuple[int, int, int]]
-]  # of a customer: from, until before, millionths a second
+OnTopRates = Callable[[str], list[tuple[int, int, int]]]  # of a customer: (start, end, rate_micro)
 
 
 def no_on_top_rates(customer: str) -> list[tuple[int, int, int]]:
+    """Return no rates: the default without reservations."""
     return []
 
 
 def build_document(
     catalog: PlanCatalog, now: int, seq: int, get_on_top_rates: OnTopRates = no_on_top_rates, fence: int = 0
 ) -> Document:
-    """`tops`: reservations on top, which raise a customer's rate for their time."""
+    """Build the document of all current and scheduled terms.
+
+    `get_on_top_rates` returns the reservations on top of a plan. They raise a customer's rate for their span.
+    """
     plans = {}
     for name, rows in catalog.plans.items():
         times = [
@@ -88,17 +92,18 @@
 
 
 def build_timeline(times: list[int], entry: Any) -> tuple[Entry, ...]:
-    """Entries at these times, without those that change nothing."""
+    """Return the entries at these times, without those that change nothing."""
     out: list[Entry] = []
     for at in times:
-        got: Entry | None = entry(at)
-        same = out and got is not None and (out[-1].plan, out[-1].terms) == (got.plan, got.terms)
-        if got is not None and not (same and out[-1].version == got.version):
-            out.append(got)
+        current: Entry | None = entry(at)
+        same = out and current is not None and (out[-1].plan, out[-1].terms) == (current.plan, current.terms)
+        if current is not None and not (same and out[-1].version == current.version):
+            out.append(current)
     return tuple(out)
 
 
 def get_plan_entry(catalog: PlanCatalog, name: str, at: int) -> Entry | None:
+    """Return the entry of a plan, None if no version is effective yet."""
     version = catalog.get_version_at(name, at)
     return Entry(max(version.effective_from, 0), name, version.number, 0, version.terms) if version else None
 
@@ -106,7 +111,7 @@
 def get_customer_entry(
     catalog: PlanCatalog, customer: str, at: int, extra: list[tuple[int, int, int]]
 ) -> Entry:
-    """Its own terms, where it has an assignment or an override of a plan that the catalog knows."""
+    """Return a customer's entry. It has terms if the assigned plan is in the catalog."""
     assigned, terms = catalog.get_effective_terms(customer, "", at), None
     if assigned.terms is not None:
         more = sum(rate for start, end, rate in extra if start <= at < end) / MICRO
@@ -115,13 +120,15 @@
 
 
 def dump(doc: Document) -> bytes:
+    """Encode a document as JSON."""
+
     def entry(e: Entry) -> list[Any]:
         return [e.effective_from, e.plan, e.version, e.override, terms_to_dict(e.terms) if e.terms else None]
 
     raw = {
         "format": FORMAT,
         "seq": doc.seq,
-        **({"fence": doc.fence} if doc.fence else {}),  # followers of before know no such key
+        **({"fence": doc.fence} if doc.fence else {}),  # older followers reject this key
         "made_at": doc.made_at,
         "plans": {name: [entry(e) for e in rows] for name, rows in sorted(doc.plans.items())},
         "customers": {name: [entry(e) for e in rows] for name, rows in sorted(doc.customers.items())},
@@ -129,11 +136,11 @@
     return json.dumps(raw, separators=(",", ":")).encode()
 
 
-# ---- read ----
+# ---- decoding ----
 
 
 def load(data: bytes) -> Document:
-    """Raises ValidationError with the place; nothing of a document that is not whole may be used."""
+    """Decode a whole document. Raises ValidationError with the place; no part of it may be used then."""
     if len(data) > MAX_DOCUMENT_BYTES:
         raise ValidationError(
             "", f"has {len(data):,} bytes", f"give a feed of at most {MAX_DOCUMENT_BYTES:,}"
@@ -167,6 +174,7 @@
 
 
 def read_entries(table: Table, name: str, allow_null_terms: bool) -> tuple[Entry, ...]:
+    """Read the entries of one plan or customer. Raises ValidationError."""
     path, value = table.path_of(name), table.raw[name]
     if not isinstance(value, list) or not value:
         raise ValidationError(path, f"is {format_value(value)}", "give a list of entries")
@@ -189,6 +197,7 @@
 
 
 def read_complete_terms(table: Table) -> Terms:
+    """Read terms of which none may be missing. Raises ValidationError."""
     terms = read_terms(table, whole=True)
     table.reject_unknown_keys()
     return terms
--- a/roadpulley/plans/step_function.py
+++ b/roadpulley/plans/step_function.py
@@ -1,18 +1,21 @@
-"""A sum of rates over time, as a step function: added to over spans, asked for its most in one.
+"""A step function of time that sums rates over spans and finds the maximum over a span.
 
-Steps lie in blocks in the order of time; a block knows its highest step and carries one amount that is due to
-all of its steps. So a span touches two blocks step by step and those between as a whole: with 200,000 steps
-some hundred operations, where a plain list would take all of them.
+Steps are stored in blocks in the order of time. A block knows its minimum and maximum and has one offset that
+is added to all of its levels. An operation on a span visits single steps only in the first and last block and
+updates the blocks between as a whole. With 200,000 steps that is about a hundred operations, where a plain
+list would need one for each step.
 """
 
 from __future__ import annotations
 
 from bisect import bisect_right
 
-BLOCK_STEPS = 256  # steps; a block is cut in two at twice as many
+BLOCK_STEPS = 256  # a block with twice as many steps is split in two
 
 
 class Block:
+    """Consecutive steps. The level of a step is its entry in `levels` plus `offset`."""
+
     __slots__ = ("levels", "max_level", "min_level", "offset", "times")
 
     def __init__(self, times: list[int], levels: list[int]) -> None:
@@ -20,21 +23,22 @@
         self.update_bounds()
 
     def update_bounds(self) -> None:
+        """Recompute the minimum and maximum."""
         self.max_level, self.min_level = max(self.levels) + self.offset, min(self.levels) + self.offset
 
 
 class StepFunction:
-    """Integers throughout, so that what was added and taken away again leaves nothing behind."""
+    """A step function with integer levels, so that adding and subtracting an amount is exact."""
 
     def __init__(self) -> None:
-        self.blocks = [Block([0], [0])]  # a step begins at its time and ends where the next begins
-        self.starts = [0]  # of the blocks
+        self.blocks = [Block([0], [0])]  # a step lasts until the start of the next
+        self.starts = [0]  # start time of each block
 
     def __len__(self) -> int:
         return sum(len(b.times) for b in self.blocks)
 
     def add(self, start: int, end: int, amount: int) -> None:
-        """From `start` until before `end`."""
+        """Add an amount from `start` up to but not including `end`."""
         if start >= end or not amount:
             return
         self._split_at(start)
@@ -54,19 +58,19 @@
             block.update_bounds()
 
     def get_max(self, start: int, end: int) -> int:
-        """The highest level of a span."""
+        """Return the maximum level over a span, 0 for an empty one."""
         return max((level for _, level in self._get_block_maxima(start, end)), default=0)
 
     def find_first_above(self, start: int, end: int, limit: int) -> tuple[int, int] | None:
-        """The first stretch of a span whose level is over a limit: from, and until before."""
-        began = None
+        """Return start and end of the first stretch of a span whose level exceeds a limit."""
+        above_since = None
         if start >= end:
             return None
         for number in range(self._find_block(start), len(self.blocks)):
             block = self.blocks[number]
-            if began is None and block.max_level <= limit:
+            if above_since is None and block.max_level <= limit:
                 continue
-            if began is not None and block.min_level > limit and block.times[-1] < end:
+            if above_since is not None and block.min_level > limit and block.times[-1] < end:
                 continue
             for at, time in enumerate(block.times):
                 until = (
@@ -75,16 +79,16 @@
                 if until is not None and until <= start:
                     continue
                 if time >= end:
-                    return (began, end) if began is not None else None
+                    return (above_since, end) if above_since is not None else None
                 high = block.levels[at] + block.offset > limit
-                if high and began is None:
-                    began = max(time, start)
-                elif not high and began is not None:
-                    return began, time
-        return (began, end) if began is not None else None
+                if high and above_since is None:
+                    above_since = max(time, start)
+                elif not high and above_since is not None:
+                    return above_since, time
+        return (above_since, end) if above_since is not None else None
 
     def find_last_end_above(self, start: int, end: int, limit: int) -> int | None:
-        """Where the last stretch of a span ends whose level is over a limit."""
+        """Return the end of the last stretch of a span whose level exceeds a limit."""
         if start >= end:
             return None
         for number in range(self._find_block(end - 1), self._find_block(start) - 1, -1):
@@ -102,7 +106,7 @@
         return None
 
     def drop_before(self, before: int) -> None:
-        """Drop the steps of the past, whose place the last of them takes."""
+        """Drop steps that end by `before`; the step at that time then starts at 0."""
         number = self._find_block(before)
         block = self.blocks[number]
         at = bisect_right(block.times, before) - 1
@@ -111,7 +115,7 @@
         block.update_bounds()
         self.blocks, self.starts = self.blocks[number:], [0, *self.starts[number + 1 :]]
 
-    # ---- inside ----
+    # ---- internal ----
 
     def _find_block(self, time: int) -> int:
         return bisect_right(self.starts, time) - 1
@@ -134,7 +138,7 @@
         return found
 
     def _split_at(self, time: int) -> None:
-        """Have a step begin at a time."""
+        """Split the step that contains a time, so that a step starts there."""
         number = self._find_block(time)
         block = self.blocks[number]
         at = bisect_right(block.times, time) - 1
