--- a/roadpulley/plans/feed.py
+++ b/roadpulley/plans/feed.py
@@ -6,8 +6,8 @@
 
 Each list is in the order of time, and its first entry is effective already. A gateway moves from one entry to
 the next by its own clock, so a change takes effect everywhere at its time without a message. `null` terms
-mean that the customer has the plan that its requests name, from `plans` or the deployment's settings. `fence` is
-the fence of the fleet's duty that published the document; it is 0 or missing if a command published it.
+mean that the customer has the plan that its requests name, from `plans` or the deployment's settings. `fence`
+is the fence of the fleet's duty that published the document; it is 0 or missing if a command published it.
 """
 
 from __future__ import annotations
@@ -53,7 +53,8 @@
 # ---- encoding ----
 
 
-OnTopRates = Callable[[str], list[tuple[int, int, int]]]  # of a customer: (start, end, rate_micro)
+# Returns a customer's reservations on top of its plan, as (start, end, rate in millionths per second).
+OnTopRates = Callable[[str], list[tuple[int, int, int]]]
 
 
 def no_on_top_rates(customer: str) -> list[tuple[int, int, int]]:
--- a/tests/plans/test_catalog.py
+++ b/tests/plans/test_catalog.py
@@ -1,4 +1,4 @@
-"""The book beside a plain model, and a gateway that follows its feed through records, bytes and time."""
+"""Compares the plan catalog with a plain model, and a gateway that follows its feed with both."""
 
 from __future__ import annotations
 
@@ -21,28 +21,27 @@
 
 
 class Model:
-    """What was asked for, as lists that are searched anew each time."""
+    """The commands as plain lists, which each query searches in full."""
 
     def __init__(self) -> None:
         self.plans: list[tuple[str, int, int, float]] = []  # plan, from, order, rate
         self.assigned: list[tuple[str, int, int, str]] = []
-        self.overrides: list[
-            tuple[str, int, int, int, float | None]
-        ] = []  # customer, from, until, order, rate
+        # customer, from, until, order, rate
+        self.overrides: list[tuple[str, int, int, int, float | None]] = []
 
     def rate(self, plan: str, at: int) -> float | None:
-        held = [
+        started = [
             (start, order, rate) for name, start, order, rate in self.plans if name == plan and start <= at
         ]
-        return max(held)[2] if held else None
+        return max(started)[2] if started else None
 
     def own(self, customer: str, at: int) -> tuple[str, float] | None:
-        held = [
+        started = [
             (start, order, plan)
             for who, start, order, plan in self.assigned
             if who == customer and start <= at
         ]
-        plan = max(held)[2] if held else ""
+        plan = max(started)[2] if started else ""
         rate = self.rate(plan, at)
         if rate is None:
             return None
@@ -68,18 +67,18 @@
 
 @given(steps=st.lists(STEP, max_size=25))
 @settings(max_examples=200, deadline=None)
-def test_a_follower_goes_by_what_the_model_says_at_every_time(steps: list[Any]) -> None:
-    """Through records and documents as bytes; a gateway that comes later finds the same."""
+def test_follower_matches_model_at_every_time(steps: list[Any]) -> None:
+    """Versions and documents are encoded and decoded. A follower that starts later has the same plans."""
     catalog, model, now, order, seq = PlanCatalog(), Model(), 1_000_000, 0, 0
     made: list[tuple[Version, tuple[list[Any], Any]]] = []
-    follower, told = Follower(BASE), dict[tuple[str, str], api.Plan | None]()
+    follower, sent_plans = Follower(BASE), dict[tuple[str, str], api.Plan | None]()
 
     def take(events: list[api.PlanChanged]) -> None:
         for event in events:
             named = (
                 ("customer", event.customer) if event.customer else ("plan", event.plan and event.plan.name)
             )
-            told[named] = event.plan  # type: ignore[index]
+            sent_plans[named] = event.plan  # type: ignore[index]
 
     def publish() -> None:
         nonlocal seq
@@ -122,36 +121,36 @@
                 while follower.get_next_change_ms() <= until_:
                     now = max(now, int(follower.get_next_change_ms()))
                     take(follower.advance(now))
-                    check_told(model, told, now, seq, catalog)
+                    check_sent_plans(model, sent_plans, now, seq, catalog)
                 now = until_
             if kind != "wait":
                 publish()
         except ValidationError:
-            continue  # refused: the model does not have it either
-        check_told(model, told, now, seq, catalog)
+            continue  # a rejected command isn't in the model either
+        check_sent_plans(model, sent_plans, now, seq, catalog)
     late = Follower(BASE)
     events = late.apply(now, feed.build_document(catalog, now, seq + 1))
     fresh = {e.customer: e.plan for e in events if e.customer}
     for customer in CUSTOMERS:
-        assert fresh.get(customer) == told.get(("customer", customer))
+        assert fresh.get(customer) == sent_plans.get(("customer", customer))
 
 
-def check_told(
-    model: Model, told: dict[Any, api.Plan | None], now: int, seq: int, catalog: PlanCatalog
+def check_sent_plans(
+    model: Model, sent_plans: dict[Any, api.Plan | None], now: int, seq: int, catalog: PlanCatalog
 ) -> None:
     if not seq:
         return
     for name in PLANS:
-        rate, plan = model.rate(name, now), told.get(("plan", name))
-        held = catalog.get_version_at(name, now)
-        assert (held.terms.rate if held else None) == rate
+        rate, plan = model.rate(name, now), sent_plans.get(("plan", name))
+        version = catalog.get_version_at(name, now)
+        assert (version.terms.rate if version else None) == rate
         assert (plan.rate if plan else None) == (rate if rate is not None or plan is None else plan.rate)
     for customer in CUSTOMERS:
-        own, plan = model.own(customer, now), told.get(("customer", customer))
+        own, plan = model.own(customer, now), sent_plans.get(("customer", customer))
         assert (plan and (plan.name, plan.rate)) == own, (customer, now)
 
 
-def test_a_version_that_has_begun_is_never_changed_and_a_stale_command_changes_nothing() -> None:
+def test_effective_version_and_conflicting_command_are_rejected() -> None:
     catalog = PlanCatalog()
     first = catalog.schedule(1_000, "basic", Terms(rate=1, burst=4))
     catalog.apply(first)
@@ -177,12 +176,12 @@
         (Terms(rate=5, burst=5, ceiling_rate=4, ceiling_burst=9), "terms.ceiling_rate: is 4; give 5"),
     ],
 )
-def test_terms_that_contradict_each_other_are_refused_by_name(terms: Terms, place: str) -> None:
+def test_contradictory_terms_are_rejected_with_their_path(terms: Terms, place: str) -> None:
     with pytest.raises(ValidationError, match=place.replace(".", r"\.")):
         PlanCatalog().schedule(0, "basic", terms)
 
 
-def test_a_restored_store_takes_back_nothing_that_gateways_have() -> None:
+def test_document_of_a_restored_store_is_ignored() -> None:
     catalog, follower = PlanCatalog(), Follower(BASE)
     catalog.apply(catalog.schedule(1_000, "basic", Terms(rate=1, burst=4)))
     yesterday = feed.build_document(catalog, 1_000, 1)
@@ -201,7 +200,7 @@
 
 @given(data=st.binary(max_size=60), raw=RAW, at=st.sampled_from(["plans", "customers", "format", "seq"]))
 @settings(max_examples=300, deadline=None)
-def test_whatever_is_no_feed_and_no_record_is_refused_with_its_place(data: bytes, raw: Any, at: str) -> None:
+def test_malformed_feeds_and_records_are_rejected(data: bytes, raw: Any, at: str) -> None:
     import json
 
     good: dict[str, Any] = {"format": 1, "seq": 1, "made_at": 1, "plans": {}, "customers": {}}
--- a/tests/plans/test_plans_in_service.py
+++ b/tests/plans/test_plans_in_service.py
@@ -1,4 +1,4 @@
-"""A change on disk reaches a gateway on sockets; crashes between the store and the feed are mended."""
+"""Changes of plans by command reach a running gateway; a feed that is older than its store is republished."""
 
 from __future__ import annotations
 
@@ -28,14 +28,14 @@
     return main(["plan", "--settings", str(folder / "plans.toml"), *words])
 
 
-async def through(world: World, least: int) -> None:
-    """Ask until so many were served: a stall may have some refused."""
+async def wait_for_served(world: World, least: int) -> None:
+    """Send requests until `least` of them were served; some may be rejected during a stall."""
     peer = await world.client()
     while least:
         least -= await world.ask(peer, id=secrets.token_hex(8).encode(), plan=b"basic") == b"value"
 
 
-def test_an_upgrade_by_command_reaches_a_gateway_that_serves(
+def test_upgrade_by_command_reaches_a_running_gateway(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
@@ -47,16 +47,16 @@
         async with running(World(Backend())) as world:
             watch = FeedWatcher(tmp_path / "feed.json", 10.0, seen[0], seen[0].timers)
             watch.poll()
-            assert "plans stay as they are" in caplog.text  # no feed yet, told once
-            # The deployment's own plan: 2, and 1 a second, so at most 22 in the time that this test has.
-            await through(world, 1)
+            assert "plans stay as they are" in caplog.text  # no feed yet
+            # The deployment's plan has a burst of 2 and a rate of 1 per second, at most 22 during this test.
+            await wait_for_served(world, 1)
             loop = asyncio.get_running_loop()
             assert (
                 await loop.run_in_executor(None, plan, tmp_path, "set", "basic", "--rate=1", "--burst=60")
                 == 0
             )
             await until(lambda: watch.follower.document.seq)
-            await through(world, 40)
+            await wait_for_served(world, 40)
             (tmp_path / "feed.json").write_bytes(b'{"format": 1')
             await until(lambda: "is no JSON" in caplog.text)
             customer = "00000000b4d65521"
@@ -64,15 +64,15 @@
             for each in words:
                 assert await loop.run_in_executor(None, plan, tmp_path, *each) == 0
             await until(lambda: seen[0].gateway.quotas.customer_plans.get(customer, None) is not None)
-            # By the gateway's own clock:
+            # The override becomes effective by the gateway's clock.
             await until(lambda: seen[0].gateway.quotas.customer_plans[customer].burst == 120)
-            await through(world, 40)
+            await wait_for_served(world, 40)
             watch.close()
 
     in_loop(scenario)
 
 
-def test_a_crash_between_store_and_feed_is_mended_and_the_second_of_two_is_told(tmp_path: Path) -> None:
+def test_feed_is_republished_after_crash_and_conflicting_write_is_rejected(tmp_path: Path) -> None:
     file = tmp_path / "feed.json"
     with Store.open(tmp_path / "book") as store:
         plan_store = PlanStore(store, file, lambda: 5_000)
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "said"),
+    ("words", "message"),
     [
         (("set", "Basic", "--rate=1", "--burst=2"), "plan: is 'Basic'; give 1 to 48 of"),
         (("set", "basic", "--rate=1"), "plan basic: rate is 1 and burst 0; give both"),
@@ -103,16 +103,18 @@
         (("history", "firm"), "firm: is no plan and no customer of the book; the plans are: none yet"),
     ],
 )
-def test_bad_words_change_nothing_and_name_the_place(
-    words: tuple[str, ...], said: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+def test_invalid_arguments_are_rejected_with_their_path(
+    words: tuple[str, ...], message: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (tmp_path / "plans.toml").write_text(SETTINGS)
     assert plan(tmp_path, *words) == 2
-    assert said in capsys.readouterr().err
+    assert message in capsys.readouterr().err
     assert load((tmp_path / "feed.json").read_bytes()).seq == 0
 
 
-def test_bad_settings_name_the_file_and_the_key(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_unknown_setting_is_rejected_with_file_and_key(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     (tmp_path / "plans.toml").write_text(SETTINGS + "looks = 3\n")
     assert plan(tmp_path, "list") == 2
     assert "plans.toml: looks: is no key here; did you mean look_ms?" in capsys.readouterr().err
@@ -122,7 +124,7 @@
     return main(["reserve", "--settings", str(folder / "plans.toml"), *words])
 
 
-def test_a_reservation_on_top_raises_a_rate_for_its_time_and_survives_the_command(
+def test_reservation_on_top_raises_the_rate_for_its_span_and_is_stored(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     (tmp_path / "plans.toml").write_text(SETTINGS + "pool = 15\n")
@@ -133,7 +135,7 @@
     assert plan(tmp_path, "assign", who, "basic") == 0
     start = (int(time.time()) + 86_400) * 1000  # tomorrow
     span = [f"--{name}={shown(at)}" for name, at in (("from", start), ("until", start + 600_000))]
-    for _ in range(2):  # its first answer may have been lost
+    for _ in range(2):  # repeated, as after a lost answer
         assert reserve(tmp_path, "make", who, "6000", *span, "--on-top", "--id=a") == 0
     assert reserve(tmp_path, "make", who, "6000", *span, "--on-top", "--id=b") == 2
     assert "the installation's pool is promised already; 3,000 units fit" in capsys.readouterr().err
--- a/tests/plans/test_reservations.py
+++ b/tests/plans/test_reservations.py
@@ -1,4 +1,4 @@
-"""Promises beside a plain sum over every second, and the steps beside a plain list."""
+"""Compares reservations with a plain sum over every second, and the step function with a plain list."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 A, B, S = "00000000000000aa", "00000000000000bb", 1_000
 TERMS = {A: Terms(rate=10, burst=10, ceiling_rate=16, ceiling_burst=20), B: Terms(rate=6, burst=10)}
 LOWER = Terms(rate=4, burst=10, ceiling_rate=16, ceiling_burst=20)
-SPAN = 20  # seconds that are looked at
+SPAN = 20  # seconds within which a plan may be lowered
 
 
 def make_ledger(lowered: list[int] | None = None) -> ReservationLedger:
-    """A's plan is lowered at each of these seconds, and stays so."""
+    """Return a ledger in which A's plan is lowered from each of these seconds on."""
 
     def bounds(customer: str, since: int) -> TermsTimeline:
         rows: list[tuple[int, Terms | None]] = [(0, TERMS[customer])]
@@ -37,9 +37,11 @@
     asked=st.tuples(st.integers(0, 60), st.integers(0, 60), st.integers(-9, 40)),
 )
 @settings(max_examples=300, deadline=None)
-def test_steps_are_as_a_plain_list(steps_: list[Any], block: int, asked: tuple[int, int, int]) -> None:
-    """With blocks so small that they are cut all the time."""
-    plain, kept = [0] * 61, step_function.BLOCK_STEPS
+def test_step_function_matches_a_plain_list(
+    steps_: list[Any], block: int, asked: tuple[int, int, int]
+) -> None:
+    """The blocks are so small that they are split often."""
+    plain, default_block_steps = [0] * 61, step_function.BLOCK_STEPS
     step_function.BLOCK_STEPS = block
     try:
         fast = StepFunction()
@@ -59,7 +61,7 @@
         fast.drop_before(low)
         assert fast.get_max(low, 61) == max(plain[low:], default=0)
     finally:
-        step_function.BLOCK_STEPS = kept
+        step_function.BLOCK_STEPS = default_block_steps
 
 
 ASK = st.tuples(
@@ -79,14 +81,14 @@
 )
 
 
-def promised(reservations: list[Reservation], at: int, on_top: bool, who: str | None = None) -> int:
+def sum_rates(reservations: list[Reservation], at: int, on_top: bool, who: str | None = None) -> int:
     rows = (r for r in reservations if r.on_top == on_top and who in (None, r.customer))
     return sum(r.rate_micro for r in rows if r.start <= at * S < r.effective_end)
 
 
 @given(todo=st.lists(DO, max_size=30))
 @settings(max_examples=200, deadline=None)
-def test_promises_never_exceed_plan_ceiling_and_pool_and_what_is_offered_fits(todo: list[Any]) -> None:
+def test_reservations_stay_within_limits_and_offers_fit(todo: list[Any]) -> None:
     lowered: list[int] = []
     ledger, made, now = make_ledger(lowered), list[Reservation](), 0
 
@@ -95,9 +97,9 @@
             terms = LOWER if r.customer == A and any(t <= at for t in lowered) else TERMS[r.customer]
             most = terms.ceiling_rate - terms.rate if r.on_top else terms.rate
             if terms.ceiling_rate or not r.on_top:
-                if promised(made, at, r.on_top, r.customer) + r.rate_micro > most * MICRO:
+                if sum_rates(made, at, r.on_top, r.customer) + r.rate_micro > most * MICRO:
                     return False
-            if r.on_top and promised(made, at, True) + r.rate_micro > 8 * MICRO:
+            if r.on_top and sum_rates(made, at, True) + r.rate_micro > 8 * MICRO:
                 return False
         return True
 
@@ -124,11 +126,11 @@
                 continue
             ledger.apply(answer)
             made.append(answer)
-            assert ledger.admit(now * S, r) == answer  # a lost answer, asked again
+            assert ledger.admit(now * S, r) == answer  # repeated, as after a lost answer
 
 
 def check_offer(no: Rejection, r: Reservation, fits: Any) -> None:
-    """What is said to fit does, and no more of it and nothing sooner would."""
+    """The offered units and start fit, and neither more units nor an earlier start would."""
     from dataclasses import replace
 
     if no.available_units:
@@ -142,7 +144,7 @@
             assert not fits(replace(r, start=r.start + sooner, end=r.end + sooner))
 
 
-def test_one_may_begin_in_the_millisecond_in_which_another_ends() -> None:
+def test_reservation_may_start_when_another_ends() -> None:
     ledger = make_ledger()
     for number in range(10):
         r = Reservation(f"r{number}", A, 20, 1_001 + number * 2_000, 3_001 + number * 2_000)
@@ -153,7 +155,7 @@
     assert isinstance(no, Rejection) and (no.limit, no.available_units, no.next_start) == ("plan", 0, 21_001)
 
 
-def test_a_plan_lowered_below_its_promises_keeps_them_and_says_so() -> None:
+def test_lowered_plan_keeps_its_reservations_and_is_reported() -> None:
     lowered: list[int] = []
     ledger = make_ledger(lowered)
     answer = ledger.admit(0, Reservation("r", A, 80, 0, 10_000))
@@ -178,7 +180,7 @@
         (Reservation("r", A, 1, -1_001, 5_000), "from"),
     ],
 )
-def test_what_can_never_be_promised_is_refused_by_name(r: Reservation, place: str) -> None:
+def test_impossible_reservation_is_rejected_with_its_field(r: Reservation, place: str) -> None:
     with pytest.raises(ValidationError, match=place):
         make_ledger().admit(0, r)
     with pytest.raises(ValidationError, match="no reservation that is open"):
