--- a/roadpulley/operations/lifecycle.py
+++ b/roadpulley/operations/lifecycle.py
@@ -94,7 +94,7 @@
     def __init__(self, drain_times: DrainTimes) -> None:
         self.drain_times, self.has_successor = drain_times, False  # whether another process serves
         self.state, self.entered_at = State.STARTING, 0.0
-        self.is_paused = False  # also valid while starting and leaving
+        self.is_paused = False  # also set by a PAUSE while starting; kept while leaving
         self.stopped_at = math.inf
 
     @property
--- a/roadpulley/operations/listen_retry.py
+++ b/roadpulley/operations/listen_retry.py
@@ -13,7 +13,7 @@
 log = logging.getLogger(__name__)
 
 RETRY_INTERVAL_S = 0.05
-# A process that was told to end has exited by then, and this one can still be ready within 10 s of its start.
+# A process that got SIGTERM has exited by then, and this one can still be ready within 10 s of its start.
 ADDRESS_IN_USE_TIMEOUT_MS = 8_000.0
 
 
--- a/tests/operations/test_handover.py
+++ b/tests/operations/test_handover.py
@@ -119,11 +119,13 @@
     pair.flood(pair.old, 1)  # so that the old process has a record of the customer
     pair.start_handover()
     pair.flood(pair.new, 30)
-    begun = len(pair.sent)
-    assert begun > HARD.ceiling_burst / 2 - 2  # half of a full ceiling; without the handover it would be none
+    sent_before = len(pair.sent)
+    assert (
+        sent_before > HARD.ceiling_burst / 2 - 2
+    )  # half of a full ceiling; without the handover it would be none
     pair.finish_handover(delivered=True)
     pair.flood(pair.new, 60)
-    assert len(pair.sent) > begun + HARD.ceiling_burst / 2 - 2  # the other half
+    assert len(pair.sent) > sent_before + HARD.ceiling_burst / 2 - 2  # the other half
 
 
 def test_customer_unknown_to_the_old_process_has_half_a_ceiling_at_each_process() -> None:
