--- a/roadpulley/tenants/authentication.py
+++ b/roadpulley/tenants/authentication.py
@@ -1,6 +1,6 @@
-"""What a connection may say before it is known whose it is: AUTH, HELLO, PING, QUIT. Pure; one a connection.
+"""Authentication of a connection: AUTH, HELLO, PING and QUIT. Pure; one instance per connection.
 
-Forms and words of errors are Redis's (RESP2), so that its client libraries show them as what they are.
+Replies have the form and the error texts of Redis (RESP2), so that its client libraries recognise them.
 """
 
 from __future__ import annotations
@@ -8,9 +8,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-MAX_FAILED_ATTEMPTS = (
-    3  # secrets of one connection; then it is closed. By name, a stranger could lock a tenant out
-)
+# Per connection, which is then closed. With a limit per tenant, anybody could lock a tenant out.
+MAX_FAILED_ATTEMPTS = 3
 WRONG_ARITY_ERROR = b"-ERR wrong number of arguments for '%b' command\r\n"
 NOAUTH_ERROR = b"-NOAUTH Authentication required.\r\n"
 HELLO_NOAUTH_ERROR = (
@@ -26,22 +25,28 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """The answer to one command, and what follows from it."""
+    """Reply to one command, and whether the connection is closed after it."""
 
     content: bytes
     close: bool = False
 
 
 class ConnectionAuthenticator:
-    """`fits` says whether a tenant's name and secret belong together, and the tenant is not suspended."""
+    """Authenticates one connection as that of a tenant.
+
+    `verify` returns whether a secret is valid for the name of a tenant that is not suspended.
+    """
 
     def __init__(self, verify: Callable[[str, str], bool], version: str = "") -> None:
         self.verify, self.version = verify, version
-        self.tenant: str | None = None  # whose the connection is
+        self.tenant: str | None = None  # None until the connection is authenticated
         self.failed_attempts = 0
 
     def handle_command(self, args: list[bytes]) -> Reply | None:
-        """Answer a command; None, once it is a tenant's, for one that its gateway has to answer."""
+        """Return the reply to a command.
+
+        Returns None for a command of an authenticated connection that the gateway has to answer.
+        """
         command = args[0].upper() if args else b""
         if command == b"QUIT":
             return Reply(OK_REPLY, close=True)
@@ -64,13 +69,14 @@
         return self._authenticate(*args) or Reply(OK_REPLY)
 
     def _authenticate(self, name: bytes, secret: bytes) -> Reply | None:
-        """What is wrong with a name and a secret; None if they fit."""
+        """Authenticate the connection; return the error, or None on success."""
         tenant = name.decode("utf-8", "surrogateescape")
         if not self.verify(tenant, secret.decode("utf-8", "surrogateescape")):
             self.failed_attempts += 1
             return Reply(WRONGPASS_ERROR, close=self.failed_attempts >= MAX_FAILED_ATTEMPTS)
         if self.tenant not in (None, tenant):
-            # Danger: what is open on the connection is counted for the first one.
+            # Open requests of the connection are counted for the first tenant. A change of tenant would
+            # attribute them to the wrong one.
             return Reply(OTHER_TENANT_ERROR)
         self.tenant = tenant
         return None
@@ -100,9 +106,13 @@
 
 
 def encode_bulk_string(value: bytes) -> bytes:
+    """Encode a RESP bulk string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
 def replace_unprintable(raw: bytes) -> bytes:
-    """What may stand in an error line: a stranger must not write lines of his own into it."""
+    """Return at most 32 bytes that are safe in an error line.
+
+    Line breaks from the client would otherwise add forged lines to the reply.
+    """
     return bytes(c if 32 <= c < 127 else 63 for c in raw[:32])
--- a/roadpulley/tenants/credentials.py
+++ b/roadpulley/tenants/credentials.py
@@ -1,9 +1,9 @@
-"""Secrets of tenants: made here, shown once, kept as salted hashes, compared in constant time.
+"""Secrets of tenants: generated here, shown once, stored as salted hashes and compared in constant time.
 
-A secret is 256 bits of chance, so that guessing is hopeless and one round of SHA-256 over salt and secret
-is as good as a slow hash, which exists for what people think up. A slow one would cost the core tens of
-milliseconds for each wrong guess: a thousand of them a second from one tenant's name would be a way to stop
-all others.
+A secret has 256 random bits and can't be guessed, so one round of SHA-256 over salt and secret is as safe as
+a slow password hash. Slow hashes protect secrets that people choose. A slow hash would cost tens of
+milliseconds of CPU time for each wrong secret: a thousand attempts per second with the name of one tenant
+would deny service to all others.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 import secrets
 from dataclasses import dataclass, replace
 
-SECRET_PREFIX = "rp1_"  # so that one that leaked into a log or a repository can be found
+SECRET_PREFIX = "rp1_"  # makes secrets that leaked into a log or a repository easy to find
 SALT_BYTES = 16
 SECRET_BYTES = 32
 MAX_OVERLAP_MS = 7 * 24 * 3_600_000.0
@@ -21,32 +21,35 @@
 
 @dataclass(frozen=True)
 class SecretHash:
-    """Of one secret: hexadecimal digits, as they are stored."""
+    """Salted hash of one secret. Both fields are hexadecimal digits, as they are stored."""
 
     salt: str
     digest: str
 
     @classmethod
     def from_secret(cls, secret: str) -> SecretHash:
+        """Hash a secret with a new random salt."""
         salt = secrets.token_bytes(SALT_BYTES)
         return cls(salt.hex(), hash_secret(salt, secret))
 
     def matches(self, secret: str) -> bool:
+        """Compare a secret with the hash in constant time."""
         return hmac.compare_digest(hash_secret(bytes.fromhex(self.salt), secret), self.digest)
 
 
 @dataclass(frozen=True)
 class Credentials:
-    """The secret that holds, and the one before it for as long as both do."""
+    """The current secret of a tenant, and the previous one while both are valid."""
 
     current: SecretHash
     previous: SecretHash | None = None
     previous_until: float = 0.0  # wall clock, milliseconds
 
     def rotate(self, now: float, overlap_ms: float) -> tuple[Credentials, str]:
-        """A new secret; the one that held until now goes on for a while. Raises ValueError.
+        """Generate a new secret and keep the current one valid for the overlap.
 
-        One from before that ends at once: there are never more than two.
+        Returns the new credentials and the secret. An older previous secret becomes invalid at once, so at
+        most two are valid. Raises ValueError if the overlap is negative or longer than `MAX_OVERLAP_MS`.
         """
         if not 0 <= overlap_ms <= MAX_OVERLAP_MS:
             raise ValueError(f"an overlap of {overlap_ms:g} ms: give 0 to {MAX_OVERLAP_MS:g} (seven days)")
@@ -57,32 +60,40 @@
         ), secret
 
     def is_valid(self, secret: str, now: float) -> bool:
-        """Whether a secret holds. Both hashes are always compared, so that the time tells nothing."""
-        first = self.current.matches(secret)
-        second = (self.previous or DUMMY_HASH).matches(secret)
-        return first or (second and self.previous is not None and now < self.previous_until)
+        """Return whether a secret is valid at this time.
+
+        Both hashes are always compared, so that the duration reveals nothing about the secrets.
+        """
+        matches_current = self.current.matches(secret)
+        matches_previous = (self.previous or DUMMY_HASH).matches(secret)
+        return matches_current or (
+            matches_previous and self.previous is not None and now < self.previous_until
+        )
 
 
 def create_credentials() -> tuple[Credentials, str]:
-    """Credentials of a new tenant, and the secret that is shown once."""
+    """Return the credentials of a new tenant and their secret, which is not stored."""
     secret = generate_secret()
     return Credentials(SecretHash.from_secret(secret)), secret
 
 
 def generate_secret() -> str:
+    """Return a new random secret with the prefix."""
     return SECRET_PREFIX + secrets.token_urlsafe(SECRET_BYTES)
 
 
 def hash_secret(salt: bytes, secret: str) -> str:
+    """Return the SHA-256 digest of salt and secret in hexadecimal."""
     return hashlib.sha256(salt + secret.encode("utf-8", "surrogateescape")).hexdigest()
 
 
 def authenticate(known: dict[str, Credentials], name: str, secret: str, now: float) -> bool:
-    """Whether a secret is that of a tenant. One that is not there takes as long as one that is."""
+    """Return whether a secret is valid for a tenant. An unknown tenant takes as long as a known one."""
     credentials = known.get(name)
-    fits = (credentials or DUMMY_CREDENTIALS).is_valid(secret, now)
-    return fits and credentials is not None
+    is_valid = (credentials or DUMMY_CREDENTIALS).is_valid(secret, now)
+    return is_valid and credentials is not None
 
 
+# Replace missing hashes and credentials, so that every check compares two hashes. The secret is discarded.
 DUMMY_HASH = SecretHash.from_secret(generate_secret())
 DUMMY_CREDENTIALS = Credentials(DUMMY_HASH)
--- a/tests/tenants/test_authentication.py
+++ b/tests/tenants/test_authentication.py
@@ -1,4 +1,4 @@
-"""Before it is known whose a connection is, it gets nothing but a way in."""
+"""A connection can only authenticate, ping and quit before its tenant is known."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def send_command(authenticator: ConnectionAuthenticator, *words: str) -> object:
-    """The answer as a client library reads it; None where the gateway behind the door answers."""
+    """Return the reply as a client library parses it; None if the gateway has to answer."""
     reply = authenticator.handle_command([word.encode("utf-8", "surrogateescape") for word in words])
     return None if reply is None else parse_reply(reply)
 
@@ -33,7 +33,7 @@
     return parsed
 
 
-def test_a_stranger_is_let_ping_and_quit_and_nothing_else() -> None:
+def test_unauthenticated_connection_may_only_ping_and_quit() -> None:
     authenticator = create_authenticator()
     assert (
         send_command(authenticator, "PING") == b"PONG"
@@ -52,7 +52,7 @@
     assert reply is not None and reply.close and parse_reply(reply) == b"OK" and authenticator.tenant is None
 
 
-def test_auth_opens_it_and_what_follows_is_the_gateway_s() -> None:
+def test_auth_succeeds_and_the_gateway_answers_later_commands() -> None:
     authenticator = create_authenticator()
     assert send_command(authenticator, "AUTH", "firm", SECRET) == b"OK" and authenticator.tenant == "firm"
     assert send_command(authenticator, "API.READ", "a", "b", "c") is None
@@ -63,7 +63,7 @@
     )
 
 
-def test_hello_opens_it_too_and_says_what_a_client_library_asks_for() -> None:
+def test_hello_authenticates_and_returns_server_properties() -> None:
     authenticator = create_authenticator()
     assert str(send_command(authenticator, "HELLO", "2")).startswith("NOAUTH HELLO must be called")
     assert (
@@ -86,12 +86,12 @@
         (("HELLO", "2", "a\r\n+OK\r\n"), "ERR Syntax error in HELLO option 'a??+OK??'"),
     ],
 )
-def test_what_is_said_wrongly_is_told(words: tuple[str, ...], answer: str) -> None:
+def test_malformed_command_gets_an_error(words: tuple[str, ...], answer: str) -> None:
     authenticator = create_authenticator()
     assert str(send_command(authenticator, *words)) == answer and authenticator.tenant is None
 
 
-def test_wrong_secrets_end_the_connection_and_shut_nobody_out() -> None:
+def test_wrong_secrets_close_the_connection_and_lock_no_tenant_out() -> None:
     for wrong in (
         ("AUTH", "firm", "x"),
         ("AUTH", "nobody", SECRET),
@@ -106,11 +106,11 @@
         assert closes == [False] * (MAX_FAILED_ATTEMPTS - 1) + [True] and authenticator.tenant is None
     assert (
         send_command(create_authenticator(), "AUTH", "firm", SECRET) == b"OK"
-    )  # whoever guessed, the tenant itself still comes in
+    )  # the tenant itself can still authenticate
 
 
 @given(st.lists(st.binary(max_size=40), max_size=6))
-def test_nothing_that_is_said_opens_it_or_breaks_the_protocol(args: list[bytes]) -> None:
+def test_arbitrary_arguments_neither_authenticate_nor_break_the_protocol(args: list[bytes]) -> None:
     for verb in ([], [b"AUTH"], [b"HELLO", b"2"], [b"HELLO", b"2", b"AUTH"], [b"PING"]):
         authenticator = create_authenticator()
         reply = authenticator.handle_command([*verb, *args])
--- a/tests/tenants/test_credentials.py
+++ b/tests/tenants/test_credentials.py
@@ -1,4 +1,4 @@
-"""Secrets: made here, kept as hashes, two of them holding while one is rotated, and nothing told by time."""
+"""Secrets of tenants: generation, hashes, rotation with an overlap, and constant time of checks."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 
 
-def test_the_secret_fits_and_no_other() -> None:
+def test_only_the_generated_secret_is_valid() -> None:
     credentials, secret = create_credentials()
     other, another = create_credentials()
     assert (
@@ -32,13 +32,13 @@
         assert not credentials.is_valid(wrong, 0)
 
 
-def test_what_is_kept_holds_no_secret_and_two_of_one_secret_differ() -> None:
+def test_stored_credentials_hold_no_secret_and_hashes_are_salted() -> None:
     credentials, secret = create_credentials()
     assert secret not in json.dumps(dataclasses.asdict(credentials)) and secret not in repr(credentials)
     assert SecretHash.from_secret(secret) != SecretHash.from_secret(secret)
 
 
-def test_both_hold_while_one_is_rotated_and_only_the_new_one_after() -> None:
+def test_rotation_keeps_both_secrets_valid_until_the_overlap_ends() -> None:
     credentials, old = create_credentials()
     rotated, new = credentials.rotate(now=1_000.0, overlap_ms=500.0)
     assert rotated.is_valid(new, 1_000) and rotated.is_valid(old, 1_499) and not rotated.is_valid(old, 1_500)
@@ -46,26 +46,26 @@
     again, newest = rotated.rotate(now=1_100.0, overlap_ms=500.0)
     assert (
         again.is_valid(newest, 1_100) and again.is_valid(new, 1_100) and not again.is_valid(old, 1_100)
-    )  # never three
+    )  # at most two
     at_once, last = again.rotate(now=1_200.0, overlap_ms=0.0)
     assert at_once.is_valid(last, 1_200) and not at_once.is_valid(newest, 1_200)
 
 
 @pytest.mark.parametrize("overlap", [-1.0, MAX_OVERLAP_MS + 1, float("nan")])
-def test_an_overlap_that_is_none_is_told(overlap: float) -> None:
+def test_invalid_overlap_is_rejected(overlap: float) -> None:
     with pytest.raises(ValueError, match="an overlap of .* ms: give 0 to 6.048e.08 .seven days."):
         create_credentials()[0].rotate(0.0, overlap)
 
 
 @given(st.text(), st.text())
-def test_anything_may_be_said_and_only_the_right_pair_passes(name: str, secret: str) -> None:
+def test_only_the_correct_name_and_secret_authenticate(name: str, secret: str) -> None:
     credentials, right = create_credentials()
     known = {"t1": credentials}
     assert authenticate(known, "t1", right, 0)
     assert authenticate(known, name, secret, 0) == (name == "t1" and secret == right)
 
 
-def test_a_tenant_that_is_not_there_costs_as_many_hashes_as_one_that_is(
+def test_unknown_tenant_costs_as_many_hashes_as_a_known_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     credentials, right = create_credentials()
@@ -85,5 +85,5 @@
         counted.append(0)
         authenticate(known, name, secret, 0.0)
     assert set(counted) == {2}
-    # Danger: an unknown tenant is compared with a secret that nobody has; were it known, it would let all in.
+    # An unknown tenant is compared with a dummy hash. If its secret were known, it would admit any tenant.
     assert not authenticate({}, "t", right, 0)
--- a/tests/tenants/test_fair_queue.py
+++ b/tests/tenants/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""Deficit round robin by what commands turn out to cost: shares, debts, and nobody kept waiting idly."""
+"""Deficit round robin by the actual cost of commands: shares, debts, and no idle core."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 from roadpulley.tenants.fair_queue import QUANTUM_US, FairQueue
 
-Costs = dict[str, tuple[float, float]]  # of a flow: its weight, and the mean cost of its commands
+Costs = dict[str, tuple[float, float]]  # flow -> its weight and the mean cost of its commands
 
 
 def spend(flows: Costs, total: float, seed: int = 1) -> Counter[str]:
-    """All always have something waiting; what each spent until the core has done so much."""
+    """Return the cost of each flow after this total cost, while all flows always have queued items."""
     rng, fair_queue, spent = random.Random(seed), FairQueue[int](), Counter[str]()
     for name, (weight, _) in flows.items():
         fair_queue.set_weight(name, weight)
@@ -43,25 +43,25 @@
     ),
     st.integers(0, 1_000),
 )
-def test_who_always_wants_gets_by_weight_whatever_its_commands_cost(flows: Costs, seed: int) -> None:
+def test_busy_flows_share_by_weight_whatever_their_commands_cost(flows: Costs, seed: int) -> None:
     weights = sum(weight for weight, _ in flows.values())
     total = 200 * QUANTUM_US * weights
     spent = spend(flows, total, seed)
     for name, (weight, cost) in flows.items():
-        # Off by a round's quantum and one command at the most, its own and the others'.
+        # The error is at most a quantum and one command, both of the flow itself and of the others.
         slack = 2 * QUANTUM_US * weight + 3 * cost + weight / weights * sum(2 * c for _, c in flows.values())
         assert abs(spent[name] - total * weight / weights) <= slack
 
 
-def test_fifty_tenants_of_which_one_asks_ten_times_as_costly_commands() -> None:
+def test_tenant_with_ten_times_as_costly_commands_takes_no_more_than_its_share() -> None:
     flows = {f"t{n}": (1.0, 300.0) for n in range(50)} | {"t7": (1.0, 3_000.0)}
     spent = spend(flows, 3e6)
     others = [spent[name] for name in flows if name != "t7"]
     assert max(others) < 1.05 * min(others) and spent["t7"] < 1.1 * min(others)
 
 
-def test_one_command_at_a_time_does_not_go_free() -> None:
-    """Its queue is empty after each: forgetting its debt then would give it ten times its share."""
+def test_flow_with_one_command_at_a_time_pays_its_debt() -> None:
+    """Its queue is empty after each command. Forgetting its debt then would give it ten times its share."""
     fair_queue, spent = FairQueue[str](), Counter[str]()
     fair_queue.set_weight("steady", 1)
     fair_queue.set_weight("sly", 1)
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize(("idle_cost_us", "debt_left"), [(20_000, False), (2_000, True)])
-def test_a_debt_fades_as_fast_as_if_its_flow_had_waited(idle_cost_us: int, debt_left: bool) -> None:
+def test_debt_of_an_idle_flow_decreases_as_if_it_had_waited(idle_cost_us: int, debt_left: bool) -> None:
     fair_queue = FairQueue[str]()
     fair_queue.set_weight("busy", 1)
     fair_queue.set_weight("debtor", 1)
@@ -103,13 +103,13 @@
     assert ("debtor" in following) != debt_left
 
 
-def test_idle_shares_are_lent_and_not_saved() -> None:
+def test_idle_shares_go_to_others_and_are_not_accumulated() -> None:
     fair_queue = FairQueue[int]()
     fair_queue.set_weight("busy", 1)
     fair_queue.set_weight("late", 1)
     for number in range(1_000):
         fair_queue.enqueue("busy", number)
-        assert fair_queue.dequeue() == ("busy", number)  # alone, it never waits
+        assert fair_queue.dequeue() == ("busy", number)  # the only active flow never waits
         fair_queue.charge("busy", 300)
     for number in range(200):
         fair_queue.enqueue("busy", number)
@@ -121,18 +121,16 @@
         order.append(dequeued[0])
         fair_queue.charge(dequeued[0], 100)
     late_count = order.count("late")
-    assert (
-        85 <= late_count <= 135
-    )  # its share from now on, and nothing for the time it was away; old debts fade
+    assert 85 <= late_count <= 135  # its share, without credit for its idle time
 
 
-def test_what_is_charged_late_is_paid_as_well() -> None:
+def test_cost_charged_later_is_paid() -> None:
     fair_queue = FairQueue[int]()
     for name in ("a", "b"):
         fair_queue.set_weight(name, 1)
         for number in range(100):
             fair_queue.enqueue(name, number)
-    fair_queue.charge("a", 20 * QUANTUM_US)  # of an answer that came back
+    fair_queue.charge("a", 20 * QUANTUM_US)  # as for the response of a backend
     first = [
         dequeued[0]
         for dequeued in (fair_queue.dequeue() for _ in range(12))
@@ -141,7 +139,7 @@
     assert set(first) == {"b"}
 
 
-def test_a_forgotten_flow_gives_back_what_waited() -> None:
+def test_removed_flow_returns_its_queued_items() -> None:
     fair_queue = FairQueue[int]()
     for name in ("a", "b", "c"):
         fair_queue.set_weight(name, 1)
@@ -164,13 +162,13 @@
 
 
 @pytest.mark.parametrize("weight", [0, -1, float("nan"), float("inf")])
-def test_a_weight_that_is_none_is_told(weight: float) -> None:
+def test_invalid_weight_is_rejected(weight: float) -> None:
     with pytest.raises(ValueError, match="a has weight .*: give one over 0"):
         FairQueue[int]().set_weight("a", weight)
 
 
 class Queues(RuleBasedStateMachine):
-    """Whatever is done to it: what waits is given once, in its flow's order, and never withheld."""
+    """After any operations, each item is returned once and in the order of its flow, and none is withheld."""
 
     def __init__(self) -> None:
         super().__init__()
