--- a/tests/tenants/test_fair_queue.py
+++ b/tests/tenants/test_fair_queue.py
@@ -121,7 +121,7 @@
         order.append(dequeued[0])
         fair_queue.charge(dequeued[0], 100)
     late_count = order.count("late")
-    assert 85 <= late_count <= 135  # its share, without credit for its idle time
+    assert 85 <= late_count <= 135  # its share, without credit for its idle time; old debts fade
 
 
 def test_cost_charged_later_is_paid() -> None:
--- a/tests/worker_world.py
+++ b/tests/worker_world.py
@@ -1,4 +1,4 @@
-"""A gateway of several workers in the testbed's world, for tests that play a part in it."""
+"""Runs a gateway with several workers in the testbed, for tests that interfere with it."""
 
 from __future__ import annotations
 
@@ -15,33 +15,33 @@
 Act = Callable[[Installation], Awaitable[None]]
 
 
-def children(pid: int) -> list[int]:
-    """Of a supervisor: its workers, the oldest first."""
+def list_children(pid: int) -> list[int]:
+    """Return the process ids of a supervisor's workers, the oldest first."""
     try:
         return [int(c) for c in Path(f"/proc/{pid}/task/{pid}/children").read_text().split()]
     except (FileNotFoundError, ProcessLookupError):
         return []
 
 
-def gone(pid: int) -> bool:
-    """Whether a process has ended; one that nobody has reaped yet holds nothing any more."""
+def has_exited(pid: int) -> bool:
+    """Return whether a process has exited. A zombie counts, as it holds no resources."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] == "Z"
     except (FileNotFoundError, ProcessLookupError):
         return True
 
 
-def play(
+def run_scenario(
     workers: str,
     act: Act | None = None,
     seconds: float = 5.0,
     rate: float = 60.0,
     pipeline: int = 1,
-    within: float = 60.0,
+    timeout_s: float = 60.0,
 ) -> Outcome:
-    """A scenario with one gateway of so many workers; `act` plays its part once the load has begun.
+    """Run a scenario with one gateway of this many workers; call `act` once the load has begun.
 
-    With a `pipeline` all clients share one connection for as long as no more than that are open on it.
+    With a `pipeline`, all clients share one connection while at most that many requests are open on it.
     """
     scenario = Scenario(
         name="workers",
@@ -54,7 +54,7 @@
     )
 
     async def work() -> Outcome:
-        async with asyncio.timeout(within), Installation(scenario) as world:
+        async with asyncio.timeout(timeout_s), Installation(scenario) as world:
             running = asyncio.create_task(world.run())
             await until(lambda: world.stats.all.asked > 20)
             if act is not None:
@@ -65,13 +65,13 @@
 
 
 def workers_of(world: Installation) -> list[int]:
-    return children(world.gateways["n0"].pid)
+    return list_children(world.gateways["n0"].pid)
 
 
 def log_of(world: Installation) -> str:
     return (world.folder / "n0.log").read_text()
 
 
-def held(outcome: Outcome) -> None:
+def assert_outcome_ok(outcome: Outcome) -> None:
     assert outcome.verdict.ok, "\n".join(outcome.verdict.lines())
     assert outcome.stats.all.ends["served"] > 0.6 * outcome.stats.all.asked
--- a/tests/workers/test_supervisor.py
+++ b/tests/workers/test_supervisor.py
@@ -28,7 +28,7 @@
 
 
 def create_serving_supervisor(worker_count: int, now: float = 0.0) -> Supervisor:
-    """All workers serve."""
+    """Return a supervisor whose workers all serve."""
     supervisor = Supervisor(worker_count)
     assert [a.slot for a in supervisor.tick(now) if isinstance(a, StartWorker)] == list(range(worker_count))
     for number in range(worker_count):
@@ -42,14 +42,14 @@
 
 
 def pass_time(supervisor: Supervisor, until: float) -> list[Action]:
-    """Call it whenever it wants to be called, as the shell does, up to and with a time."""
+    """Call `tick` at each deadline up to and including a time, as the service does."""
     actions: list[Action] = []
     while (deadline := supervisor.next_deadline()) <= until:
         actions += supervisor.tick(deadline)
     return actions + supervisor.tick(until)
 
 
-def test_a_worker_that_dies_is_started_again_and_later_each_time() -> None:
+def test_worker_that_exits_is_restarted_with_increasing_backoff() -> None:
     supervisor, now, backoffs = create_serving_supervisor(1), 100.0, []
     supervisor.handle_heartbeat(now, 0, 0.0)
     for _ in range(12):
@@ -63,7 +63,7 @@
     assert backoffs[:5] == [0.1, 0.2, 0.4, 0.8, 1.6] and backoffs[-1] == SETTINGS.max_backoff_s
 
 
-def test_having_served_steadily_its_waits_begin_anew() -> None:
+def test_backoff_is_reset_after_a_worker_was_stable() -> None:
     supervisor = create_serving_supervisor(1)
     for _ in range(5):
         supervisor.handle_exit(1.0, 0, "code 1")
@@ -75,7 +75,7 @@
     assert supervisor.next_deadline() == pytest.approx(62.1)
 
 
-def test_a_worker_without_a_beat_is_killed_and_one_that_answers_nobody_too() -> None:
+def test_worker_without_heartbeats_or_with_a_stuck_request_is_killed() -> None:
     supervisor = create_serving_supervisor(2)
     assert not select_actions(pass_time(supervisor, 2.9), KillWorker)
     supervisor.handle_heartbeat(2.9, 1, 0.0)
@@ -94,10 +94,10 @@
         KillWorker,
     )
     assert isinstance(kill, KillWorker) and kill.slot == 1 and "a request is open" in kill.reason
-    assert not select_actions(pass_time(supervisor, 20.0), KillWorker)  # once is enough
+    assert not select_actions(pass_time(supervisor, 20.0), KillWorker)  # only one kill
 
 
-def test_a_worker_that_does_not_come_up_or_go_down_in_time_is_killed() -> None:
+def test_worker_that_does_not_start_or_drain_in_time_is_killed() -> None:
     supervisor = Supervisor(1)
     supervisor.tick(0.0)
     assert not select_actions(pass_time(supervisor, SETTINGS.start_timeout_s - 0.01), KillWorker)
@@ -110,12 +110,11 @@
 
 
 @pytest.mark.parametrize("stopped_s", [SETTINGS.heartbeat_timeout_s, 2 * SETTINGS.heartbeat_timeout_s, 60.0])
-def test_a_supervisor_that_was_not_run_reads_the_beats_before_it_judges(stopped_s: float) -> None:
-    """What callers saw: all workers killed at once, and with them every request that was open.
+def test_suspended_supervisor_reads_heartbeats_before_it_kills(stopped_s: float) -> None:
+    """Guards against killing all workers, and losing their open requests, after a suspension.
 
-    A supervisor that is not run for 3 s (a machine that is suspended, or has no time for it) finds every beat
-    overdue as it wakes: its timer and the first beat that it reads are both handled before the other beats,
-    which have come and lie unread. It killed all workers on the spot.
+    After a suspension of 3 s every heartbeat is overdue. The timer and the first heartbeat are handled before
+    the other heartbeats, which have arrived but are still unread.
     """
     supervisor = create_serving_supervisor(3)
     now = stopped_s
@@ -127,11 +126,11 @@
     )
     assert (
         len(select_actions(pass_time(supervisor, now + SETTINGS.heartbeat_timeout_s + 0.01), KillWorker)) == 3
-    )  # now they do hang
+    )  # now the workers do hang
 
 
-def test_a_worker_that_was_not_run_ends_what_is_overdue_before_it_is_judged() -> None:
-    """Its first beat may come before its timers have ended requests whose time has passed meanwhile."""
+def test_suspended_worker_may_end_overdue_requests_before_it_is_killed() -> None:
+    """Its first heartbeat may be sent before its timers have ended the overdue requests."""
     supervisor = create_serving_supervisor(1)
     assert not select_actions(
         supervisor.handle_heartbeat(6.0, 0, SETTINGS.max_request_age_s + 1.0), KillWorker
@@ -139,11 +138,11 @@
     assert not select_actions(supervisor.handle_heartbeat(6.25, 0, 0.1), KillWorker)
     assert not select_actions(
         supervisor.handle_heartbeat(6.5, 0, SETTINGS.max_request_age_s + 1.0), KillWorker
-    )  # not twice in a row
+    )  # not two in a row
 
 
 @pytest.mark.parametrize("state", [State.STARTING, State.DRAINING])
-def test_a_start_or_end_that_lies_unread_is_not_overdue(state: State) -> None:
+def test_unread_start_or_exit_is_not_overdue(state: State) -> None:
     supervisor = Supervisor(1)
     supervisor.tick(0.0)
     if state is State.DRAINING:
@@ -158,7 +157,7 @@
     assert not select_actions(actions, KillWorker)
 
 
-def test_a_replacement_takes_one_after_the_other_and_waits_for_each() -> None:
+def test_replacement_waits_for_each_worker_before_the_next() -> None:
     supervisor, order = create_serving_supervisor(3), []
     actions = supervisor.replace_workers(1.0)
     for now in range(2, 8, 2):
@@ -175,13 +174,13 @@
     assert {slot.version for slot in supervisor.slots.values()} == {2}
 
 
-def test_a_version_that_does_not_start_takes_down_one_worker_only() -> None:
+def test_version_that_does_not_start_takes_down_only_one_worker() -> None:
     supervisor, now = create_serving_supervisor(3), 1.0
     (drain,) = select_actions(supervisor.replace_workers(now), DrainWorker)
     assert isinstance(drain, DrainWorker)
     actions, logged = supervisor.handle_exit(now, drain.slot, "code 0"), list[str]()
     for _ in range(SETTINGS.max_failed_starts + 3):
-        while supervisor.slots[drain.slot].state is State.IDLE:  # its wait, in which the others go on
+        while supervisor.slots[drain.slot].state is State.IDLE:  # during its backoff the others continue
             send_heartbeats(supervisor, now)
             now = min(supervisor.slots[drain.slot].deadline, now + 1.0)
             actions += supervisor.tick(now)
@@ -192,7 +191,7 @@
     assert sum(slot.state is State.SERVING for slot in supervisor.slots.values()) == 2
 
 
-def test_a_replacement_goes_on_when_the_worker_in_its_turn_is_not_wanted_any_more() -> None:
+def test_replacement_continues_when_the_worker_in_its_turn_is_removed() -> None:
     supervisor = create_serving_supervisor(2)
     (drain,) = select_actions(supervisor.replace_workers(1.0), DrainWorker)
     assert drain == DrainWorker(0)
@@ -210,7 +209,7 @@
     assert supervisor.replacing_slot is None
 
 
-def test_fewer_are_drained_and_more_are_started() -> None:
+def test_resize_drains_surplus_workers_and_starts_missing_ones() -> None:
     supervisor = create_serving_supervisor(2)
     actions = supervisor.resize(1.0, 4)
     assert [a.slot for a in actions if isinstance(a, StartWorker)] == [2, 3]
@@ -223,24 +222,26 @@
     assert list(supervisor.slots) == [0]
 
 
-def test_a_worker_wanted_again_while_it_drains_is_started_once_it_has_ended() -> None:
+def test_worker_added_again_while_it_drains_is_started_after_its_exit() -> None:
     supervisor = create_serving_supervisor(2)
     supervisor.resize(1.0, 1)
     supervisor.resize(1.5, 2)
     assert select_actions(supervisor.handle_exit(2.0, 1, "code 0"), StartWorker) == [StartWorker(1, 1)]
 
 
-def test_clients_are_refused_once_the_last_that_accepted_has_closed_or_ended() -> None:
+def test_connections_are_refused_after_the_last_accepting_worker_closed_or_exited() -> None:
     supervisor = create_serving_supervisor(2)
     supervisor.replace_workers(1.0)
-    assert not select_actions(supervisor.handle_closed(1.5, 0), RefuseConnections)  # the other one accepts
+    assert not select_actions(
+        supervisor.handle_closed(1.5, 0), RefuseConnections
+    )  # the other worker still accepts
     assert select_actions(supervisor.handle_exit(2.0, 1, "code -9"), RefuseConnections)
-    assert not select_actions(supervisor.handle_exit(2.5, 0, "code 0"), RefuseConnections)  # once is enough
+    assert not select_actions(supervisor.handle_exit(2.5, 0, "code 0"), RefuseConnections)  # only one kill
     supervisor.handle_serving(3.0, 0)
     assert select_actions(supervisor.handle_exit(4.0, 0, "code -9"), RefuseConnections)
 
 
-def test_nothing_starts_once_all_are_told_to_end() -> None:
+def test_no_worker_starts_after_stop() -> None:
     supervisor = create_serving_supervisor(2)
     supervisor.handle_exit(1.0, 0, "code 1")
     actions = supervisor.stop(1.0)
@@ -250,8 +251,8 @@
     assert select_actions(actions, ReportFinished) and not select_actions(actions, StartWorker)
 
 
-class Life(RuleBasedStateMachine):
-    """Any order of events: no slot has two processes, and what is started or ended is so once."""
+class WorkerLifecycle(RuleBasedStateMachine):
+    """For any order of events, a slot has at most one process, and only running processes are signalled."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -268,34 +269,34 @@
                 assert not self.supervisor.is_stopping
                 self.running.add(action.slot)
             elif isinstance(action, DrainWorker | KillWorker):
-                assert action.slot in self.running, "nobody is there"
+                assert action.slot in self.running, "no process runs"
                 self.signalled.add(action.slot)
             elif isinstance(action, RefuseConnections):
-                assert not self.accepting, "somebody accepts"
+                assert not self.accepting, "a worker accepts"
             elif isinstance(action, ReportFinished):
                 assert not self.running
 
     @rule(seconds=st.floats(0, 20))
-    def wait(self, seconds: float) -> None:
+    def let_time_pass(self, seconds: float) -> None:
         self.now += seconds
         self.apply_actions(self.supervisor.tick(self.now))
 
     @rule(number=st.integers(0, 5))
-    def serves(self, number: int) -> None:
+    def report_serving(self, number: int) -> None:
         if number in self.running:
             self.accepting.add(number)
             self.apply_actions(self.supervisor.handle_serving(self.now, number))
 
     @rule(number=st.integers(0, 5))
-    def closes(self, number: int) -> None:
+    def report_closed(self, number: int) -> None:
         if number in self.accepting:
             self.accepting.discard(number)
             self.apply_after_accept_stopped(self.supervisor.handle_closed(self.now, number))
 
     def apply_after_accept_stopped(self, actions: list[Action]) -> None:
-        """One that accepted does so no more."""
+        """Check that connections are refused exactly when the last accepting worker has stopped accepting."""
         assert bool(select_actions(actions, RefuseConnections)) == (not self.accepting), (
-            "refused while somebody accepts, or not"
+            "refused while a worker accepts, or not refused"
         )
         self.apply_actions(actions)
 
@@ -305,7 +306,7 @@
             self.apply_actions(self.supervisor.handle_heartbeat(self.now, number, oldest_age_s))
 
     @rule(number=st.integers(0, 5))
-    def ends(self, number: int) -> None:
+    def report_exit(self, number: int) -> None:
         if number in self.running:
             self.running.discard(number)
             self.signalled.discard(number)
@@ -316,7 +317,7 @@
             self.apply_actions(actions)
 
     @rule()
-    def replaced(self) -> None:
+    def replace_workers_one_by_one(self) -> None:
         actions = self.supervisor.replace_workers(self.now)
         self.apply_actions(actions)
         for drain in select_actions(actions, DrainWorker):
@@ -327,12 +328,12 @@
             assert all(x.state is State.SERVING for x in others), "more than one is missing"
 
     @rule(worker_count=st.integers(1, 6))
-    def resized(self, worker_count: int) -> None:
+    def resize(self, worker_count: int) -> None:
         self.apply_actions(self.supervisor.resize(self.now, worker_count))
 
     @precondition(lambda self: not self.supervisor.is_stopping)
     @rule(chance=st.integers(0, 9))
-    def stopped(self, chance: int) -> None:
+    def stop(self, chance: int) -> None:
         if not chance:
             self.apply_actions(self.supervisor.stop(self.now))
 
@@ -345,5 +346,5 @@
         )
 
 
-TestLife = Life.TestCase
-TestLife.settings = settings(max_examples=150, stateful_step_count=40, deadline=None)
+TestWorkerLifecycle = WorkerLifecycle.TestCase
+TestWorkerLifecycle.settings = settings(max_examples=150, stateful_step_count=40, deadline=None)
--- a/tests/workers/test_workers.py
+++ b/tests/workers/test_workers.py
@@ -1,4 +1,4 @@
-"""Workers on one address, as processes in the testbed's world, judged by its auditor."""
+"""Workers on one address, as processes in the testbed and checked by its auditor."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 import uvloop
 from loopback import until
-from worker_world import gone, held, log_of, play, workers_of
+from worker_world import assert_outcome_ok, has_exited, log_of, run_scenario, workers_of
 
 from roadpulley.core.clock import now_ms
 from roadpulley.testbed.installation import Installation
@@ -20,18 +20,18 @@
 pytestmark = pytest.mark.timeout(90)
 
 
-def test_workers_share_an_address_and_every_rule_holds() -> None:
-    seen: list[int] = []
+def test_workers_share_an_address_without_violations() -> None:
+    worker_pids: list[int] = []
 
     async def act(world: Installation) -> None:
         await until(lambda: log_of(world).count("serves at port") == 3)
-        seen.extend(workers_of(world))
+        worker_pids.extend(workers_of(world))
 
-    held(play("3", act))
-    assert len(seen) == 3
+    assert_outcome_ok(run_scenario("3", act))
+    assert len(worker_pids) == 3
 
 
-def test_a_worker_that_is_killed_is_started_again_and_the_rest_serve_on() -> None:
+def test_killed_worker_is_restarted_while_others_serve() -> None:
     async def act(world: Installation) -> None:
         await until(lambda: len(workers_of(world)) == 3)
         victim = workers_of(world)[1]
@@ -40,11 +40,11 @@
         await until(lambda: "code -9" in log_of(world))
         await until(lambda: len(workers_of(world)) == 3 and victim not in workers_of(world))
 
-    held(play("3", act))
+    assert_outcome_ok(run_scenario("3", act))
 
 
-def test_a_worker_that_hangs_is_killed_for_its_missing_beat() -> None:
-    """The kernel goes on giving it connections as long as it lives."""
+def test_hung_worker_is_killed_for_missing_heartbeats() -> None:
+    """The kernel assigns connections to the hung worker as long as its process lives."""
 
     async def act(world: Installation) -> None:
         await until(lambda: log_of(world).count("serves at port") == 3)
@@ -57,10 +57,10 @@
         world.ledger.ended.append(Ended("n0", now_ms(), "killed"))
         await until(lambda: log_of(world).count("serves at port") == 4)
 
-    held(play("3", act, seconds=9.0))
+    assert_outcome_ok(run_scenario("3", act, seconds=9.0))
 
 
-def test_all_workers_are_replaced_one_by_one_and_no_request_is_lost() -> None:
+def test_rolling_replacement_loses_no_request() -> None:
     async def act(world: Installation) -> None:
         await until(lambda: log_of(world).count("serves at port") == 2)
         old = workers_of(world)
@@ -68,12 +68,12 @@
         await until(lambda: log_of(world).count("serves at port") == 4)
         assert not set(old) & set(workers_of(world))
 
-    outcome = play("2", act, seconds=10.0)
-    held(outcome)
+    outcome = run_scenario("2", act, seconds=10.0)
+    assert_outcome_ok(outcome)
     assert outcome.stats.all.ends["unanswered"] == 0
 
 
-def test_the_number_of_workers_follows_its_file(tmp_path: Path) -> None:
+def test_number_of_workers_follows_its_file(tmp_path: Path) -> None:
     file = tmp_path / "workers"
     file.write_text("2\n")
 
@@ -81,19 +81,21 @@
         await until(lambda: log_of(world).count("serves at port") == 2)
         file.write_text("4\n")
         world.gateways["n0"].signal(signal.SIGHUP)
-        await until(lambda: log_of(world).count("serves at port") == 6)  # two more, and two replaced
+        await until(
+            lambda: log_of(world).count("serves at port") == 6
+        )  # two new workers and two replacements
         await until(lambda: len(workers_of(world)) == 4)
         file.write_text("none\n")
         world.gateways["n0"].signal(signal.SIGHUP)
         await until(lambda: "not replaced, the workers stay as they are" in log_of(world))
         assert len(workers_of(world)) == 4
 
-    outcome = play(str(file), act, seconds=10.0)
-    held(outcome)
+    outcome = run_scenario(str(file), act, seconds=10.0)
+    assert_outcome_ok(outcome)
     assert outcome.stats.all.ends["unanswered"] == 0
 
 
-def test_all_end_in_order_on_sigterm_and_none_outlives_a_supervisor_that_is_killed() -> None:
+def test_workers_drain_on_sigterm_and_exit_when_the_supervisor_is_killed() -> None:
     for number in (signal.SIGTERM, signal.SIGKILL):
 
         async def work(number: signal.Signals = number) -> None:
@@ -104,9 +106,11 @@
                 pids = workers_of(world)
                 process.called = True
                 process.signal(number)
-                assert await process.ended(20)  # its log ends with the last of them
+                assert await process.ended(20)  # the log is closed once the last worker has exited
                 assert process.process is not None
                 assert process.process.returncode == (0 if number is signal.SIGTERM else -9)
-                await until(lambda: all(gone(pid) for pid in pids))  # a moment after their files are closed
+                await until(
+                    lambda: all(has_exited(pid) for pid in pids)
+                )  # exit follows shortly after the files are closed
 
         uvloop.run(work())
