--- a/roadpulley/tenants/__init__.py
+++ b/roadpulley/tenants/__init__.py
@@ -1,1 +1,1 @@
-"""Many tenants in one installation. See docs/design/hosted.md."""
+"""Several tenants in one installation: credentials, authentication and fair queueing. See docs/design/hosted.md."""
--- a/roadpulley/tenants/credentials.py
+++ b/roadpulley/tenants/credentials.py
@@ -90,8 +90,8 @@
 def authenticate(known: dict[str, Credentials], name: str, secret: str, now: float) -> bool:
     """Return whether a secret is valid for a tenant. An unknown tenant takes as long as a known one."""
     credentials = known.get(name)
-    is_valid = (credentials or DUMMY_CREDENTIALS).is_valid(secret, now)
-    return is_valid and credentials is not None
+    is_authentic = (credentials or DUMMY_CREDENTIALS).is_valid(secret, now)
+    return is_authentic and credentials is not None
 
 
 # Replace missing hashes and credentials, so that every check compares two hashes. The secret is discarded.
--- a/roadpulley/workers/__init__.py
+++ b/roadpulley/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Several workers on one address: a supervisor that decides, and one that carries it out."""
+"""Several workers on one address: the supervisor's state machine, its service, and the worker process."""
--- a/tests/workers/test_supervisor.py
+++ b/tests/workers/test_supervisor.py
@@ -328,12 +328,12 @@
             assert all(x.state is State.SERVING for x in others), "more than one is missing"
 
     @rule(worker_count=st.integers(1, 6))
-    def resize(self, worker_count: int) -> None:
+    def change_worker_count(self, worker_count: int) -> None:
         self.apply_actions(self.supervisor.resize(self.now, worker_count))
 
     @precondition(lambda self: not self.supervisor.is_stopping)
     @rule(chance=st.integers(0, 9))
-    def stop(self, chance: int) -> None:
+    def stop_workers(self, chance: int) -> None:
         if not chance:
             self.apply_actions(self.supervisor.stop(self.now))
 
