--- a/roadpulley/tenants/__init__.py
+++ b/roadpulley/tenants/__init__.py
@@ -1,1 +1,1 @@
-"""Several tenants in one installation: credentials, authentication and fair queueing. See docs/design/hosted.md."""
+"""Credentials, authentication and fair queueing of several tenants. See docs/design/hosted.md."""
--- a/roadpulley/workers/service.py
+++ b/roadpulley/workers/service.py
@@ -168,7 +168,7 @@
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        deadline = self.supervisor.next_deadline()
+        deadline = self.supervisor.get_next_deadline()
         if deadline < float("inf") and not self.finished.is_set():
             self.timer = self.loop.call_at(max(deadline, self.loop.time()) + 0.001, self.tick)
 
--- a/roadpulley/workers/supervisor.py
+++ b/roadpulley/workers/supervisor.py
@@ -137,7 +137,7 @@
     # ---- events ----
 
     def tick(self, now: float) -> list[Action]:
-        """Handle all deadlines that have passed. Must be called at `next_deadline` at the latest."""
+        """Handle all deadlines that have passed. Must be called at `get_next_deadline` at the latest."""
         actions: list[Action] = []
         for slot in list(self.slots.values()):
             self._check_slot(now, slot, actions)
@@ -168,7 +168,7 @@
         actions: list[Action] = []
         if slot is not None and slot.state is State.SERVING:
             slot.heartbeat_at, slot.oldest_age_s, slot.first_overdue_at = now, oldest_age_s, None
-            # A worker is killed only after two such heartbeats in a row. One that was suspended for some
+            # Killed only after two heartbeats in a row with a stuck request. A worker that was suspended for some
             # seconds may send its first heartbeat before it has ended the requests that are overdue.
             was_stuck, slot.is_stuck = slot.is_stuck, oldest_age_s > self.settings.max_request_age_s
             if was_stuck and slot.is_stuck:
@@ -239,7 +239,7 @@
 
     # ---- queries ----
 
-    def next_deadline(self) -> float:
+    def get_next_deadline(self) -> float:
         """Return the latest time of the next `tick`, or infinity if only an event can change the state."""
         times = [float("inf")]
         for slot in self.slots.values():
--- a/tests/workers/test_supervisor.py
+++ b/tests/workers/test_supervisor.py
@@ -44,7 +44,7 @@
 def pass_time(supervisor: Supervisor, until: float) -> list[Action]:
     """Call `tick` at each deadline up to and including a time, as the service does."""
     actions: list[Action] = []
-    while (deadline := supervisor.next_deadline()) <= until:
+    while (deadline := supervisor.get_next_deadline()) <= until:
         actions += supervisor.tick(deadline)
     return actions + supervisor.tick(until)
 
@@ -54,7 +54,7 @@
     supervisor.handle_heartbeat(now, 0, 0.0)
     for _ in range(12):
         supervisor.handle_exit(now, 0, "code 1")
-        deadline = supervisor.next_deadline()
+        deadline = supervisor.get_next_deadline()
         backoffs.append(round(deadline - now, 3))
         assert not select_actions(supervisor.tick(deadline - 0.01), StartWorker) and select_actions(
             supervisor.tick(deadline), StartWorker
@@ -67,12 +67,12 @@
     supervisor = create_serving_supervisor(1)
     for _ in range(5):
         supervisor.handle_exit(1.0, 0, "code 1")
-        supervisor.tick(supervisor.next_deadline())
+        supervisor.tick(supervisor.get_next_deadline())
     supervisor.handle_serving(50.0, 0)
     for at in range(51, 62):
         supervisor.handle_heartbeat(float(at), 0, 0.0)
     supervisor.handle_exit(62.0, 0, "code 1")
-    assert supervisor.next_deadline() == pytest.approx(62.1)
+    assert supervisor.get_next_deadline() == pytest.approx(62.1)
 
 
 def test_worker_without_heartbeats_or_with_a_stuck_request_is_killed() -> None:
