--- a/roadpulley/workers/supervisor.py
+++ b/roadpulley/workers/supervisor.py
@@ -168,7 +168,7 @@
         actions: list[Action] = []
         if slot is not None and slot.state is State.SERVING:
             slot.heartbeat_at, slot.oldest_age_s, slot.first_overdue_at = now, oldest_age_s, None
-            # Killed only after two heartbeats in a row with a stuck request. A worker that was suspended for some
+            # A kill takes two heartbeats in a row with a stuck request. A worker that was suspended for some
             # seconds may send its first heartbeat before it has ended the requests that are overdue.
             was_stuck, slot.is_stuck = slot.is_stuck, oldest_age_s > self.settings.max_request_age_s
             if was_stuck and slot.is_stuck:
