--- a/Makefile
+++ b/Makefile
@@ -8,7 +8,7 @@
 # The request path compiled, from the same source; in an environment of its own. It needs a C compiler.
 COMPILED = $(VENV)-compiled
 
-SHARED = test_workers_share_an_address_and_every_rule_holds
+SHARED = test_workers_share_an_address_without_violations
 
 .PHONY: demo test lint bench compiled test-compiled bench-compiled
 
