--- a/roadpulley/usage/exporter.py
+++ b/roadpulley/usage/exporter.py
@@ -168,8 +168,8 @@
             return self._push_next()
         if lease is not None and not is_own_lease and now < lease.until:
             return Wait(lease.until - now)
-        # After an own lease has expired, another exporter may have had one with a higher fence. A new lease
-        # always has a new fence, even for the same holder.
+        # If the lease of this exporter has expired, another one may have pushed since, with a higher fence.
+        # A new lease therefore always has a new fence, even for the same holder.
         self.lease = None
         fence = lease.fence + 1 if lease else 1
         return AcquireLease(Lease(self.holder, fence, now + LEASE_DURATION_MS), lease)
--- a/tests/usage/test_export_runner.py
+++ b/tests/usage/test_export_runner.py
@@ -1,4 +1,4 @@
-"""Pushing to a sink that loses, delays and halves, with a crash at each step in turn: once as it sees it."""
+"""Each file is applied exactly once, despite lost, late and partial answers and a crash at each step."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 class Crash(BaseException):
-    """The process ends here; nothing below may take it for an error."""
+    """Raised where the simulated process ends. A BaseException, so that no handler treats it as an error."""
 
 
-def made(folder: Path) -> dict[str, bytes]:
-    """Two closed periods, one with an adjustment; gives what is to be applied, by path."""
+def make_periods(folder: Path) -> dict[str, bytes]:
+    """Closes two periods, one with an adjustment. Returns the files that the sink has to apply, by path."""
     with Store.open(folder) as store:
         periods = BillingPeriods(UsageLedger(store))
         for number, hour in enumerate((1, 4, 1), 1):
@@ -58,14 +58,14 @@
 
 def push(folder: Path, sink: Sink, clock: Clock, holder: str = "x", wrap: Any = None) -> ExportResult:
     with Store.open(folder) as store, httpx.Client(base_url=sink.url, timeout=LATE_S / 3) as client:
-        pushing = ExportRunner(UsageLedger(store), client, holder, lambda: clock.now, clock.sleep)
+        runner = ExportRunner(UsageLedger(store), client, holder, lambda: clock.now, clock.sleep)
         if wrap is not None:
-            wrap(pushing)
-        return pushing.run()
+            wrap(runner)
+        return runner.run()
 
 
 def applied(sink: Sink) -> dict[str, bytes]:
-    """By path; fails where a path was applied under two keys."""
+    """Returns the applied files by path. Fails if a path was applied under two keys."""
     paths = [path for path, _ in sink.applied.values()]
     assert len(paths) == len(set(paths)), "applied twice"
     return dict(sink.applied.values())
@@ -73,106 +73,103 @@
 
 @given(moods=st.lists(st.sampled_from([m for m in MOODS if m not in ("422", "late")]), max_size=8))
 @settings(max_examples=30, deadline=None)
-def test_whatever_the_sink_does_each_file_is_applied_once(moods: list[str], tmp_path_factory: Any) -> None:
+def test_each_file_is_applied_once_whatever_the_sink_answers(moods: list[str], tmp_path_factory: Any) -> None:
     folder = tmp_path_factory.mktemp("push")
-    due, clock = made(folder), Clock()
+    expected, clock = make_periods(folder), Clock()
     with Sink() as sink:
         sink.moods.extend(moods)
         assert push(folder, sink, clock) == ExportResult(pushed=3)
-        assert applied(sink) == due
+        assert applied(sink) == expected
         before = sink.pushes
         assert push(folder, sink, clock) == ExportResult() and sink.pushes == before
 
 
-def test_a_late_answer_and_a_refusal(tmp_path: Path) -> None:
-    due, clock = made(tmp_path), Clock()
+def test_late_answer_is_retried_and_rejected_file_is_parked(tmp_path: Path) -> None:
+    expected, clock = make_periods(tmp_path), Clock()
     with Sink() as sink:
         sink.moods.extend(["late", "well", "422"])
         assert push(tmp_path, sink, clock) == ExportResult(pushed=2, parked=1)
-        del due["/p0.adjustment-1.csv"]
-        assert applied(sink) == due
+        del expected["/p0.adjustment-1.csv"]
+        assert applied(sink) == expected
     with Store.open(tmp_path) as store:
         assert b"no such customer" in (store.get(b"use/parked/p0.adjustment-1") or b"")
 
 
 def crashing(at: int, after: bool) -> Callable[[ExportRunner], None]:
-    """The process ends at its `at`th step outwards, before it is done or after."""
+    """Ends the process at its `at`th push or write, before or after it is done."""
 
-    def wrap(pushing: ExportRunner) -> None:
+    def wrap(runner: ExportRunner) -> None:
         count = 0
 
         def counted(real: Callable[..., Any]) -> Callable[..., Any]:
-            def step(*args: Any, **more: Any) -> Any:
+            def step(*args: Any, **kwargs: Any) -> Any:
                 nonlocal count
                 count += 1
                 if count == at and not after:
                     raise Crash
-                result = real(*args, **more)
+                result = real(*args, **kwargs)
                 if count == at:
                     raise Crash
                 return result
 
             return step
 
-        pushing.client.put = counted(pushing.client.put)  # type: ignore[method-assign]
-        pushing.store.batch = counted(pushing.store.batch)  # type: ignore[method-assign]
+        runner.client.put = counted(runner.client.put)  # type: ignore[method-assign]
+        runner.store.batch = counted(runner.store.batch)  # type: ignore[method-assign]
 
     return wrap
 
 
-def test_a_crash_at_each_step_in_turn_loses_and_repeats_nothing(tmp_path: Path) -> None:
-    """A lease, then a push and a receipt for each file: seven steps; then the same with a second crash."""
+def test_crash_at_each_step_loses_nothing_and_applies_nothing_twice(tmp_path: Path) -> None:
+    """There are seven steps: a lease, then a push and a receipt for each file. A second crash follows."""
     crashes = 0
     for first in range(1, 8):
         for after in (False, True):
             folder, clock = tmp_path / f"{first}{after}", Clock()
-            due = made(folder)
+            expected = make_periods(folder)
             with Sink() as sink:
                 for number, wrap in enumerate([crashing(first, after), crashing(2, not after), None]):
                     try:
                         push(folder, sink, clock, f"x{number}", wrap)
                     except Crash:
                         crashes += 1
-                assert applied(sink) == due
+                assert applied(sink) == expected
                 with Store.open(folder) as store:
                     assert len(list(store.scan(b"use/receipt/"))) == 3
     assert crashes > 20
 
 
 @pytest.mark.parametrize("finishes", [True, False])
-def test_an_exporter_that_was_held_up_writes_nothing_under_its_old_lease(
-    finishes: bool, tmp_path: Path
-) -> None:
-    due, clock = made(tmp_path), Clock()
+def test_delayed_exporter_writes_nothing_under_its_expired_lease(finishes: bool, tmp_path: Path) -> None:
+    expected, clock = make_periods(tmp_path), Clock()
 
-    def held_up(pushing: ExportRunner) -> None:
-        real = pushing.client.put
+    def delay_push(runner: ExportRunner) -> None:
+        real = runner.client.put
 
-        def put(*args: Any, **more: Any) -> httpx.Response:
-            answer = real(*args, **more)
-            pushing.client.put = real  # type: ignore[method-assign]
-            clock.now += (
-                LEASE_DURATION_MS  # and meanwhile another has taken over, and does all of it or gets nowhere
-            )
+        def put(*args: Any, **kwargs: Any) -> httpx.Response:
+            answer = real(*args, **kwargs)
+            runner.client.put = real  # type: ignore[method-assign]
+            # Meanwhile another exporter takes over, and pushes everything or nothing.
+            clock.now += LEASE_DURATION_MS
             sink.moods.extend([] if finishes else ["500"])
             sleep = clock.sleep if finishes else lambda ms: False
-            other = ExportRunner(pushing.ledger, pushing.client, "y", lambda: clock.now, sleep)
+            other = ExportRunner(runner.ledger, runner.client, "y", lambda: clock.now, sleep)
             assert other.run() == (ExportResult(pushed=3) if finishes else ExportResult(remaining=3))
             return answer
 
-        pushing.client.put = put  # type: ignore[method-assign]
+        runner.client.put = put  # type: ignore[method-assign]
 
     with Sink() as sink:
-        assert push(tmp_path, sink, clock, "x", held_up) == ExportResult(pushed=0 if finishes else 3)
-        assert applied(sink) == due and sink.fence == (2 if finishes else 3)
-    with Store.open(tmp_path) as store:  # none under the lease that was lost
+        assert push(tmp_path, sink, clock, "x", delay_push) == ExportResult(pushed=0 if finishes else 3)
+        assert applied(sink) == expected and sink.fence == (2 if finishes else 3)
+    with Store.open(tmp_path) as store:  # none under the expired lease
         assert {json.loads(r.value)["fence"] for r in store.scan(b"use/receipt/")} == {sink.fence}
 
 
-def test_the_command_pushes_with_its_token_and_says_what_is_left(
+def test_push_command_sends_its_token_and_prints_the_remaining_count(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    made(tmp_path / "books")
+    make_periods(tmp_path / "books")
     (tmp_path / "token").write_text("secret\n")
     with Sink() as sink:
         words = f'store = "books"\nspool = "spool"\n[sink]\nurl = "{sink.url}"\ntoken = "token"\n'
@@ -188,6 +185,6 @@
 
 
 @given(data=st.binary(max_size=40))
-def test_what_is_no_receipt_is_none(data: bytes) -> None:
+def test_parse_receipt_returns_none_for_anything_else(data: bytes) -> None:
     assert parse_receipt(data) is None
     assert parse_receipt(b'{"key": 1, "digest": "a"}') is None
--- a/tests/usage/test_ledger.py
+++ b/tests/usage/test_ledger.py
@@ -1,4 +1,4 @@
-"""Use is counted once and only once, whatever crashes: drawn histories beside a plain count."""
+"""Usage is billed exactly once despite crashes. Generated histories are compared with a plain count."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 from roadpulley.usage.accumulator import HOUR_MS, Batch, UsageAccumulator, UsageKey, UsageTotals
 from roadpulley.usage.ledger import UsageLedger
 
-WHO = "00000000000000aa"
+CUSTOMER = "00000000000000aa"
 NOW = 498_926 * HOUR_MS
 
 
 class Crash(Exception):
-    """The process ends here."""
+    """Raised where the simulated process ends."""
 
 
 class Steps:
-    """Lets so many steps on the disk happen, then the process ends; the step itself may be done or not."""
+    """Ends the process at a given step on the disk, before or after the step is done."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.left, self.done = 10**9, True
@@ -40,11 +40,11 @@
             monkeypatch.setattr(owner, name, self.counted(getattr(owner, name)))
 
     def counted(self, real: Any) -> Any:
-        def step(*args: Any, **more: Any) -> Any:
+        def step(*args: Any, **kwargs: Any) -> Any:
             self.left -= 1
             if self.left == 0 and not self.done:
                 raise Crash
-            result = real(*args, **more)
+            result = real(*args, **kwargs)
             if self.left == 0:
                 raise Crash
             return result
@@ -62,17 +62,19 @@
 )
 
 
-@given(todo=st.lists(STEP, max_size=40))
+@given(history=st.lists(STEP, max_size=40))
 @settings(max_examples=150, deadline=None)
-def test_what_is_billed_is_what_was_counted_less_what_a_killed_gateway_held(todo: list[Any]) -> None:
-    with TemporaryDirectory() as place, pytest.MonkeyPatch.context() as patch:
-        folder, seen = Path(place) / "spool", dict[str, bytes]()
+def test_billed_usage_equals_counted_usage_less_what_killed_gateways_had_in_memory(
+    history: list[Any],
+) -> None:
+    with TemporaryDirectory() as directory, pytest.MonkeyPatch.context() as patch:
+        folder, spooled_files = Path(directory) / "spool", dict[str, bytes]()
         folder.mkdir()
-        steps, counted, lives = Steps(patch), Counter[UsageKey](), 1
+        steps, counted, processes = Steps(patch), Counter[UsageKey](), 1
         gateway, sent = UsageAccumulator("n0", "1"), list[tuple[UsageKey, float]]()
 
-        def keep() -> None:
-            seen.update({f.name: f.read_bytes() for f in folder.glob("*.use")})
+        def remember_files() -> None:
+            spooled_files.update({f.name: f.read_bytes() for f in folder.glob("*.use")})
 
         def flush(limit: int, done: bool) -> None:
             steps.left, steps.done = limit or 10**9, done
@@ -81,54 +83,54 @@
                     spool.write(folder, batch)
                     gateway.confirm_written(batch.number)
             except Crash:
-                pass  # to the gateway an error of the disk: it goes on, and writes again
+                pass  # the gateway treats this as a disk error and writes again later
             finally:
                 steps.left = 10**9
-                keep()
+                remember_files()
 
         def collect(limit: int, done: bool) -> None:
             steps.left, steps.done = limit or 10**9, done
             try:
-                with Store.open(Path(place) / "store") as store:
+                with Store.open(Path(directory) / "store") as store:
                     spool.collect(folder, UsageLedger(store))
             except Crash:
                 pass
             finally:
                 steps.left = 10**9
 
-        for step in todo:
+        for step in history:
             if step[0] == "count":
                 row = gateway.count_sent(
-                    NOW + step[1] * HOUR_MS, WHO, ("basic", 1, 0), "view", float(step[2])
+                    NOW + step[1] * HOUR_MS, CUSTOMER, ("basic", 1, 0), "view", float(step[2])
                 )
                 assert row is not None
                 counted[row] += step[2] * 1_000
                 sent.append((row, float(step[2])))
             elif step[0] == "settle" and sent:
-                row, guess = sent.pop(step[1] % len(sent))
-                gateway.count_settled(NOW, row, guess, step[2] / 4)
-                counted[row] += step[2] * 250 - round(guess * 1_000)
+                row, estimate = sent.pop(step[1] % len(sent))
+                gateway.count_settled(NOW, row, estimate, step[2] / 4)
+                counted[row] += step[2] * 250 - round(estimate * 1_000)
             elif step[0] == "flush":
                 flush(*step[1:])
             elif step[0] == "collect":
                 collect(*step[1:])
-            elif step[0] == "again" and seen:  # a file that comes a second time
-                name = sorted(seen)[step[1] % len(seen)]
-                (folder / name).write_bytes(seen[name])
+            elif step[0] == "again" and spooled_files:  # a file arrives a second time
+                name = sorted(spooled_files)[step[1] % len(spooled_files)]
+                (folder / name).write_bytes(spooled_files[name])
             elif step[0] == "kill":
                 lost = [
                     b
                     for b in gateway.unwritten_batches
-                    if f"n0-{gateway.process_id}-{b.number:012d}.use" not in seen
+                    if f"n0-{gateway.process_id}-{b.number:012d}.use" not in spooled_files
                 ]
                 for rows in [gateway.rows, *(b.rows for b in lost)]:
                     for row, s in rows.items():
                         counted[row] -= s.units
-                lives += 1
-                gateway, sent = UsageAccumulator("n0", str(lives)), []
+                processes += 1
+                gateway, sent = UsageAccumulator("n0", str(processes)), []
         flush(0, True)
         collect(0, True)
-        with Store.open(Path(place) / "store") as store:
+        with Store.open(Path(directory) / "store") as store:
             billed = {row: s.units for row, s in UsageLedger(store).rows()}
         assert {r: u for r, u in billed.items() if u} == {r: u for r, u in counted.items() if u}
         shutil.rmtree(folder)
@@ -136,11 +138,11 @@
 
 def batch(number: int, hour: int = 10, units: int = 5_000) -> Batch:
     return Batch(
-        "n0", "a", number, NOW, {UsageKey(WHO, "basic", 1, 0, "view", hour): UsageTotals(1, units, 0)}
+        "n0", "a", number, NOW, {UsageKey(CUSTOMER, "basic", 1, 0, "view", hour): UsageTotals(1, units, 0)}
     )
 
 
-def test_what_comes_after_an_hour_was_closed_is_a_line_of_its_own(tmp_path: Path) -> None:
+def test_usage_of_a_closed_hour_is_stored_as_an_adjustment(tmp_path: Path) -> None:
     with Store.open(tmp_path) as store:
         books = UsageLedger(store)
         books.ingest(batch(1))
@@ -156,7 +158,7 @@
             books.close_hours(10)
 
 
-def test_a_gap_waits_and_a_damaged_file_is_set_aside(tmp_path: Path) -> None:
+def test_collect_leaves_a_batch_after_a_gap_and_renames_a_damaged_file(tmp_path: Path) -> None:
     folder = tmp_path / "spool"
     folder.mkdir()
     spool.write(folder, batch(2))
@@ -170,7 +172,7 @@
         assert sum(s.units for _, s in books.rows()) == 10_000
 
 
-def test_a_disk_that_stays_full_bounds_memory_and_the_loss_is_counted(
+def test_accumulator_bounds_memory_and_counts_drops_when_writes_fail(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(accumulator, "MAX_BATCH_ROWS", 3)
@@ -186,7 +188,7 @@
 
 @given(data=st.binary(max_size=80), cut=st.integers(0, 200), flip=st.integers(0, 400))
 @settings(max_examples=200, deadline=None)
-def test_bytes_that_are_no_whole_batch_are_refused(data: bytes, cut: int, flip: int) -> None:
+def test_decode_batch_rejects_truncated_and_altered_batches(data: bytes, cut: int, flip: int) -> None:
     good = batch_format.encode_batch(batch(1))
     assert batch_format.decode_batch(good) == batch(1)
     flipped = bytearray(good)
--- a/tests/usage/test_usage_in_service.py
+++ b/tests/usage/test_usage_in_service.py
@@ -1,4 +1,4 @@
-"""Several workers count under load, replaced on the way: what is billed is what the nodes have seen."""
+"""Workers meter under load and are replaced meanwhile. Billed usage equals what the nodes received."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 pytestmark = [pytest.mark.timeout(60), pytest.mark.alone]
 
 
-def seen_by_nodes(ledger: Ledger) -> Counter[tuple[str, str, str]]:
-    """Thousandths of units by customer, plan and class, of each try that a node had; as settled."""
+def sum_node_usage(ledger: Ledger) -> Counter[tuple[str, str, str]]:
+    """Returns settled thousandths of units by customer, plan and class, of each try that a node received."""
     tries = {}
     for attempt in ledger.attempts:
         if attempt.last_at is not None and attempt.how != "busy":
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize(("deployment", "number"), [("transfers", signal.SIGHUP), ("tiles", signal.SIGKILL)])
-def test_billed_use_is_what_the_nodes_have_seen_less_a_second_of_a_killed_worker(
+def test_billed_usage_equals_node_usage_less_one_second_of_a_killed_worker(
     deployment: str, number: signal.Signals, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     (tmp_path / "usage.toml").write_text('store = "books"\nspool = "spool"\n')
@@ -63,7 +63,7 @@
         async with asyncio.timeout(45), Installation(scenario) as world:
             running = asyncio.create_task(world.run())
             await until(lambda: world.stats.all.asked > 20)
-            if number is signal.SIGHUP:  # both are replaced: each hands over what it counted
+            if number is signal.SIGHUP:  # both workers are replaced, and each writes its counts
                 world.gateways["n0"].signal(number)
                 await until(lambda: log_of(world).count("serves at port") == 4)
             else:
@@ -83,13 +83,13 @@
     assert main(["usage", "--settings", str(tmp_path / "usage.toml"), "collect"]) == 0
     with Store.open(tmp_path / "books") as store:
         billed: Counter[tuple[str, str, str]] = Counter()
-        lives = {record.key for record in store.scan(b"use/life/")}
+        process_keys = {record.key for record in store.scan(b"use/life/")}
         for row, total in UsageLedger(store).rows():
             billed[row.customer, row.plan, row.request_class] += total.units
-    seen, lost = seen_by_nodes(ledger), Counter[tuple[str, str, str]]()
-    assert len(lives) >= 2 and sum(billed.values()) > 100 * MILLIUNITS_PER_UNIT
+    received, lost = sum_node_usage(ledger), Counter[tuple[str, str, str]]()
+    assert len(process_keys) >= 2 and sum(billed.values()) > 100 * MILLIUNITS_PER_UNIT
     if number is signal.SIGKILL:
-        lost = seen - billed
-        second = sum(seen.values()) / scenario.seconds
+        lost = received - billed
+        second = sum(received.values()) / scenario.seconds
         assert sum(lost.values()) < 2 * second  # of both workers, at the rate of the whole run
-    assert billed == seen - lost
+    assert billed == received - lost
