--- a/roadpulley/__main__.py
+++ b/roadpulley/__main__.py
@@ -87,7 +87,7 @@
             config = self.load(self.config)
         except ConfigError as error:
             self.controller.reload_counts[1] += 1
-            return log.error("reload failed, the current configuration stays in effect: %s", error)
+            return log.error("not reloaded, the old configuration stands: %s", error)
         self.apply(config)
         self.controller.reload_counts[0] += 1
         log.info("reloaded: classes %s", ", ".join(c.name for c in config.settings.classes))
--- a/roadpulley/core/backends.py
+++ b/roadpulley/core/backends.py
@@ -204,7 +204,7 @@
             if not connection.paused and now - connection.last_read_at > (
                 OVERDUE_STALL_TIMEOUT_MS if overdue else STALL_TIMEOUT_MS
             ):
-                self.answer_errors["long value stalled"] += 1
+                self.answer_errors["a long value that did not go on"] += 1
                 connection.end(EndReason.CONNECTION_ERROR)
         self.is_stall_check_scheduled = bool(self.long_values)
         if self.is_stall_check_scheduled:
@@ -223,7 +223,7 @@
                 del self.hosts[backend]
         for description, errors in (
             ("failed connections", self.connect_errors),
-            ("malformed answers", self.answer_errors),
+            ("spoilt answers", self.answer_errors),
         ):
             if errors:
                 log.warning("%s: %s", description, dict(errors))
--- a/roadpulley/edges/slots.py
+++ b/roadpulley/edges/slots.py
@@ -155,5 +155,5 @@
         """
         if self.slot.stream is not None:
             self.release(b"-ERR")
-            self.slot.connection.server.refusals["streamed value incomplete"] += 1
+            self.slot.connection.server.refusals["a long value that broke"] += 1
             self.slot.connection.close()
--- a/roadpulley/store/format.py
+++ b/roadpulley/store/format.py
@@ -149,7 +149,7 @@
     if len(body) != head.length:
         raise UnreadableError(f"a frame has {len(body)} of {head.length} bytes")
     if zlib.crc32(body, salt) != head.body_crc:
-        raise UnreadableError("a frame's checksum does not match")
+        raise UnreadableError("a frame's checksum does not fit")
     found, at = [], 0
     for _ in range(head.count):
         if at + RECORD_HEADER.size > len(body):
--- a/roadpulley/usage/batch_format.py
+++ b/roadpulley/usage/batch_format.py
@@ -51,7 +51,7 @@
     if not prefix or digest != hashlib.sha256(body).hexdigest().encode() + b"\n":
         raise ValidationError(
             "",
-            "its digest does not match",
+            "its digest does not fit",
             "it was truncated or changed; its gateway writes it again if it can",
         )
     try:
--- a/roadpulley/usage/ledger.py
+++ b/roadpulley/usage/ledger.py
@@ -54,7 +54,7 @@
         if batch.number != last + 1:
             process = f"{batch.gateway} {batch.process_id}"
             raise ValidationError(
-                process, f"batch {batch.number} arrived, but {last + 1} has not", "add them in order"
+                process, f"batch {batch.number} came, and {last + 1} has not", "add them in order"
             )
         closed, late, writes = self.closed_until(), 0, [Write(process_key, b"%d" % batch.number)]
         for row, delta in batch.rows.items():
--- a/roadpulley/usage/meter.py
+++ b/roadpulley/usage/meter.py
@@ -77,12 +77,12 @@
             self.accumulator.confirm_written(future.result())
         if (message := str(error or "")) != self.last_error:
             self.last_error = message
-            log.error("usage cannot be written and stays in memory: %s", message) if message else log.info(
-                "usage is being written again"
+            log.error("use cannot be written, and is kept: %s", message) if message else log.info(
+                "use is written again"
             )
         if self.accumulator.dropped_tries > self.reported_drops:
             log.error(
-                "usage of %d tries was dropped: too many batches could not be written",
+                "use of %d tries was dropped: too many batches could not be written",
                 self.accumulator.dropped_tries - self.reported_drops,
             )
             self.reported_drops = self.accumulator.dropped_tries
--- a/roadpulley/usage/spool.py
+++ b/roadpulley/usage/spool.py
@@ -55,14 +55,14 @@
         try:
             batch = batch_format.decode_batch(file.read_bytes())
         except ValidationError as error:
-            log.error("%s is damaged and was renamed: %s", file.name, error)
+            log.error("%s is set aside: %s", file.name, error)
             file.replace(file.with_suffix(DAMAGED_SUFFIX))
             damaged += 1
             continue
         try:
             result = ledger.ingest(batch)
         except ValidationError as error:
-            log.warning("%s is left for the next collection: %s", file.name, error)
+            log.warning("%s waits: %s", file.name, error)
             continue
         added, known = added + result.is_new, known + (not result.is_new)
         file.unlink()
--- a/tests/store/test_store_format.py
+++ b/tests/store/test_store_format.py
@@ -52,7 +52,7 @@
 def test_frame_after_damage_proves_the_durable_version() -> None:
     one, two, three = (format.pack_frame([Record(PUT, b"k", b"v" * n, n)], n, n - 1, 9) for n in (1, 2, 3))
     torn = scan_segment(segment(one, two[:-1] + b"?", three), 3)
-    assert torn.problem == "a frame's checksum does not match" and torn.durable == 2
+    assert torn.problem == "a frame's checksum does not fit" and torn.durable == 2
     (damage,) = plan_recovery(torn, 0).damage
     assert (damage.file, damage.offset) == ("00000003.seg", format.SEGMENT_HEADER.size + len(one))
     assert "versions from 2 to 2 were acknowledged" in damage.lost
